--- a/crates/config-store/tests/worlds/world.rs
+++ b/crates/config-store/tests/worlds/world.rs
@@ -121,8 +121,13 @@
         for n in 0..size {
             w.machines.push(Machine::default());
             w.empty(n);
-            let writes = w.machines[n].disk.found(ip(n), &seeds).expect("an empty disk");
-            writes.iter().for_each(|write| w.machines[n].disk.keep(write));
+            let writes = w.machines[n]
+                .disk
+                .found(ip(n), &seeds)
+                .expect("an empty disk");
+            writes
+                .iter()
+                .for_each(|write| w.machines[n].disk.keep(write));
             w.machines[n].known = (0..3).map(|seed| (seed, 0)).collect();
             w.start(n);
         }
@@ -131,12 +136,19 @@
 
     /// Gives a machine an empty disk.
     pub fn empty(&mut self, n: usize) {
-        self.machines[n].disk =
-            DurableState { disk: self.rng.random_range(1 << 32..u64::MAX), ..Default::default() };
+        self.machines[n].disk = DurableState {
+            disk: self.rng.random_range(1 << 32..u64::MAX),
+            ..Default::default()
+        };
     }
 
     pub fn start(&mut self, n: usize) {
-        let replica = Replica::new(ip(n), self.machines[n].disk.clone(), self.rng.random(), at(self.now));
+        let replica = Replica::new(
+            ip(n),
+            self.machines[n].disk.clone(),
+            self.rng.random(),
+            at(self.now),
+        );
         self.machines[n].store = Some(replica);
         self.tell_roster(n);
     }
@@ -152,11 +164,15 @@
     }
 
     pub fn running(&self) -> Vec<usize> {
-        (0..self.machines.len()).filter(|n| !self.machines[*n].removed).collect()
+        (0..self.machines.len())
+            .filter(|n| !self.machines[*n].removed)
+            .collect()
     }
 
     fn reaches(&self, from: usize, to: usize) -> bool {
-        let up = |n: usize| self.machines[n].store.is_some() && self.now >= self.machines[n].frozen_until;
+        let up = |n: usize| {
+            self.machines[n].store.is_some() && self.now >= self.machines[n].frozen_until
+        };
         up(from) && up(to) && !(self.now < self.cut_until && self.cut.contains(&(from, to)))
     }
 
@@ -165,7 +181,10 @@
         for n in self.running() {
             // The store hints the voters that it knows.
             let voters = self.machines[n].store.iter().filter_map(Replica::voters);
-            let hinted: Vec<usize> = voters.flat_map(VoterSet::voters).map(|v| machine(v.ip)).collect();
+            let hinted: Vec<usize> = voters
+                .flat_map(VoterSet::voters)
+                .map(|v| machine(v.ip))
+                .collect();
             for other in hinted {
                 self.machines[n].known.entry(other).or_insert(0);
             }
@@ -206,15 +225,22 @@
         let doubled = self.rng.random::<f64>() < self.doubles;
         let late = self.rng.random::<f64>() < self.doubles;
         for copy in 0..1 + usize::from(doubled) {
-            let way = self.rng.random_range(1..if late || copy > 0 { 2500 } else { 70 });
+            let way = self
+                .rng
+                .random_range(1..if late || copy > 0 { 2500 } else { 70 });
             self.messages.push(message.clone());
             let no = self.messages.len() - 1;
-            self.queue.push(std::cmp::Reverse((self.now + way, Event::Heard { from, to, no })));
+            self.queue.push(std::cmp::Reverse((
+                self.now + way,
+                Event::Heard { from, to, no },
+            )));
         }
     }
 
     fn carry_out(&mut self, n: usize) {
-        let Some(effects) = self.machines[n].store.as_mut().map(Replica::take_effects) else { return };
+        let Some(effects) = self.machines[n].store.as_mut().map(Replica::take_effects) else {
+            return;
+        };
         for effect in &effects {
             if let Effect::Persist(write) = effect {
                 self.machines[n].disk.keep(write);
@@ -233,7 +259,9 @@
     }
 
     fn reply(&mut self, no: u64, reply: CommandReply) {
-        let Some((order, floor)) = self.orders.remove(&no) else { return };
+        let Some((order, floor)) = self.orders.remove(&no) else {
+            return;
+        };
         match (order, reply) {
             (Command::Change(change), CommandReply::Done) => {
                 self.done += 1;
@@ -248,7 +276,10 @@
                 self.check_read(items, &floor);
             }
             (Command::Change(change), CommandReply::Invalid(_)) => {
-                change.items.into_iter().for_each(|item| *self.open.entry(content(item)).or_default() -= 1);
+                change
+                    .items
+                    .into_iter()
+                    .for_each(|item| *self.open.entry(content(item)).or_default() -= 1);
             }
             // Its caller sends it again, to another.
             (order, CommandReply::Unsettled(_)) => self.again.push(order),
@@ -258,13 +289,25 @@
 
     /// Of two contents of one version one is confirmed at most, but for one that was overtaken before.
     fn confirm(&mut self, item: &Item) {
-        let decided = self.machines.iter().filter_map(|m| m.disk.decided.get(&item.key));
-        if decided.map(|i| i.version).max().is_some_and(|latest| latest > item.version) {
+        let decided = self
+            .machines
+            .iter()
+            .filter_map(|m| m.disk.decided.get(&item.key));
+        if decided
+            .map(|i| i.version)
+            .max()
+            .is_some_and(|latest| latest > item.version)
+        {
             return;
         }
         let key = (item.key.name.clone(), item.version);
         let text = self.texts.entry(key).or_insert(item.body.clone());
-        assert!(*text == item.body, "two contents of {} r{} are confirmed", item.key.name, item.version);
+        assert!(
+            *text == item.body,
+            "two contents of {} r{} are confirmed",
+            item.key.name,
+            item.version
+        );
     }
 
     fn check_read(&mut self, items: Vec<Item>, floor: &BTreeMap<String, u64>) {
@@ -272,21 +315,36 @@
         for i in &items {
             snapshot.set(i.clone());
         }
-        assert_eq!(snapshot.check(), Ok(()), "what is read is no valid configuration");
+        assert_eq!(
+            snapshot.check(),
+            Ok(()),
+            "what is read is no valid configuration"
+        );
         for (name, version) in floor {
             let item = items.iter().find(|i| i.key.name == *name);
             let item = item.unwrap_or_else(|| panic!("{name} is gone"));
-            assert!(item.version >= *version, "{name} went back from {version} to {}", item.version);
+            assert!(
+                item.version >= *version,
+                "{name} went back from {version} to {}",
+                item.version
+            );
         }
         for i in &items {
-            let refused = self.open.get(&content(i.clone())).is_some_and(|calls| *calls == 0);
+            let refused = self
+                .open
+                .get(&content(i.clone()))
+                .is_some_and(|calls| *calls == 0);
             if refused {
-                self.refused_in_force.insert((i.key.name.clone(), i.version));
+                self.refused_in_force
+                    .insert((i.key.name.clone(), i.version));
             }
         }
         for i in items {
             let (name, version) = (i.key.name, i.version);
-            let text = self.texts.entry((name.clone(), version)).or_insert(i.body.clone());
+            let text = self
+                .texts
+                .entry((name.clone(), version))
+                .or_insert(i.body.clone());
             assert!(*text == i.body, "{name} changed at version {version}");
             let read = self.read.entry(name).or_default();
             *read = (*read).max(version);
@@ -296,7 +354,9 @@
     pub fn order(&mut self, n: usize, order: Command) {
         self.next += 1;
         let frozen = self.now < self.machines[n].frozen_until;
-        let Some(store) = self.machines[n].store.as_mut().filter(|_| !frozen) else { return };
+        let Some(store) = self.machines[n].store.as_mut().filter(|_| !frozen) else {
+            return;
+        };
         let mut floor = self.read.clone();
         for (name, version) in &self.acked {
             let at = floor.entry(name.clone()).or_default();
@@ -324,14 +384,21 @@
     }
 
     pub fn schedule(&mut self, after: u64, event: Event) {
-        self.queue.push(std::cmp::Reverse((self.now + after, event)));
+        self.queue
+            .push(std::cmp::Reverse((self.now + after, event)));
     }
 
     /// Voters by the latest set decided, and by any accepted after it.
     pub fn voter_sets(&self) -> Vec<VoterSet> {
-        let all = self.machines.iter().flat_map(|m| [&m.disk.decided, &m.disk.accepted]);
+        let all = self
+            .machines
+            .iter()
+            .flat_map(|m| [&m.disk.decided, &m.disk.accepted]);
         let sets: Vec<VoterSet> = all.filter_map(VoterSet::decided).collect();
-        let decided = self.machines.iter().filter_map(|m| VoterSet::decided(&m.disk.decided));
+        let decided = self
+            .machines
+            .iter()
+            .filter_map(|m| VoterSet::decided(&m.disk.decided));
         let latest = decided.map(|s| s.epoch).max().unwrap_or(0);
         sets.into_iter().filter(|s| s.epoch >= latest).collect()
     }
@@ -350,7 +417,11 @@
     /// Whether the disk of one machine more may be lost: of each set in question, a majority has its disks then.
     pub fn may_lose(&self, n: usize) -> bool {
         self.voter_sets().iter().all(|set| {
-            let left = set.voters().iter().filter(|v| self.is_there(v) && machine(v.ip) != n).count();
+            let left = set
+                .voters()
+                .iter()
+                .filter(|v| self.is_there(v) && machine(v.ip) != n)
+                .count();
             left >= set.majority()
         })
     }
@@ -358,10 +429,19 @@
     fn end(&mut self, n: usize, latest: u64, for_good: bool) {
         let now = at(self.now);
         let may_go = !for_good || self.may_lose(n);
-        let Some(store) = &mut self.machines[n].store else { return };
+        let Some(store) = &mut self.machines[n].store else {
+            return;
+        };
         store.leave();
         if !may_go || !store.may_end(now) && self.now < latest {
-            return self.schedule(TICK, Event::End { n, latest, for_good });
+            return self.schedule(
+                TICK,
+                Event::End {
+                    n,
+                    latest,
+                    for_good,
+                },
+            );
         }
         self.machines[n].store = None;
         self.machines[n].removed = for_good;
@@ -384,7 +464,11 @@
                     self.start(n);
                 }
             }
-            Event::End { n, latest, for_good } => self.end(n, latest, for_good),
+            Event::End {
+                n,
+                latest,
+                for_good,
+            } => self.end(n, latest, for_good),
             Event::Add(seeds) => {
                 self.add(&seeds);
             }
@@ -412,23 +496,43 @@
     /// After a quiet time: all level, and the voters are those who run, but for one that can't be missed.
     pub fn check_members(&self) {
         let running = self.running();
-        let all: BTreeSet<u64> = running.iter().map(|n| self.machines[*n].disk.decided.digest()).collect();
+        let all: BTreeSet<u64> = running
+            .iter()
+            .map(|n| self.machines[*n].disk.decided.digest())
+            .collect();
         assert_eq!(all.len(), 1, "copies differ after a quiet time");
         let set = VoterSet::decided(&self.machines[running[0]].disk.decided).expect("a voter set");
         for n in &running {
-            let voter = Voter { ip: ip(*n), disk: self.machines[*n].disk.disk };
-            assert!(set.contains(&voter), "{voter:?} runs and has no vote in {set:?}");
+            let voter = Voter {
+                ip: ip(*n),
+                disk: self.machines[*n].disk.disk,
+            };
+            assert!(
+                set.contains(&voter),
+                "{voter:?} runs and has no vote in {set:?}"
+            );
         }
         let gone = set.voters().len() - running.len();
         let odd = !set.voters().len().is_multiple_of(2);
-        assert!(gone == 0 || gone == 1 && odd, "{gone} have a vote and are gone: {set:?}");
+        assert!(
+            gone == 0 || gone == 1 && odd,
+            "{gone} have a vote and are gone: {set:?}"
+        );
     }
 }
 
 /// A service that the routes of all calls go to.
 pub fn service(w: &mut World) {
-    let key = Key { kind: Kind::Service, name: "s".into() };
+    let key = Key {
+        kind: Kind::Service,
+        name: "s".into(),
+    };
     let body = Some(br#"{"name":"s","health_path":"/health","config_version":"r1"}"#.to_vec());
-    let item = Item { key, version: 1, ballot: Default::default(), body };
+    let item = Item {
+        key,
+        version: 1,
+        ballot: Default::default(),
+        body,
+    };
     w.order(0, Command::Change(Change { items: vec![item] }));
 }
--- a/crates/control/examples/catch_up.rs
+++ b/crates/control/examples/catch_up.rs
@@ -21,12 +21,32 @@
 
 fn item(number: usize, version: u64) -> Item {
     let (kind, name, body) = match number % 1000 {
-        n if n < ROUTES => (Kind::Route, format!("r-{number:07}"), route(number, version)),
-        n if n < ROUTES + SERVICES => (Kind::Service, format!("s{number:06}"), service(number, version)),
-        _ => (Kind::Tenant, format!("t{number:06}"), tenant(number, version)),
+        n if n < ROUTES => (
+            Kind::Route,
+            format!("r-{number:07}"),
+            route(number, version),
+        ),
+        n if n < ROUTES + SERVICES => (
+            Kind::Service,
+            format!("s{number:06}"),
+            service(number, version),
+        ),
+        _ => (
+            Kind::Tenant,
+            format!("t{number:06}"),
+            tenant(number, version),
+        ),
     };
-    let ballot = Ballot { round: version, writer: 7 };
-    Item { key: Key { kind, name }, version, ballot, body: Some(body.into_bytes()) }
+    let ballot = Ballot {
+        round: version,
+        writer: 7,
+    };
+    Item {
+        key: Key { kind, name },
+        version,
+        ballot,
+        body: Some(body.into_bytes()),
+    }
 }
 
 fn route(n: usize, version: u64) -> String {
@@ -46,7 +66,11 @@
 
 fn tenant(n: usize, version: u64) -> String {
     // Keys are random text: nothing in them repeats.
-    let key = |salt: u64| (n as u64 + salt).wrapping_mul(0x9e37_79b9_7f4a_7c15).wrapping_mul(salt | 1);
+    let key = |salt: u64| {
+        (n as u64 + salt)
+            .wrapping_mul(0x9e37_79b9_7f4a_7c15)
+            .wrapping_mul(salt | 1)
+    };
     format!(
         r#"{{"name":"t{n:06}","api_keys":["k{:016x}{:04x}","k{:016x}{:04x}"],"priority":1,"rate_per_s":115,"burst":115,"serving_regions":[],"config_version":"r{version}"}}"#,
         key(1),
@@ -113,14 +137,18 @@
     let mut receiver = Receiver::default();
     let mut arrivals: BTreeMap<(u64, usize), (To, Vec<u8>)> = BTreeMap::new();
     let mut now = 0.0;
-    let mut outgoing = vec![pack(&Message::Transfer(receiver.begin(held, Duration::ZERO)))];
+    let mut outgoing = vec![pack(&Message::Transfer(
+        receiver.begin(held, Duration::ZERO),
+    ))];
     loop {
         for bytes in outgoing.drain(..) {
             let at = cost.up.arrival(now, bytes.len(), round_trip / 2.0);
             cost.messages += 1;
             arrivals.insert(((at * 1e9) as u64, cost.messages), (To::Provider, bytes));
         }
-        let Some(((at, _), (to, bytes))) = arrivals.pop_first() else { break };
+        let Some(((at, _), (to, bytes))) = arrivals.pop_first() else {
+            break;
+        };
         now = at as f64 / 1e9;
         cost.seconds = now;
         match to {
@@ -134,15 +162,20 @@
                 arrivals.insert(((at * 1e9) as u64, cost.messages), (To::Receiver, bytes));
             }
             To::Receiver => {
-                let received = cost.receive(|| receiver.receive(held, read(&bytes), Duration::ZERO));
+                let received =
+                    cost.receive(|| receiver.receive(held, read(&bytes), Duration::ZERO));
                 let requests = cost.receive(|| {
                     received.items.into_iter().for_each(|item| {
                         held.merge(item);
                     });
                     receiver.requests(held)
                 });
-                outgoing =
-                    cost.receive(|| requests.into_iter().map(|m| pack(&Message::Transfer(m))).collect());
+                outgoing = cost.receive(|| {
+                    requests
+                        .into_iter()
+                        .map(|m| pack(&Message::Transfer(m)))
+                        .collect()
+                });
             }
         }
     }
@@ -160,14 +193,25 @@
 fn measure(items: usize, missed: Option<usize>, round_trip: f64) {
     let mut provider = ConfigSnapshot::default();
     (0..items).for_each(|n| provider.set(item(n, 1)));
-    let mut held = if missed.is_some() { provider.clone() } else { ConfigSnapshot::default() };
+    let mut held = if missed.is_some() {
+        provider.clone()
+    } else {
+        ConfigSnapshot::default()
+    };
     let missed = missed.unwrap_or(items);
     if !held.items().is_empty() {
         // Spread over all items.
         (0..missed).for_each(|n| provider.set(item(n * items / missed, 2)));
     }
-    let case = if held.items().is_empty() { "fresh" } else { "missed" };
-    let all = pack(&Message::Decided { items: provider.items().values().cloned().collect(), whole: true });
+    let case = if held.items().is_empty() {
+        "fresh"
+    } else {
+        "missed"
+    };
+    let all = pack(&Message::Decided {
+        items: provider.items().values().cloned().collect(),
+        whole: true,
+    });
     let whole_list = all.len();
     drop(all);
     let cost = transfer(&provider, &mut held, round_trip);
@@ -193,7 +237,10 @@
     for round_trip in [0.001, 0.110] {
         for items in [100, 1_000, 10_000, 110_000] {
             measure(items, None, round_trip);
-            for missed in [10, 100, 1_000, 10_000].into_iter().filter(|missed| *missed <= items) {
+            for missed in [10, 100, 1_000, 10_000]
+                .into_iter()
+                .filter(|missed| *missed <= items)
+            {
                 measure(items, Some(missed), round_trip);
             }
         }
--- a/crates/control/examples/tombstones.rs
+++ b/crates/control/examples/tombstones.rs
@@ -12,9 +12,20 @@
 static ALLOCATOR: Cap<System> = Cap::new(System, usize::MAX);
 
 fn tombstone(number: usize) -> Item {
-    let ballot = Ballot { round: number as u64, writer: 7 };
-    let key = Key { kind: Kind::Tenant, name: format!("t{:07}", number) };
-    Item { key, version: 2 + number as u64 % 9, ballot, body: None }
+    let ballot = Ballot {
+        round: number as u64,
+        writer: 7,
+    };
+    let key = Key {
+        kind: Kind::Tenant,
+        name: format!("t{:07}", number),
+    };
+    Item {
+        key,
+        version: 2 + number as u64 % 9,
+        ballot,
+        body: None,
+    }
 }
 
 /// Bytes of messages in which a fresh receiver catches up.
--- a/crates/control/src/contact.rs
+++ b/crates/control/src/contact.rs
@@ -51,7 +51,9 @@
 
     /// Time passed: whom to ask now, and by which number.
     pub fn tick(&mut self, now: Duration) -> Vec<(Ip, u64)> {
-        let Some(voters) = &self.voters else { return vec![] };
+        let Some(voters) = &self.voters else {
+            return vec![];
+        };
         if now < self.next_probe {
             return vec![];
         }
@@ -60,7 +62,12 @@
         let number = self.next_number | PROBE_MARK;
         self.asked.insert(number, now);
         self.asked.retain(|_, sent| now < *sent + CONTACT_BOUND);
-        voters.voters().iter().filter(|ip| **ip != self.me).map(|ip| (*ip, number)).collect()
+        voters
+            .voters()
+            .iter()
+            .filter(|ip| **ip != self.me)
+            .map(|ip| (*ip, number))
+            .collect()
     }
 
     /// An answer to a question came.
@@ -74,8 +81,17 @@
 
     /// How long ago a majority was last heard of; none: never.
     pub fn age(&self, now: Duration) -> Option<Duration> {
-        let time_of = |ip: Ip| if ip == self.me { Some(now) } else { self.answered.get(&ip).copied() };
-        self.voters.as_ref()?.majority_time(time_of).map(|at| now.saturating_sub(at))
+        let time_of = |ip: Ip| {
+            if ip == self.me {
+                Some(now)
+            } else {
+                self.answered.get(&ip).copied()
+            }
+        };
+        self.voters
+            .as_ref()?
+            .majority_time(time_of)
+            .map(|at| now.saturating_sub(at))
     }
 
     pub fn is_in_contact(&self, now: Duration) -> bool {
--- a/crates/control/src/items.rs
+++ b/crates/control/src/items.rs
@@ -32,8 +32,11 @@
 }
 
 /// Lists of a call, and the kind of their items.
-const LISTS: [(&str, Kind); 3] =
-    [("route_list", Kind::Route), ("tenant_list", Kind::Tenant), ("service_list", Kind::Service)];
+const LISTS: [(&str, Kind); 3] = [
+    ("route_list", Kind::Route),
+    ("tenant_list", Kind::Tenant),
+    ("service_list", Kind::Service),
+];
 
 /// Lists of a call of staff's.
 const COPIES: [(&str, Kind); 1] = [("copy_list", Kind::Copy)];
@@ -105,7 +108,9 @@
         }
         let mut items = Vec::new();
         if let Some(set) = all.get("upserts") {
-            let set = set.as_object().ok_or_else(|| Invalid::Unreadable("upserts: not an object".into()))?;
+            let set = set
+                .as_object()
+                .ok_or_else(|| Invalid::Unreadable("upserts: not an object".into()))?;
             for (list, v) in set.iter() {
                 if list == "limits" && lists == LISTS {
                     items.push(Self::item(Kind::Limits, v, false)?);
@@ -118,8 +123,9 @@
             }
         }
         if let Some(drop) = all.get("removals") {
-            let drop =
-                drop.as_object().ok_or_else(|| Invalid::Unreadable("removals: not an object".into()))?;
+            let drop = drop
+                .as_object()
+                .ok_or_else(|| Invalid::Unreadable("removals: not an object".into()))?;
             for (list, v) in drop.iter() {
                 let (kind, all) = Self::list(list, v, lists)?;
                 for v in all {
@@ -130,20 +136,41 @@
         Ok(Change { items })
     }
 
-    fn list<'a>(name: &str, v: &'a Value, lists: &[(&str, Kind)]) -> Result<(Kind, &'a Vec<Value>), Invalid> {
+    fn list<'a>(
+        name: &str,
+        v: &'a Value,
+        lists: &[(&str, Kind)],
+    ) -> Result<(Kind, &'a Vec<Value>), Invalid> {
         let kind = lists.iter().find(|l| l.0 == name).map(|l| l.1);
         let kind = kind.ok_or_else(|| Invalid::Unreadable(format!("{name}: no such list")))?;
-        Ok((kind, v.as_array().ok_or_else(|| Invalid::Unreadable(format!("{name}: not a list")))?))
+        Ok((
+            kind,
+            v.as_array()
+                .ok_or_else(|| Invalid::Unreadable(format!("{name}: not a list")))?,
+        ))
     }
 
     fn item(kind: Kind, v: &Value, drop: bool) -> Result<Item, Invalid> {
-        let name = if kind == Kind::Limits { Some("limits") } else { v.get("name").and_then(|n| n.as_str()) };
+        let name = if kind == Kind::Limits {
+            Some("limits")
+        } else {
+            v.get("name").and_then(|n| n.as_str())
+        };
         let name = name.ok_or_else(|| Invalid::Unreadable("an item has no name".into()))?;
-        let version = version(v.get("config_version"))
-            .ok_or_else(|| Invalid::Item(name.into(), "config_version: not `r` and a number".into()))?;
-        let key = Key { kind, name: name.into() };
+        let version = version(v.get("config_version")).ok_or_else(|| {
+            Invalid::Item(name.into(), "config_version: not `r` and a number".into())
+        })?;
+        let key = Key {
+            kind,
+            name: name.into(),
+        };
         let body = (!drop).then(|| text(v));
-        Ok(Item { key, version, ballot: Ballot::default(), body })
+        Ok(Item {
+            key,
+            version,
+            ballot: Ballot::default(),
+            body,
+        })
     }
 }
 
@@ -220,7 +247,11 @@
     pub fn news(&self, change: &Change) -> Vec<Item> {
         let mut out = ConfigSnapshot::default();
         for item in &change.items {
-            if self.items.get(&item.key).is_none_or(|known| known.version < item.version) {
+            if self
+                .items
+                .get(&item.key)
+                .is_none_or(|known| known.version < item.version)
+            {
                 out.merge(item.clone());
             }
         }
@@ -234,7 +265,11 @@
 
     /// The same by group of parts.
     pub fn digests(&self) -> Vec<u32> {
-        self.index.group_sums().iter().map(|sum| (sum ^ sum >> 32) as u32).collect()
+        self.index
+            .group_sums()
+            .iter()
+            .map(|sum| (sum ^ sum >> 32) as u32)
+            .collect()
     }
 
     /// Items of the groups of parts whose digests are not these.
@@ -246,7 +281,9 @@
     }
 
     pub fn standing(&self, kind: Kind) -> impl Iterator<Item = &Item> {
-        self.items.values().filter(move |i| i.key.kind == kind && i.body.is_some())
+        self.items
+            .values()
+            .filter(move |i| i.key.kind == kind && i.body.is_some())
     }
 
     /// Whether the whole is one that may be in force.
@@ -259,19 +296,31 @@
         for item in self.standing(Kind::Service) {
             let v = item.value()?;
             if v.get("health_path").is_some_and(|p| !p.is_str()) {
-                return Err(Invalid::Item(item.key.name.clone(), "health_path: not a text".into()));
+                return Err(Invalid::Item(
+                    item.key.name.clone(),
+                    "health_path: not a text".into(),
+                ));
             }
         }
         for item in self.standing(Kind::Route) {
             let (route, name) = (Route::read(item)?, &item.key.name);
             for (service, _) in &route.to {
-                let known = self.items.get(&Key { kind: Kind::Service, name: service.clone() });
+                let known = self.items.get(&Key {
+                    kind: Kind::Service,
+                    name: service.clone(),
+                });
                 if known.is_none_or(|s| s.body.is_none()) {
-                    return Err(Invalid::Item(name.clone(), format!("target_service: no `{service}`")));
+                    return Err(Invalid::Item(
+                        name.clone(),
+                        format!("target_service: no `{service}`"),
+                    ));
                 }
             }
             if let Some(other) = places.insert((route.host, route.prefix), name) {
-                return Err(Invalid::Item(name.clone(), format!("host and prefix are those of `{other}`")));
+                return Err(Invalid::Item(
+                    name.clone(),
+                    format!("host and prefix are those of `{other}`"),
+                ));
             }
         }
         for item in self.standing(Kind::Tenant) {
@@ -280,7 +329,10 @@
                 if let Some(other) = keys.insert(key, &item.key.name)
                     && other != &item.key.name
                 {
-                    return Err(Invalid::Item(item.key.name.clone(), format!("a key is that of `{other}`")));
+                    return Err(Invalid::Item(
+                        item.key.name.clone(),
+                        format!("a key is that of `{other}`"),
+                    ));
                 }
             }
         }
@@ -303,7 +355,10 @@
     fn show_lists(&self, lists: &[(&str, Kind)]) -> Vec<u8> {
         let mut out = Vec::from(b"{");
         for (n, (list, kind)) in lists.iter().copied().enumerate() {
-            let bodies: Vec<&[u8]> = self.standing(kind).filter_map(|i| i.body.as_deref()).collect();
+            let bodies: Vec<&[u8]> = self
+                .standing(kind)
+                .filter_map(|i| i.body.as_deref())
+                .collect();
             out.extend_from_slice(if n > 0 { b",\"" } else { b"\"" });
             out.extend_from_slice(list.as_bytes());
             out.extend_from_slice(b"\":[");
@@ -352,7 +407,8 @@
     /// # Errors
     /// Where its text is no JSON.
     pub fn value(&self) -> Result<Value, Invalid> {
-        parse(self.body.clone().unwrap_or_default()).map_err(|e| Invalid::Item(self.key.name.clone(), e))
+        parse(self.body.clone().unwrap_or_default())
+            .map_err(|e| Invalid::Item(self.key.name.clone(), e))
     }
 }
 
@@ -414,14 +470,15 @@
 
     fn text(&self, field: &str) -> Result<String, Invalid> {
         let v = self.1.get(field).and_then(|v| v.as_str());
-        Ok(v.ok_or_else(|| self.wrong(field, "not a text"))?.to_string())
+        Ok(v.ok_or_else(|| self.wrong(field, "not a text"))?
+            .to_string())
     }
 
     fn count(&self, field: &str) -> Result<u64, Invalid> {
-        let v = self
-            .1
-            .get(field)
-            .and_then(|v| v.as_u64().or_else(|| v.as_f64().filter(|f| *f >= 0.0).map(|f| f as u64)));
+        let v = self.1.get(field).and_then(|v| {
+            v.as_u64()
+                .or_else(|| v.as_f64().filter(|f| *f >= 0.0).map(|f| f as u64))
+        });
         v.ok_or_else(|| self.wrong(field, "not a whole number"))
     }
 
@@ -430,9 +487,10 @@
         match self.1.get(field) {
             None => Ok(0.0),
             Some(v) if v.is_null() => Ok(0.0),
-            Some(v) => {
-                v.cast_f64().filter(|n| *n >= 0.0).ok_or_else(|| self.wrong(field, "not a number from 0 on"))
-            }
+            Some(v) => v
+                .cast_f64()
+                .filter(|n| *n >= 0.0)
+                .ok_or_else(|| self.wrong(field, "not a number from 0 on")),
         }
     }
 
@@ -441,7 +499,10 @@
             None => Ok(Vec::new()),
             Some(v) if v.is_null() => Ok(Vec::new()),
             Some(v) => {
-                let all = v.as_array().ok_or_else(|| self.wrong(field, "not a list"))?.iter();
+                let all = v
+                    .as_array()
+                    .ok_or_else(|| self.wrong(field, "not a list"))?
+                    .iter();
                 let all: Option<_> = all.map(|t| Some(t.as_str()?.to_string())).collect();
                 all.ok_or_else(|| self.wrong(field, "not a list of texts"))
             }
@@ -462,7 +523,9 @@
         };
         let to = match of.1.get("traffic_split").filter(|s| !s.is_null()) {
             Some(split) => {
-                let all = split.as_array().ok_or_else(|| of.wrong("traffic_split", "not a list"))?;
+                let all = split
+                    .as_array()
+                    .ok_or_else(|| of.wrong("traffic_split", "not a list"))?;
                 let part = |p: &Value| {
                     let weight = p.get("weight")?.cast_f64().filter(|w| *w >= 0.0)?;
                     Some((p.get("target_service")?.as_str()?.to_string(), weight))
@@ -497,7 +560,11 @@
             priority: of.1.get("priority").and_then(|p| p.as_i64()).unwrap_or(0),
             to,
             attempts: of.number("max_attempts")? as u32,
-            open: of.1.get("public_access").and_then(|p| p.as_bool()).unwrap_or(false),
+            open: of
+                .1
+                .get("public_access")
+                .and_then(|p| p.as_bool())
+                .unwrap_or(false),
             homes: of.texts("serving_regions")?,
         })
     }
@@ -525,7 +592,11 @@
     pub fn read(item: &Item) -> Result<Self, Invalid> {
         let of = Of(item, item.value()?);
         let (cold_rate, connections) = (of.number("cold_rate_s")?, of.number("max_connections")?);
-        Ok(Service { name: item.key.name.clone(), cold_rate, connections })
+        Ok(Service {
+            name: item.key.name.clone(),
+            cold_rate,
+            connections,
+        })
     }
 }
 
@@ -534,6 +605,9 @@
     /// The first field that is missing or wrong.
     pub fn read(item: &Item) -> Result<Self, Invalid> {
         let of = Of(item, item.value()?);
-        Ok(Limits { header_ms: of.count("header_timeout_ms")?, idle_ms: of.count("idle_timeout_ms")? })
+        Ok(Limits {
+            header_ms: of.count("header_timeout_ms")?,
+            idle_ms: of.count("idle_timeout_ms")?,
+        })
     }
 }
--- a/crates/control/src/lease.rs
+++ b/crates/control/src/lease.rs
@@ -114,7 +114,9 @@
 impl Claim {
     fn until(&self, voters: &VoterSet) -> Option<Duration> {
         let granted = voters.majority_time(|ip| self.grants.get(&ip).copied());
-        granted.map(|sent| sent + LEASE - MARGIN).max(self.carried_until)
+        granted
+            .map(|sent| sent + LEASE - MARGIN)
+            .max(self.carried_until)
     }
 }
 
@@ -213,7 +215,9 @@
 
     /// Whether this registry may claim and grant.
     fn is_current(&self, now: Duration) -> bool {
-        let confirmed = self.confirmed_at.is_some_and(|at| now < at + EPOCH_WORD_VALID);
+        let confirmed = self
+            .confirmed_at
+            .is_some_and(|at| now < at + EPOCH_WORD_VALID);
         confirmed && self.highest_epoch == self.epoch() && now >= self.abstains_until
     }
 
@@ -224,19 +228,25 @@
     /// The term by which this registry holds the lease now.
     pub fn holds(&self, now: Duration) -> Option<u64> {
         let claim = self.claim.as_ref()?;
-        self.until().filter(|until| now < *until).map(|_| claim.term)
+        self.until()
+            .filter(|until| now < *until)
+            .map(|_| claim.term)
     }
 
     /// Who holds the lease as far as known here.
     pub fn holder(&self, now: Duration) -> Option<(Ip, u64)> {
         match self.holds(now) {
             Some(term) => Some((self.me, term)),
-            None => self.vote.filter(|v| now < v.until && v.candidate != self.me).and(self.last_holder),
+            None => self
+                .vote
+                .filter(|v| now < v.until && v.candidate != self.me)
+                .and(self.last_holder),
         }
     }
 
     fn is_bound_to_other(&self, candidate: Ip, now: Duration) -> bool {
-        self.vote.is_some_and(|v| now < v.until && v.candidate != candidate)
+        self.vote
+            .is_some_and(|v| now < v.until && v.candidate != candidate)
     }
 
     /// Gives up its claim, and its vote for itself. A term by which it never held the lease it may grant to another that
@@ -269,10 +279,21 @@
             self.term += 1;
             let (term, started) = (self.term, now);
             let (sent, grants) = (Vec::new(), BTreeMap::new());
-            self.claim = Some(Claim { term, started, next: now, sent, grants, carried_until: None });
+            self.claim = Some(Claim {
+                term,
+                started,
+                next: now,
+                sent,
+                grants,
+                carried_until: None,
+            });
         }
         let has_majority = self.until().is_some();
-        if self.claim.as_ref().is_some_and(|c| !has_majority && now > c.started + CLAIM_TIMEOUT) {
+        if self
+            .claim
+            .as_ref()
+            .is_some_and(|c| !has_majority && now > c.started + CLAIM_TIMEOUT)
+        {
             // Given up, so that another's may come through.
             self.drop_claim(now + BACKOFF);
             return None;
@@ -283,8 +304,12 @@
     /// Waits longer with each place in the order of the candidates, of which the last holder is none.
     fn candidate_delay(&self, alive: &[Ip]) -> Duration {
         let last = self.last_holder.map(|h| h.0);
-        let is_candidate = |ip: Ip| self.voters.as_ref().is_some_and(|v| v.contains(ip)) && Some(ip) != last;
-        let before = alive.iter().filter(|ip| **ip < self.me && is_candidate(**ip)).count();
+        let is_candidate =
+            |ip: Ip| self.voters.as_ref().is_some_and(|v| v.contains(ip)) && Some(ip) != last;
+        let before = alive
+            .iter()
+            .filter(|ip| **ip < self.me && is_candidate(**ip))
+            .count();
         CANDIDATE_DELAY * before as u32
     }
 
@@ -301,19 +326,37 @@
         claim.grants.insert(me, now);
         let term = claim.term;
         self.is_named_successor = false;
-        self.vote = Some(Vote { candidate: me, until: now + LEASE });
+        self.vote = Some(Vote {
+            candidate: me,
+            until: now + LEASE,
+        });
         self.last_holder = Some((me, term));
-        Some(LeaseMessage::Claim { epoch, term, sent_us })
+        Some(LeaseMessage::Claim {
+            epoch,
+            term,
+            sent_us,
+        })
     }
 
     /// A message of another registry: what to answer.
-    pub fn receive(&mut self, from: Ip, message: &LeaseMessage, now: Duration) -> Option<LeaseMessage> {
+    pub fn receive(
+        &mut self,
+        from: Ip,
+        message: &LeaseMessage,
+        now: Duration,
+    ) -> Option<LeaseMessage> {
         self.observe_epoch(message.epoch());
         match *message {
-            LeaseMessage::Claim { epoch, term, sent_us } => {
-                Some(self.receive_claim(from, epoch, term, sent_us, now))
-            }
-            LeaseMessage::Grant { epoch, term, sent_us } => {
+            LeaseMessage::Claim {
+                epoch,
+                term,
+                sent_us,
+            } => Some(self.receive_claim(from, epoch, term, sent_us, now)),
+            LeaseMessage::Grant {
+                epoch,
+                term,
+                sent_us,
+            } => {
                 self.receive_grant(from, epoch, term, Duration::from_micros(sent_us));
                 None
             }
@@ -323,7 +366,8 @@
             }
             LeaseMessage::Yield { epoch, term, to } => {
                 if epoch == self.epoch() && self.last_holder == Some((from, term)) {
-                    (self.vote, self.idle_since, self.is_named_successor) = (None, now, to == self.me);
+                    (self.vote, self.idle_since, self.is_named_successor) =
+                        (None, now, to == self.me);
                 }
                 None
             }
@@ -339,25 +383,40 @@
         now: Duration,
     ) -> LeaseMessage {
         // A term belongs to one candidate: by it late acts of an earlier holder are told.
-        let is_free =
-            self.last_holder.is_none_or(|(ip, granted)| term > granted || (ip, granted) == (from, term));
+        let is_free = self
+            .last_holder
+            .is_none_or(|(ip, granted)| term > granted || (ip, granted) == (from, term));
         let is_known = epoch == self.epoch() && self.is_current(now);
         if !is_known || self.is_bound_to_other(from, now) || !is_free || term < self.term {
-            return LeaseMessage::Refuse { epoch: self.highest_epoch, term: self.term };
+            return LeaseMessage::Refuse {
+                epoch: self.highest_epoch,
+                term: self.term,
+            };
         }
         // A later term by another: this registry's own claim is over.
         self.claim = None;
         self.term = term;
-        self.vote = Some(Vote { candidate: from, until: now + LEASE });
+        self.vote = Some(Vote {
+            candidate: from,
+            until: now + LEASE,
+        });
         self.last_holder = Some((from, term));
-        LeaseMessage::Grant { epoch, term, sent_us }
+        LeaseMessage::Grant {
+            epoch,
+            term,
+            sent_us,
+        }
     }
 
     fn receive_grant(&mut self, from: Ip, epoch: u64, term: u64, sent: Duration) {
         if epoch != self.epoch() {
             return;
         }
-        if let Some(claim) = self.claim.as_mut().filter(|c| c.term == term && c.sent.contains(&sent)) {
+        if let Some(claim) = self
+            .claim
+            .as_mut()
+            .filter(|c| c.term == term && c.sent.contains(&sent))
+        {
             let granted = claim.grants.entry(from).or_insert(sent);
             *granted = sent.max(*granted);
         }
@@ -368,7 +427,11 @@
         self.term = self.term.max(term);
         // Behind: the next claim is above it, once whoever has that term has had the time to be heard. One who holds by that
         // very term is not behind.
-        if self.claim.as_ref().is_some_and(|c| c.term < term || (c.term == term && held.is_none())) {
+        if self
+            .claim
+            .as_ref()
+            .is_some_and(|c| c.term < term || (c.term == term && held.is_none()))
+        {
             // Who held it claims anew at once: the other voters are bound to it.
             self.drop_claim(if held.is_some() { now } else { now + LEASE });
         }
@@ -387,7 +450,9 @@
     pub fn leave(&mut self, now: Duration, alive: &[Ip]) -> Option<LeaseMessage> {
         let term = self.holds(now)?;
         let voters = self.voters.as_ref()?;
-        let to = *alive.iter().find(|ip| **ip != self.me && voters.contains(**ip))?;
+        let to = *alive
+            .iter()
+            .find(|ip| **ip != self.me && voters.contains(**ip))?;
         let epoch = voters.epoch;
         (self.claim, self.abstains_until) = (None, Duration::MAX);
         Some(LeaseMessage::Yield { epoch, term, to })
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -30,7 +30,8 @@
     };
     logforth::starter_log::builder()
         .dispatch(|d| {
-            d.filter(LevelFilter::MoreSevereEqual(level)).append(logforth::append::Stderr::default())
+            d.filter(LevelFilter::MoreSevereEqual(level))
+                .append(logforth::append::Stderr::default())
         })
         .apply();
 }
@@ -63,12 +64,18 @@
 ) -> ExitCode {
     let words = words.to_options().descr(about).run();
     logs();
-    let outcome = Settings::read().map_err(|e| e.to_string()).and_then(|settings| {
-        // One core, one thread.
-        let options = tokio::runtime::LocalOptions::default();
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build_local(options);
-        runtime.map_err(|e| format!("runtime: {e}"))?.block_on(run(settings, words))
-    });
+    let outcome = Settings::read()
+        .map_err(|e| e.to_string())
+        .and_then(|settings| {
+            // One core, one thread.
+            let options = tokio::runtime::LocalOptions::default();
+            let runtime = tokio::runtime::Builder::new_current_thread()
+                .enable_all()
+                .build_local(options);
+            runtime
+                .map_err(|e| format!("runtime: {e}"))?
+                .block_on(run(settings, words))
+        });
     match outcome {
         Ok(()) => ExitCode::SUCCESS,
         Err(what) => {
--- a/crates/control/src/link.rs
+++ b/crates/control/src/link.rs
@@ -92,7 +92,9 @@
     stream.set_nodelay(true).ok();
     let socket = SockRef::from(stream);
     socket.set_tcp_user_timeout(Some(SILENT)).ok();
-    let probes = TcpKeepalive::new().with_time(Duration::from_secs(1)).with_interval(Duration::from_secs(1));
+    let probes = TcpKeepalive::new()
+        .with_time(Duration::from_secs(1))
+        .with_interval(Duration::from_secs(1));
     socket.set_tcp_keepalive(&probes.with_retries(2)).ok();
 }
 
@@ -156,7 +158,10 @@
             return Err(format!("a message of {length} bytes"));
         }
         let mut bytes = vec![0; length];
-        self.0.read_exact(&mut bytes).await.map_err(|e| e.to_string())?;
+        self.0
+            .read_exact(&mut bytes)
+            .await
+            .map_err(|e| e.to_string())?;
         tell_observer(Direction::In, &bytes);
         Ok(bytes)
     }
--- a/crates/control/src/membership.rs
+++ b/crates/control/src/membership.rs
@@ -95,8 +95,12 @@
 
     /// Those that are not held for dead, this one among them.
     pub fn alive(&self) -> Vec<Ip> {
-        let mut out: Vec<Ip> =
-            self.all.iter().filter(|(_, m)| m.state != MemberState::Dead).map(|(ip, _)| *ip).collect();
+        let mut out: Vec<Ip> = self
+            .all
+            .iter()
+            .filter(|(_, m)| m.state != MemberState::Dead)
+            .map(|(ip, _)| *ip)
+            .collect();
         out.push(self.me);
         out.sort_unstable();
         out
@@ -114,14 +118,27 @@
     /// What to say along to that one: of itself, of whoever changed, and what is held of the one it goes to, which
     /// alone can clear itself.
     pub fn updates(&mut self, to: Ip) -> Vec<MemberUpdate> {
-        let mut out = vec![MemberUpdate { ip: self.me, number: self.number, state: MemberState::Alive }];
+        let mut out = vec![MemberUpdate {
+            ip: self.me,
+            number: self.number,
+            state: MemberState::Alive,
+        }];
         let held = self.all.get(&to).filter(|m| m.state != MemberState::Alive);
-        out.extend(held.map(|m| MemberUpdate { ip: to, number: m.number, state: m.state }));
-        let mut fresh: Vec<(&Ip, &mut Member)> = self.all.iter_mut().filter(|(_, m)| m.tells > 0).collect();
+        out.extend(held.map(|m| MemberUpdate {
+            ip: to,
+            number: m.number,
+            state: m.state,
+        }));
+        let mut fresh: Vec<(&Ip, &mut Member)> =
+            self.all.iter_mut().filter(|(_, m)| m.tells > 0).collect();
         fresh.sort_by_key(|(_, m)| std::cmp::Reverse(m.tells));
         for (ip, m) in fresh.into_iter().take(MAX_UPDATES) {
             m.tells -= 1;
-            out.push(MemberUpdate { ip: *ip, number: m.number, state: m.state });
+            out.push(MemberUpdate {
+                ip: *ip,
+                number: m.number,
+                state: m.state,
+            });
         }
         out
     }
@@ -135,11 +152,20 @@
         }
         let tells = TELLS;
         let known = self.all.get(&r.ip).map(|m| (m.number, m.state));
-        if known.is_some_and(|k| k >= (r.number, r.state)) || known.is_none() && r.state == MemberState::Dead
+        if known.is_some_and(|k| k >= (r.number, r.state))
+            || known.is_none() && r.state == MemberState::Dead
         {
             return None;
         }
-        self.all.insert(r.ip, Member { number: r.number, state: r.state, since: now, tells });
+        self.all.insert(
+            r.ip,
+            Member {
+                number: r.number,
+                state: r.state,
+                since: now,
+                tells,
+            },
+        );
         (known.map(|k| k.1) != Some(r.state)).then_some((r.ip, r.state))
     }
 
@@ -155,7 +181,10 @@
         let out = match *what {
             GossipBody::Ping { no } => vec![(from, GossipBody::Pong { no })],
             GossipBody::Pong { no } => match self.probes.remove(&no) {
-                Some(Probe { behalf: Some((asker, number)), .. }) => {
+                Some(Probe {
+                    behalf: Some((asker, number)),
+                    ..
+                }) => {
                     vec![(asker, GossipBody::Pong { no: number })]
                 }
                 Some(probe) => {
@@ -185,7 +214,15 @@
 
     fn probe(&mut self, whom: Ip, now: Duration, behalf: Option<(Ip, u64)>) -> u64 {
         self.next_no += 1;
-        self.probes.insert(self.next_no, Probe { whom, at: now, asked: false, behalf });
+        self.probes.insert(
+            self.next_no,
+            Probe {
+                whom,
+                at: now,
+                asked: false,
+                behalf,
+            },
+        );
         self.next_no
     }
 
@@ -215,7 +252,11 @@
                 let others = alive.iter().filter(|a| **a != self.me && **a != whom);
                 let others: Vec<Ip> = others.copied().collect();
                 let from = self.turn % others.len().max(1);
-                let few = others.iter().cycle().skip(from).take(OPINIONS.min(others.len()));
+                let few = others
+                    .iter()
+                    .cycle()
+                    .skip(from)
+                    .take(OPINIONS.min(others.len()));
                 out.extend(few.map(|o| (*o, GossipBody::Second { no, whom })));
             }
         }
@@ -225,7 +266,8 @@
                 changes.push((*ip, MemberState::Dead));
             }
         }
-        self.all.retain(|_, m| m.state != MemberState::Dead || now < m.since + FORGET);
+        self.all
+            .retain(|_, m| m.state != MemberState::Dead || now < m.since + FORGET);
         if now >= self.next {
             self.next = now + EVERY;
             self.rounds += 1;
@@ -236,9 +278,17 @@
                 let no = self.probe(whom, now, None);
                 out.push((whom, GossipBody::Ping { no }));
             }
-            let mut lost: Vec<Ip> =
-                self.all.iter().filter(|(_, m)| m.state == MemberState::Dead).map(|(ip, _)| *ip).collect();
-            lost.extend(self.seeds.iter().filter(|s| !live.contains(s) && !self.all.contains_key(*s)));
+            let mut lost: Vec<Ip> = self
+                .all
+                .iter()
+                .filter(|(_, m)| m.state == MemberState::Dead)
+                .map(|(ip, _)| *ip)
+                .collect();
+            lost.extend(
+                self.seeds
+                    .iter()
+                    .filter(|s| !live.contains(s) && !self.all.contains_key(*s)),
+            );
             if !lost.is_empty() && (live.is_empty() || self.rounds.is_multiple_of(REVISIT)) {
                 for whom in lost {
                     let no = self.probe(whom, now, None);
@@ -259,7 +309,11 @@
     }
 
     /// Registries with datagrams of 30 ms; `lost` says which way is cut when.
-    fn play(all: &mut BTreeMap<Ip, Members>, lost: &dyn Fn(Ip, Ip, u64) -> bool, ms: std::ops::Range<u64>) {
+    fn play(
+        all: &mut BTreeMap<Ip, Members>,
+        lost: &dyn Fn(Ip, Ip, u64) -> bool,
+        ms: std::ops::Range<u64>,
+    ) {
         let mut mail: Vec<(u64, Ip, Ip, GossipBody, Vec<MemberUpdate>)> = Vec::new();
         for t in ms.step_by(10) {
             let ips: Vec<Ip> = all.keys().copied().collect();
@@ -289,17 +343,30 @@
 
     fn six() -> BTreeMap<Ip, Members> {
         let ips: Vec<Ip> = (1..=6).map(|i| [10, 0, 0, i]).collect();
-        ips.iter().map(|ip| (*ip, Members::new(*ip, ips[..3].to_vec(), at(0)))).collect()
+        ips.iter()
+            .map(|ip| (*ip, Members::new(*ip, ips[..3].to_vec(), at(0))))
+            .collect()
     }
 
     #[test]
-    fn all_find_each_other_from_three_seeds_and_a_second_opinion_saves_one_that_is_cut_off_from_one() {
+    fn all_find_each_other_from_three_seeds_and_a_second_opinion_saves_one_that_is_cut_off_from_one()
+     {
         let mut all = six();
         play(&mut all, &|_, _, _| false, 0..3000);
-        assert!(all.values().all(|m| m.alive().len() == 6), "not found within 3 s");
+        assert!(
+            all.values().all(|m| m.alive().len() == 6),
+            "not found within 3 s"
+        );
         let (a, b) = ([10, 0, 0, 1], [10, 0, 0, 5]);
-        play(&mut all, &|f, t, _| (f, t) == (a, b) || (f, t) == (b, a), 3000..12_000);
-        assert!(all.values().all(|m| m.alive().len() == 6), "one bad link condemned a registry");
+        play(
+            &mut all,
+            &|f, t, _| (f, t) == (a, b) || (f, t) == (b, a),
+            3000..12_000,
+        );
+        assert!(
+            all.values().all(|m| m.alive().len() == 6),
+            "one bad link condemned a registry"
+        );
     }
 
     #[test]
@@ -308,9 +375,15 @@
         play(&mut all, &|_, _, _| false, 0..3000);
         let side = |ip: Ip| ip[3] <= 2;
         play(&mut all, &|f, t, _| side(f) != side(t), 3000..9000);
-        assert!(all.iter().all(|(ip, m)| m.alive().len() == if side(*ip) { 2 } else { 4 }));
+        assert!(
+            all.iter()
+                .all(|(ip, m)| m.alive().len() == if side(*ip) { 2 } else { 4 })
+        );
         play(&mut all, &|_, _, _| false, 9000..14_000);
-        assert!(all.values().all(|m| m.alive().len() == 6), "the cut healed unseen");
+        assert!(
+            all.values().all(|m| m.alive().len() == 6),
+            "the cut healed unseen"
+        );
     }
 
     #[test]
--- a/crates/control/src/messages.rs
+++ b/crates/control/src/messages.rs
@@ -271,8 +271,13 @@
     pub fn decided(items: Vec<Item>, whole: bool) -> Vec<Message> {
         let mut pieces = split_items(items);
         let last = pieces.pop().unwrap_or_default();
-        let before = pieces.into_iter().map(|items| Message::Decided { items, whole: false });
-        before.chain([Message::Decided { items: last, whole }]).collect()
+        let before = pieces.into_iter().map(|items| Message::Decided {
+            items,
+            whole: false,
+        });
+        before
+            .chain([Message::Decided { items: last, whole }])
+            .collect()
     }
 }
 
--- a/crates/control/src/mirror_rules.rs
+++ b/crates/control/src/mirror_rules.rs
@@ -55,16 +55,25 @@
     /// The first field that is missing or wrong.
     pub fn read(item: &Item) -> Result<Self, Invalid> {
         let v = item.value()?;
-        let wrong = |field: &str, why: &str| Invalid::Item(item.key.name.clone(), format!("{field}: {why}"));
+        let wrong = |field: &str, why: &str| {
+            Invalid::Item(item.key.name.clone(), format!("{field}: {why}"))
+        };
         let text = |field: &str| {
-            let t = v.get(field).and_then(|t| t.as_str()).filter(|t| !t.is_empty());
-            Ok::<_, Invalid>(t.ok_or_else(|| wrong(field, "missing, or not a text"))?.to_string())
+            let t = v
+                .get(field)
+                .and_then(|t| t.as_str())
+                .filter(|t| !t.is_empty());
+            Ok::<_, Invalid>(
+                t.ok_or_else(|| wrong(field, "missing, or not a text"))?
+                    .to_string(),
+            )
         };
         let number = |field: &str, usual: f64| match v.get(field) {
             None => Ok(usual),
-            Some(n) => {
-                n.cast_f64().filter(|n| *n >= 0.0).ok_or_else(|| wrong(field, "not a number from 0 on"))
-            }
+            Some(n) => n
+                .cast_f64()
+                .filter(|n| *n >= 0.0)
+                .ok_or_else(|| wrong(field, "not a number from 0 on")),
         };
         let share = number("share", -1.0)?;
         if !(0.0..=1.0).contains(&share) {
@@ -88,10 +97,12 @@
                 all.iter().map(kind).collect::<Result<_, _>>()?
             }
         };
-        let apart = v.get("trial_keeps_records_apart").and_then(|a| a.as_bool()).unwrap_or(false);
+        let apart = v
+            .get("trial_keeps_records_apart")
+            .and_then(|a| a.as_bool())
+            .unwrap_or(false);
         if !apart && kinds.iter().any(|k| *k != RouteKind::ReadOnly) {
-            let why =
-                "kinds that change records need it to be true: a copy must register nothing a second time";
+            let why = "kinds that change records need it to be true: a copy must register nothing a second time";
             return Err(wrong("trial_keeps_records_apart", why));
         }
         let instance = |i: &Value| {
@@ -99,12 +110,20 @@
             let at = part("address").and_then(|a| a.parse().ok());
             match (part("id"), at, part("region")) {
                 (Some(id), Some(at), Some(region)) => Ok(Trial { id, region, at }),
-                _ => Err(wrong("instances", "`id`, `address` and `region` are wanted of each")),
+                _ => Err(wrong(
+                    "instances",
+                    "`id`, `address` and `region` are wanted of each",
+                )),
             }
         };
         let instances = v.get("instances").and_then(|i| i.as_array());
-        let instances = instances.filter(|i| !i.is_empty()).ok_or_else(|| wrong("instances", "none"))?;
-        let (from_ms, until_ms) = (number("from_ms", 0.0)? as u64, number("until_ms", 0.0)? as u64);
+        let instances = instances
+            .filter(|i| !i.is_empty())
+            .ok_or_else(|| wrong("instances", "none"))?;
+        let (from_ms, until_ms) = (
+            number("from_ms", 0.0)? as u64,
+            number("until_ms", 0.0)? as u64,
+        );
         if until_ms > 0 && until_ms <= from_ms {
             return Err(wrong("until_ms", "not after from_ms"));
         }
@@ -132,10 +151,21 @@
     /// # Errors
     /// The first rule that may not.
     pub fn check_copies(&self) -> Result<(), Invalid> {
-        let rules = self.standing(Kind::Copy).map(Rule::read).collect::<Result<Vec<_>, _>>()?;
+        let rules = self
+            .standing(Kind::Copy)
+            .map(Rule::read)
+            .collect::<Result<Vec<_>, _>>()?;
         for rule in &rules {
-            let wrong = |why: String| Err(Invalid::Item(rule.name.clone(), format!("trial_service: {why}")));
-            if self.standing(Kind::Service).any(|s| s.key.name == rule.trial) {
+            let wrong = |why: String| {
+                Err(Invalid::Item(
+                    rule.name.clone(),
+                    format!("trial_service: {why}"),
+                ))
+            };
+            if self
+                .standing(Kind::Service)
+                .any(|s| s.key.name == rule.trial)
+            {
                 return wrong(format!("`{}` is a real service", rule.trial));
             }
             if rule.service == rule.trial {
@@ -163,13 +193,18 @@
         let mut snapshot = ConfigSnapshot::default();
         let service =
             br#"{"upserts":{"service_list":[{"name":"s","health_path":"/h","config_version":"r1"}]}}"#;
-        let changes = [Change::read(service.to_vec()), Change::read_copies(text.into_bytes())];
+        let changes = [
+            Change::read(service.to_vec()),
+            Change::read_copies(text.into_bytes()),
+        ];
         for change in changes {
             for item in change.expect("reads").items {
                 snapshot.merge(item);
             }
         }
-        snapshot.check_copies().map_or_else(|e| e.to_string(), |()| "valid".into())
+        snapshot
+            .check_copies()
+            .map_or_else(|e| e.to_string(), |()| "valid".into())
     }
 
     #[test]
@@ -177,10 +212,19 @@
         let refused = [
             ("", "valid"),
             (r#""share":1.5,"#, "m: share: not from 0 to 1"),
-            (r#""trial_service":"s","#, "m: trial_service: `s` is a real service"),
+            (
+                r#""trial_service":"s","#,
+                "m: trial_service: `s` is a real service",
+            ),
             (r#""by":"day","#, "m: by: no `day`: `tenant` or `caller`"),
-            (r#""from_ms":9,"until_ms":8,"#, "m: until_ms: not after from_ms"),
-            (r#""kinds":["mutating"],"trial_keeps_records_apart":true,"#, "valid"),
+            (
+                r#""from_ms":9,"until_ms":8,"#,
+                "m: until_ms: not after from_ms",
+            ),
+            (
+                r#""kinds":["mutating"],"trial_keeps_records_apart":true,"#,
+                "valid",
+            ),
             (r#""instances":[],"#, "m: instances: none"),
         ];
         for (more, says) in refused {
--- a/crates/control/src/part_index.rs
+++ b/crates/control/src/part_index.rs
@@ -56,7 +56,9 @@
 
     pub fn remove(&mut self, item: &Item) {
         let id = PartId::of(&item.key);
-        let Some(part) = self.parts.get_mut(&id) else { return };
+        let Some(part) = self.parts.get_mut(&id) else {
+            return;
+        };
         if !part.keys.remove(&item.key) {
             return;
         }
@@ -77,14 +79,21 @@
     }
 
     pub fn part_sums(&self, group: usize) -> impl Iterator<Item = u64> {
-        let sum = move |place| self.parts.get(&PartId::in_group(group, place)).map_or(0, |part| part.sum);
+        let sum = move |place| {
+            self.parts
+                .get(&PartId::in_group(group, place))
+                .map_or(0, |part| part.sum)
+        };
         (0..PARTS_PER_GROUP).map(sum)
     }
 
     /// Keys of a part in order, from behind the one given.
     pub fn keys(&self, part: PartId, after: Option<&Key>) -> impl Iterator<Item = &Key> {
         let start = after.map_or(Bound::Unbounded, Bound::Excluded);
-        let keys = self.parts.get(&part).map(|part| part.keys.range::<Key, _>((start, Bound::Unbounded)));
+        let keys = self
+            .parts
+            .get(&part)
+            .map(|part| part.keys.range::<Key, _>((start, Bound::Unbounded)));
         keys.into_iter().flatten()
     }
 }
--- a/crates/control/src/transfer/mod.rs
+++ b/crates/control/src/transfer/mod.rs
@@ -33,11 +33,24 @@
     /// From the receiver: begins a round.
     Compare { round: u32, group_sums: Vec<u32> },
     /// From the provider: the digest of its snapshot, and the sums of the parts of each group that differs.
-    Differences { round: u32, digest: u64, groups: Vec<GroupSums> },
+    Differences {
+        round: u32,
+        digest: u64,
+        groups: Vec<GroupSums>,
+    },
     /// From the receiver: what is missing of these parts.
-    Request { round: u32, chunk: u32, parts: Vec<PartRequest> },
+    Request {
+        round: u32,
+        chunk: u32,
+        parts: Vec<PartRequest>,
+    },
     /// From the provider: the items missing, up to `stopped`, or all where it is none.
-    Chunk { round: u32, chunk: u32, items: Vec<Item>, stopped: Option<Position> },
+    Chunk {
+        round: u32,
+        chunk: u32,
+        items: Vec<Item>,
+        stopped: Option<Position>,
+    },
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Encode, Decode)]
--- a/crates/control/src/transfer/provider.rs
+++ b/crates/control/src/transfer/provider.rs
@@ -9,10 +9,21 @@
 /// The answer to a receiver's message; none to a provider's.
 pub fn answer(snapshot: &ConfigSnapshot, message: &TransferMessage) -> Option<TransferMessage> {
     match message {
-        TransferMessage::Compare { round, group_sums } => Some(differences(snapshot, *round, group_sums)),
-        TransferMessage::Request { round, chunk, parts } => {
+        TransferMessage::Compare { round, group_sums } => {
+            Some(differences(snapshot, *round, group_sums))
+        }
+        TransferMessage::Request {
+            round,
+            chunk,
+            parts,
+        } => {
             let (items, stopped) = missing_items(snapshot, *round, parts);
-            Some(TransferMessage::Chunk { round: *round, chunk: *chunk, items, stopped })
+            Some(TransferMessage::Chunk {
+                round: *round,
+                chunk: *chunk,
+                items,
+                stopped,
+            })
         }
         TransferMessage::Differences { .. } | TransferMessage::Chunk { .. } => None,
     }
@@ -40,10 +51,18 @@
     let differs = |group: &usize| theirs.get(*group) != Some(&shorten(ours[*group], round));
     let sums = |group: usize| GroupSums {
         group: group as u8,
-        part_sums: snapshot.index().part_sums(group).map(|sum| shorten(sum, round)).collect(),
+        part_sums: snapshot
+            .index()
+            .part_sums(group)
+            .map(|sum| shorten(sum, round))
+            .collect(),
     };
     let groups = (0..GROUPS).filter(differs).map(sums).collect();
-    TransferMessage::Differences { round, digest: snapshot.digest(), groups }
+    TransferMessage::Differences {
+        round,
+        digest: snapshot.digest(),
+        groups,
+    }
 }
 
 fn missing_items(
@@ -57,11 +76,19 @@
         let held: HashSet<u32> = marks.iter().copied().collect();
         let mut after = from.after.as_ref();
         for key in snapshot.index().keys(from.part, from.after.as_ref()) {
-            let missing = snapshot.get(key).filter(|item| !held.contains(&shorten(mark(item), round)));
+            let missing = snapshot
+                .get(key)
+                .filter(|item| !held.contains(&shorten(mark(item), round)));
             if let Some(item) = missing {
                 bytes += item.wire_bytes();
                 if bytes > CHUNK_BYTES && !items.is_empty() {
-                    return (items, Some(Position { part: from.part, after: after.cloned() }));
+                    return (
+                        items,
+                        Some(Position {
+                            part: from.part,
+                            after: after.cloned(),
+                        }),
+                    );
                 }
                 items.push(item.clone());
             }
--- a/crates/control/src/transfer/receiver.rs
+++ b/crates/control/src/transfer/receiver.rs
@@ -57,7 +57,10 @@
         self.last_progress = now;
         let sums = snapshot.index().group_sums().iter();
         let group_sums = sums.map(|sum| shorten(*sum, self.round)).collect();
-        TransferMessage::Compare { round: self.round, group_sums }
+        TransferMessage::Compare {
+            round: self.round,
+            group_sums,
+        }
     }
 
     /// Gives the round up, as when the provider is gone.
@@ -82,9 +85,14 @@
         now: Duration,
     ) -> Received {
         let (items, digest) = match (&mut self.state, message) {
-            (State::Comparing, TransferMessage::Differences { round, digest, groups })
-                if round == self.round =>
-            {
+            (
+                State::Comparing,
+                TransferMessage::Differences {
+                    round,
+                    digest,
+                    groups,
+                },
+            ) if round == self.round => {
                 let fetch = Fetch {
                     digest,
                     waiting: differing_parts(snapshot, round, &groups),
@@ -94,10 +102,18 @@
                 self.state = State::Fetching(fetch);
                 (Vec::new(), digest)
             }
-            (State::Fetching(fetch), TransferMessage::Chunk { round, chunk, items, stopped })
-                if round == self.round =>
-            {
-                let Some(parts) = fetch.in_flight.remove(&chunk) else { return Received::default() };
+            (
+                State::Fetching(fetch),
+                TransferMessage::Chunk {
+                    round,
+                    chunk,
+                    items,
+                    stopped,
+                },
+            ) if round == self.round => {
+                let Some(parts) = fetch.in_flight.remove(&chunk) else {
+                    return Received::default();
+                };
                 fetch.put_back(parts, stopped);
                 (items, fetch.digest)
             }
@@ -111,18 +127,26 @@
     /// Requests that may be sent now; the snapshot holds all items received.
     pub fn requests(&mut self, snapshot: &ConfigSnapshot) -> Vec<TransferMessage> {
         let round = self.round;
-        let State::Fetching(fetch) = &mut self.state else { return Vec::new() };
+        let State::Fetching(fetch) = &mut self.state else {
+            return Vec::new();
+        };
         let mut requests = Vec::new();
         while fetch.in_flight.len() < CHUNKS_IN_FLIGHT && !fetch.waiting.is_empty() {
             let (mut positions, mut parts, mut marks) = (Vec::new(), Vec::new(), 0);
             while parts.len() < PARTS_PER_REQUEST && marks < MARKS_PER_REQUEST {
-                let Some(from) = fetch.waiting.pop_front() else { break };
+                let Some(from) = fetch.waiting.pop_front() else {
+                    break;
+                };
                 let part = part_request(snapshot, round, &from);
                 marks += part.marks.len();
                 parts.push(part);
                 positions.push(from);
             }
-            requests.push(TransferMessage::Request { round, chunk: fetch.next_chunk, parts });
+            requests.push(TransferMessage::Request {
+                round,
+                chunk: fetch.next_chunk,
+                parts,
+            });
             fetch.in_flight.insert(fetch.next_chunk, positions);
             fetch.next_chunk += 1;
         }
@@ -131,8 +155,7 @@
 
     /// Ends the round where nothing is missing any more; says whether it did.
     fn finish(&mut self) -> bool {
-        let done =
-            matches!(&self.state, State::Fetching(f) if f.waiting.is_empty() && f.in_flight.is_empty());
+        let done = matches!(&self.state, State::Fetching(f) if f.waiting.is_empty() && f.in_flight.is_empty());
         if done {
             self.state = State::Idle;
         }
@@ -144,7 +167,10 @@
     /// The parts of a request that its chunk did not complete are asked for again, from where it stopped.
     fn put_back(&mut self, parts: Vec<Position>, stopped: Option<Position>) {
         let Some(stopped) = stopped else { return };
-        let rest = parts.into_iter().skip_while(|position| position.part != stopped.part).skip(1);
+        let rest = parts
+            .into_iter()
+            .skip_while(|position| position.part != stopped.part)
+            .skip(1);
         for position in rest.collect::<Vec<_>>().into_iter().rev() {
             self.waiting.push_front(position);
         }
@@ -152,13 +178,20 @@
     }
 }
 
-fn differing_parts(snapshot: &ConfigSnapshot, round: u32, groups: &[GroupSums]) -> VecDeque<Position> {
+fn differing_parts(
+    snapshot: &ConfigSnapshot,
+    round: u32,
+    groups: &[GroupSums],
+) -> VecDeque<Position> {
     let mut parts = VecDeque::new();
     for GroupSums { group, part_sums } in groups {
         let group = usize::from(*group);
         for (place, ours) in snapshot.index().part_sums(group).enumerate() {
             if part_sums.get(place) != Some(&shorten(ours, round)) {
-                parts.push_back(Position { part: PartId::in_group(group, place), after: None });
+                parts.push_back(Position {
+                    part: PartId::in_group(group, place),
+                    after: None,
+                });
             }
         }
     }
@@ -166,7 +199,13 @@
 }
 
 fn part_request(snapshot: &ConfigSnapshot, round: u32, from: &Position) -> PartRequest {
-    let held = snapshot.index().keys(from.part, from.after.as_ref()).filter_map(|key| snapshot.get(key));
+    let held = snapshot
+        .index()
+        .keys(from.part, from.after.as_ref())
+        .filter_map(|key| snapshot.get(key));
     let marks = held.map(|item| shorten(mark(item), round)).collect();
-    PartRequest { from: from.clone(), marks }
+    PartRequest {
+        from: from.clone(),
+        marks,
+    }
 }
--- a/crates/control/tests/contact.rs
+++ b/crates/control/tests/contact.rs
@@ -17,7 +17,11 @@
 }
 
 /// Plays the first of `n` voters; `reached` says whether a question to that voter is answered. Tells when it was in contact.
-fn play(n: u8, ms: std::ops::Range<u64>, reached: &mut dyn FnMut(Ip, u64) -> bool) -> Vec<(u64, bool)> {
+fn play(
+    n: u8,
+    ms: std::ops::Range<u64>,
+    reached: &mut dyn FnMut(Ip, u64) -> bool,
+) -> Vec<(u64, bool)> {
     let mut contact = Contact::new([10, 0, 0, 1]);
     contact.set_voters(voters(n));
     let (mut answers, mut seen) = (Vec::new(), Vec::new());
@@ -41,11 +45,16 @@
 #[test]
 fn a_cut_ends_contact_within_the_bound_and_joining_brings_it_back_at_once() {
     // Two of six on this side of the cut.
-    let seen = play(6, 0..30_000, &mut |to, t| to[3] <= 2 || !(5000..25_000).contains(&t));
+    let seen = play(6, 0..30_000, &mut |to, t| {
+        to[3] <= 2 || !(5000..25_000).contains(&t)
+    });
     let is = |t: u64| seen.iter().find(|s| s.0 == t).expect("played").1;
     assert!(!is(0) && is(300), "contact takes long at the start");
     assert!(is(4950) && is(7000));
-    assert!(!is(5000 + CONTACT_BOUND.as_millis() as u64) && !is(24_950), "in contact with two of six");
+    assert!(
+        !is(5000 + CONTACT_BOUND.as_millis() as u64) && !is(24_950),
+        "in contact with two of six"
+    );
     assert!(is(25_700), "the cut healed and contact did not");
 }
 
@@ -67,11 +76,15 @@
     contact.set_voters(voters(3));
     let questions = contact.tick(at(200));
     assert_eq!(questions.len(), 2);
-    questions.iter().for_each(|(to, number)| contact.receive_answer(*to, *number));
+    questions
+        .iter()
+        .for_each(|(to, number)| contact.receive_answer(*to, *number));
     assert!(contact.is_in_contact(at(200)));
     // Frozen for ten seconds: answers to old questions, and of those who are no voters, count for nothing.
     assert!(!contact.is_in_contact(at(10_200)));
-    questions.iter().for_each(|(to, number)| contact.receive_answer(*to, *number));
+    questions
+        .iter()
+        .for_each(|(to, number)| contact.receive_answer(*to, *number));
     let (_, number) = contact.tick(at(10_250))[0];
     contact.receive_answer([10, 0, 0, 9], number);
     assert!(!contact.is_in_contact(at(10_250)));
--- a/crates/control/tests/lease.rs
+++ b/crates/control/tests/lease.rs
@@ -16,8 +16,12 @@
 }
 
 fn registries(n: u8) -> Vec<LeaseElection> {
-    let mut all: Vec<LeaseElection> = ips(n).iter().map(|ip| LeaseElection::new(*ip, at(0))).collect();
-    all.iter_mut().for_each(|election| election.set_voters(VoterSet::new(1, ips(n))));
+    let mut all: Vec<LeaseElection> = ips(n)
+        .iter()
+        .map(|ip| LeaseElection::new(*ip, at(0)))
+        .collect();
+    all.iter_mut()
+        .for_each(|election| election.set_voters(VoterSet::new(1, ips(n))));
     all
 }
 
@@ -37,7 +41,9 @@
             }
             all[n].confirm_epoch(1, at(t));
             if let Some(vote) = all[n].tick(at(t), &ips) {
-                (0..all.len()).filter(|m| *m != n).for_each(|m| mail.push((t + 20, n, m, vote.clone())));
+                (0..all.len())
+                    .filter(|m| *m != n)
+                    .for_each(|m| mail.push((t + 20, n, m, vote.clone())));
             }
         }
         let (due, rest): (Vec<_>, Vec<_>) = mail.drain(..).partition(|m| m.0 <= t);
@@ -50,7 +56,9 @@
                 mail.push((t + 20, to, from, back));
             }
         }
-        let holders: Vec<usize> = (0..all.len()).filter(|n| all[*n].holds(at(t)).is_some()).collect();
+        let holders: Vec<usize> = (0..all.len())
+            .filter(|n| all[*n].holds(at(t)).is_some())
+            .collect();
         assert!(holders.len() <= 1, "two holders at {t}: {holders:?}");
         holders.iter().for_each(|h| held.push((t, *h)));
     }
@@ -81,7 +89,9 @@
         for (n, claims) in all.iter_mut().enumerate() {
             claims.confirm_epoch(1, at(t));
             if let Some(vote) = claims.tick(at(t), &ips) {
-                (0..5).filter(|m| *m != n).for_each(|m| mail.push((t + 20, n, m, vote.clone())));
+                (0..5)
+                    .filter(|m| *m != n)
+                    .for_each(|m| mail.push((t + 20, n, m, vote.clone())));
             }
         }
         let (due, rest): (Vec<_>, Vec<_>) = mail.drain(..).partition(|m| m.0 <= t);
@@ -114,7 +124,10 @@
         assert_eq!(claims.receive([10, 0, 0, 1], &vote, at(4010)), None);
     }
     let held = play(&mut all, &|n, _| n == 0, 4020..4400);
-    assert!(held.iter().any(|h| h.1 == 1), "its successor waited: {held:?}");
+    assert!(
+        held.iter().any(|h| h.1 == 1),
+        "its successor waited: {held:?}"
+    );
 }
 
 #[test]
@@ -123,18 +136,36 @@
     play(&mut all, &|_, _| false, 0..4000);
     let term = all[0].holds(at(4000)).expect("the first holds it");
     let next = VoterSet::new(2, ips(3)[..2].to_vec());
-    all[..2].iter_mut().for_each(|election| election.set_voters(next.clone()));
-    assert_eq!(all[0].holds(at(4001)), Some(term), "the lease is broken off by a change of epoch");
+    all[..2]
+        .iter_mut()
+        .for_each(|election| election.set_voters(next.clone()));
+    assert_eq!(
+        all[0].holds(at(4001)),
+        Some(term),
+        "the lease is broken off by a change of epoch"
+    );
     // The third knows epoch 1 alone: its grants count for nothing.
-    let claim = LeaseMessage::Claim { epoch: 2, term, sent_us: 4_010_000 };
+    let claim = LeaseMessage::Claim {
+        epoch: 2,
+        term,
+        sent_us: 4_010_000,
+    };
     let refusal = all[2].receive(ips(3)[0], &claim, at(4010));
     assert!(matches!(refusal, Some(LeaseMessage::Refuse { .. })));
     all[0].confirm_epoch(2, at(4300));
     all[1].confirm_epoch(2, at(4300));
-    let claim = all[0].tick(at(4300), &ips(3)).expect("it claims in the new epoch");
-    let grant = all[1].receive(ips(3)[0], &claim, at(4310)).expect("an answer");
+    let claim = all[0]
+        .tick(at(4300), &ips(3))
+        .expect("it claims in the new epoch");
+    let grant = all[1]
+        .receive(ips(3)[0], &claim, at(4310))
+        .expect("an answer");
     all[0].receive(ips(3)[1], &grant, at(4320));
-    assert_eq!(all[0].holds(at(5150)), Some(term), "nothing was gained by the grant in the new epoch");
+    assert_eq!(
+        all[0].holds(at(5150)),
+        Some(term),
+        "nothing was gained by the grant in the new epoch"
+    );
     // Epoch 4 is seen: two ahead.
     all[0].observe_epoch(4);
     assert_eq!(all[0].holds(at(4330)), None);
@@ -151,9 +182,19 @@
     // A voter whose store has been silent for the time that its word counts.
     let mut voter = registries(3).remove(0);
     voter.confirm_epoch(1, at(2000));
-    let claim = |t: u64| LeaseMessage::Claim { epoch: 1, term: 1, sent_us: t * 1000 };
-    assert!(matches!(voter.receive(ips(3)[1], &claim(2900), at(2900)), Some(LeaseMessage::Grant { .. })));
-    assert!(matches!(voter.receive(ips(3)[1], &claim(3001), at(3001)), Some(LeaseMessage::Refuse { .. })));
+    let claim = |t: u64| LeaseMessage::Claim {
+        epoch: 1,
+        term: 1,
+        sent_us: t * 1000,
+    };
+    assert!(matches!(
+        voter.receive(ips(3)[1], &claim(2900), at(2900)),
+        Some(LeaseMessage::Grant { .. })
+    ));
+    assert!(matches!(
+        voter.receive(ips(3)[1], &claim(3001), at(3001)),
+        Some(LeaseMessage::Refuse { .. })
+    ));
 }
 
 #[test]
@@ -163,13 +204,32 @@
     let term = all[0].holds(at(4000)).expect("the first holds it");
     // Long after the lease another claims by the very term.
     all[2].confirm_epoch(1, at(9000));
-    let claim = LeaseMessage::Claim { epoch: 1, term, sent_us: 9_000_000 };
-    assert!(matches!(all[2].receive(ips(3)[1], &claim, at(9000)), Some(LeaseMessage::Refuse { .. })));
+    let claim = LeaseMessage::Claim {
+        epoch: 1,
+        term,
+        sent_us: 9_000_000,
+    };
+    assert!(matches!(
+        all[2].receive(ips(3)[1], &claim, at(9000)),
+        Some(LeaseMessage::Refuse { .. })
+    ));
     // Grants of claims that it never sent, as of a former life.
     for from in &ips(3)[1..] {
-        all[0].receive(*from, &LeaseMessage::Grant { epoch: 1, term, sent_us: 60_000_000 }, at(4010));
+        all[0].receive(
+            *from,
+            &LeaseMessage::Grant {
+                epoch: 1,
+                term,
+                sent_us: 60_000_000,
+            },
+            at(4010),
+        );
     }
-    assert_eq!(all[0].holds(at(4000) + LEASE), None, "grants of another life prolong the lease");
+    assert_eq!(
+        all[0].holds(at(4000) + LEASE),
+        None,
+        "grants of another life prolong the lease"
+    );
 }
 
 #[test]
@@ -184,9 +244,15 @@
         for (n, election) in all.iter_mut().enumerate() {
             election.confirm_epoch(1, at(t));
             // It holds the others for dead until after the cut.
-            let alive = if n == 2 && (7000..40_000).contains(&t) { &ips[2..3] } else { &ips[..] };
+            let alive = if n == 2 && (7000..40_000).contains(&t) {
+                &ips[2..3]
+            } else {
+                &ips[..]
+            };
             if let Some(claim) = election.tick(at(t), alive) {
-                (0..6).filter(|m| *m != n).for_each(|m| mail.push((t + 50, n, m, claim.clone())));
+                (0..6)
+                    .filter(|m| *m != n)
+                    .for_each(|m| mail.push((t + 50, n, m, claim.clone())));
             }
         }
         let (due, rest): (Vec<_>, Vec<_>) = mail.drain(..).partition(|m| m.0 <= t);
@@ -198,14 +264,24 @@
                 mail.push((t + 50, to, from, answer));
             }
         }
-        let holders: Vec<u64> = all.iter().filter_map(|election| election.holds(at(t))).collect();
+        let holders: Vec<u64> = all
+            .iter()
+            .filter_map(|election| election.holds(at(t)))
+            .collect();
         assert!(holders.len() <= 1, "two holders at {t}");
         terms.extend(holders.into_iter().filter(|_| t > 4000));
     }
     let held = terms.len();
-    assert!(held > 3550, "nobody has the lease for {} ms", (3600 - held) * 10);
+    assert!(
+        held > 3550,
+        "nobody has the lease for {} ms",
+        (3600 - held) * 10
+    );
     terms.dedup();
-    assert!(terms.len() <= 2, "the lease goes to and fro: terms {terms:?}");
+    assert!(
+        terms.len() <= 2,
+        "the lease goes to and fro: terms {terms:?}"
+    );
 }
 
 /// The first of three holds the lease; the second is a voter that has granted it.
@@ -223,18 +299,38 @@
     let next = VoterSet::new(2, ips(3));
     voter.set_voters(next.clone());
     voter.confirm_epoch(2, at(4000));
-    let claim = LeaseMessage::Claim { epoch: 1, term, sent_us: 4_000_000 };
+    let claim = LeaseMessage::Claim {
+        epoch: 1,
+        term,
+        sent_us: 4_000_000,
+    };
     let answer = voter.receive(ips(3)[0], &claim, at(4000));
-    assert_eq!(answer, Some(LeaseMessage::Refuse { epoch: 2, term }), "it grants in an epoch that is over");
+    assert_eq!(
+        answer,
+        Some(LeaseMessage::Refuse { epoch: 2, term }),
+        "it grants in an epoch that is over"
+    );
     holder.set_voters(next);
     holder.confirm_epoch(2, at(4300));
     let Some(LeaseMessage::Claim { sent_us, .. }) = holder.tick(at(4300), &ips(3)) else {
         panic!("it claims in the new epoch");
     };
     for from in &ips(3)[1..] {
-        holder.receive(*from, &LeaseMessage::Grant { epoch: 1, term, sent_us }, at(4310));
+        holder.receive(
+            *from,
+            &LeaseMessage::Grant {
+                epoch: 1,
+                term,
+                sent_us,
+            },
+            at(4310),
+        );
     }
-    assert_eq!(holder.holds(at(5150)), None, "a grant of the old epoch prolongs the lease");
+    assert_eq!(
+        holder.holds(at(5150)),
+        None,
+        "a grant of the old epoch prolongs the lease"
+    );
 }
 
 #[test]
@@ -244,17 +340,28 @@
     holder.confirm_epoch(1, at(4300));
     voter.confirm_epoch(1, at(4300));
     let claim = holder.tick(at(4300), &ips(3)).expect("it claims");
-    let grant = voter.receive(ips(3)[0], &claim, at(4300)).expect("it grants");
+    let grant = voter
+        .receive(ips(3)[0], &claim, at(4300))
+        .expect("it grants");
     holder.receive(ips(3)[1], &grant, at(4300));
     let by_clock = |elapsed_ms: u64, rate: f64| at(4300) + at(elapsed_ms).mul_f64(rate);
     for elapsed in 0..1100 {
         let at_voter = by_clock(elapsed, 1.05);
         voter.confirm_epoch(1, at_voter);
-        let claim = LeaseMessage::Claim { epoch: 1, term: 9, sent_us: 0 };
-        let is_free =
-            matches!(voter.clone().receive(ips(3)[2], &claim, at_voter), Some(LeaseMessage::Grant { .. }));
+        let claim = LeaseMessage::Claim {
+            epoch: 1,
+            term: 9,
+            sent_us: 0,
+        };
+        let is_free = matches!(
+            voter.clone().receive(ips(3)[2], &claim, at_voter),
+            Some(LeaseMessage::Grant { .. })
+        );
         let holds = holder.holds(by_clock(elapsed, 0.95)).is_some();
-        assert!(!(is_free && holds), "two may hold it {elapsed} ms after the grant");
+        assert!(
+            !(is_free && holds),
+            "two may hold it {elapsed} ms after the grant"
+        );
     }
 }
 
@@ -271,15 +378,22 @@
         .collect();
     for voter in 2..5 {
         all[voter].confirm_epoch(1, at(2000));
-        let grant = all[voter].receive(ips[0], &claims[0], at(2010)).expect("an answer");
+        let grant = all[voter]
+            .receive(ips[0], &claims[0], at(2010))
+            .expect("an answer");
         all[0].receive(ips[voter], &grant, at(2020));
-        let refusal = all[voter].receive(ips[1], &claims[1], at(2015)).expect("an answer");
+        let refusal = all[voter]
+            .receive(ips[1], &claims[1], at(2015))
+            .expect("an answer");
         all[1].receive(ips[voter], &refusal, at(2025));
     }
     let term = all[0].holds(at(2030)).expect("the first holds it");
     // The second, refused, grants the first one's next claim instead of claiming by a later term.
     all[0].confirm_epoch(1, at(2240));
     let next = all[0].tick(at(2240), &ips).expect("it claims again");
-    assert!(matches!(all[1].receive(ips[0], &next, at(2250)), Some(LeaseMessage::Grant { .. })));
+    assert!(matches!(
+        all[1].receive(ips[0], &next, at(2250)),
+        Some(LeaseMessage::Grant { .. })
+    ));
     assert_eq!(all[1].holder(at(2260)), Some((ips[0], term)));
 }
--- a/crates/control/tests/lease_model.rs
+++ b/crates/control/tests/lease_model.rs
@@ -67,7 +67,10 @@
 
 impl Fate {
     fn is_late(self) -> bool {
-        matches!(self, Fate::ClaimLate(_) | Fate::AnswerLate(_) | Fate::Doubled(_))
+        matches!(
+            self,
+            Fate::ClaimLate(_) | Fate::AnswerLate(_) | Fate::Doubled(_)
+        )
     }
 }
 
@@ -124,11 +127,16 @@
     }
 
     fn voters(&self, epoch: usize) -> VoterSet {
-        VoterSet::new(epoch as u64 + 1, self.epochs[epoch].iter().map(|n| ip(*n)).collect())
+        VoterSet::new(
+            epoch as u64 + 1,
+            self.epochs[epoch].iter().map(|n| ip(*n)).collect(),
+        )
     }
 
     fn holders(&self, s: &State) -> Vec<usize> {
-        (0..s.elections.len()).filter(|n| s.elections[*n].holds(self.clock(s, *n)).is_some()).collect()
+        (0..s.elections.len())
+            .filter(|n| s.elections[*n].holds(self.clock(s, *n)).is_some())
+            .collect()
     }
 
     /// Whether a majority of the voters could accept a change of epoch now.
@@ -139,10 +147,17 @@
                 store.epoch == s.decided && self.clock(s, **n) >= store.since + self.spacing
             })
         };
-        s.decided + 1 < self.epochs.len() && voters.iter().filter(accepts).count() > voters.len() / 2
+        s.decided + 1 < self.epochs.len()
+            && voters.iter().filter(accepts).count() > voters.len() / 2
     }
 
-    fn deliver(&self, s: &mut State, from: usize, to: usize, message: &LeaseMessage) -> Option<LeaseMessage> {
+    fn deliver(
+        &self,
+        s: &mut State,
+        from: usize,
+        to: usize,
+        message: &LeaseMessage,
+    ) -> Option<LeaseMessage> {
         let now = self.clock(s, to);
         s.elections[to].receive(ip(from), message, now)
     }
@@ -158,7 +173,9 @@
         s.budget.freezes -= u8::from(frozen.is_some());
         s.budget.unheard -= u8::from(unheard.is_some());
         let passes = s.passes;
-        let (due, late) = std::mem::take(&mut s.late).into_iter().partition(|l| l.due <= passes);
+        let (due, late) = std::mem::take(&mut s.late)
+            .into_iter()
+            .partition(|l| l.due <= passes);
         s.late = late;
         let due: Vec<Late> = due;
         for l in due {
@@ -182,7 +199,11 @@
                 s.elections[n].set_voters(self.voters(store.epoch));
                 s.elections[n].confirm_epoch(store.epoch as u64 + 1, now);
             }
-            claims.extend(s.elections[n].tick(now, &self.alive()).map(|claim| (n, claim)));
+            claims.extend(
+                s.elections[n]
+                    .tick(now, &self.alive())
+                    .map(|claim| (n, claim)),
+            );
         }
         claims
     }
@@ -193,8 +214,14 @@
         claims: &[(usize, LeaseMessage)],
         frozen: Option<usize>,
     ) -> Vec<(usize, usize, LeaseMessage)> {
-        let receivers = |from: usize| self.machines().filter(move |to| *to != from && Some(*to) != frozen);
-        claims.iter().flat_map(|(from, c)| receivers(*from).map(move |to| (*from, to, c.clone()))).collect()
+        let receivers = |from: usize| {
+            self.machines()
+                .filter(move |to| *to != from && Some(*to) != frozen)
+        };
+        claims
+            .iter()
+            .flat_map(|(from, c)| receivers(*from).map(move |to| (*from, to, c.clone())))
+            .collect()
     }
 
     fn settle(&self, s: &mut State, routes: Vec<(usize, usize, LeaseMessage)>, pass: &Pass) {
@@ -207,16 +234,28 @@
         for ((from, to, claim), fate) in fated {
             s.budget.late -= u8::from(fate.is_late());
             if let Fate::ClaimLate(by) | Fate::Doubled(by) = fate {
-                s.late.push(Late { due: passes + by, from, to, message: claim.clone() });
+                s.late.push(Late {
+                    due: passes + by,
+                    from,
+                    to,
+                    message: claim.clone(),
+                });
             }
             if matches!(fate, Fate::Lost | Fate::ClaimLate(_)) {
                 continue;
             }
             let answer = self.deliver(s, from, to, &claim);
             match (answer, fate) {
-                (Some(answer), Fate::Answered | Fate::Doubled(_)) => answers.push((to, from, answer)),
+                (Some(answer), Fate::Answered | Fate::Doubled(_)) => {
+                    answers.push((to, from, answer))
+                }
                 (Some(message), Fate::AnswerLate(by)) => {
-                    s.late.push(Late { due: passes + by, from: to, to: from, message });
+                    s.late.push(Late {
+                        due: passes + by,
+                        from: to,
+                        to: from,
+                        message,
+                    });
                 }
                 _ => {}
             }
@@ -230,14 +269,18 @@
     fn fates_of_one(receivers: usize, late: u8) -> Vec<Vec<Fate>> {
         let mut all: Vec<Vec<Fate>> = vec![vec![]];
         let usual = [Fate::Answered, Fate::AnswerLost, Fate::Lost];
-        let late_ones =
-            [1, 2].into_iter().flat_map(|by| [Fate::ClaimLate(by), Fate::AnswerLate(by), Fate::Doubled(by)]);
+        let late_ones = [1, 2]
+            .into_iter()
+            .flat_map(|by| [Fate::ClaimLate(by), Fate::AnswerLate(by), Fate::Doubled(by)]);
         let menu: Vec<Fate> = usual.into_iter().chain(late_ones).collect();
         for _ in 0..receivers {
             let longer = |fates: &Vec<Fate>| {
                 let used = fates.iter().filter(|f| f.is_late()).count();
                 let fits = move |f: &&Fate| !f.is_late() || used < usize::from(late);
-                menu.iter().filter(fits).map(|f| [fates.clone(), vec![*f]].concat()).collect::<Vec<_>>()
+                menu.iter()
+                    .filter(fits)
+                    .map(|f| [fates.clone(), vec![*f]].concat())
+                    .collect::<Vec<_>>()
             };
             all = all.iter().flat_map(longer).collect();
         }
@@ -260,14 +303,26 @@
             .chain(one_differs(Fate::Lost, Fate::Answered))
             .collect();
         let longer = |all: Vec<Vec<Fate>>, _| {
-            all.iter().flat_map(|f| menu.iter().map(move |m| [f.clone(), m.clone()].concat())).collect()
+            all.iter()
+                .flat_map(|f| menu.iter().map(move |m| [f.clone(), m.clone()].concat()))
+                .collect()
         };
         (0..claimants).fold(vec![vec![]], longer)
     }
 
     fn passes_from(&self, s: &State, out: &mut Vec<Step>) {
-        for frozen in self.machines().filter(|_| s.budget.freezes > 0).map(Some).chain([None]) {
-            for unheard in self.machines().filter(|_| s.budget.unheard > 0).map(Some).chain([None]) {
+        for frozen in self
+            .machines()
+            .filter(|_| s.budget.freezes > 0)
+            .map(Some)
+            .chain([None])
+        {
+            for unheard in self
+                .machines()
+                .filter(|_| s.budget.unheard > 0)
+                .map(Some)
+                .chain([None])
+            {
                 let claims = self.advance(&mut s.clone(), frozen, unheard);
                 let receivers = self.routes(&claims, frozen).len() / claims.len().max(1);
                 let all = match claims.len() {
@@ -276,9 +331,19 @@
                     several => Self::fates_of_several(several, receivers),
                 };
                 for fates in all {
-                    out.push(Step::Pass(Pass { frozen, unheard, reversed: false, fates: fates.clone() }));
+                    out.push(Step::Pass(Pass {
+                        frozen,
+                        unheard,
+                        reversed: false,
+                        fates: fates.clone(),
+                    }));
                     if claims.len() > 1 {
-                        out.push(Step::Pass(Pass { frozen, unheard, reversed: true, fates }));
+                        out.push(Step::Pass(Pass {
+                            frozen,
+                            unheard,
+                            reversed: true,
+                            fates,
+                        }));
                     }
                 }
             }
@@ -293,18 +358,35 @@
     fn init_states(&self) -> Vec<State> {
         let machines = self.rates.len();
         // Nobody votes in the first lease of its life.
-        let elections = (0..machines).map(|n| LeaseElection::new(ip(n), BEGIN - LEASE)).collect();
-        let knows =
-            |n: usize| (!self.fresh.contains(&n)).then_some(Store { epoch: 0, since: Duration::ZERO });
+        let elections = (0..machines)
+            .map(|n| LeaseElection::new(ip(n), BEGIN - LEASE))
+            .collect();
+        let knows = |n: usize| {
+            (!self.fresh.contains(&n)).then_some(Store {
+                epoch: 0,
+                since: Duration::ZERO,
+            })
+        };
         let stores = (0..machines).map(knows).collect();
-        let mut s =
-            State { passes: 0, elections, stores, decided: 0, late: vec![], budget: self.budget.clone() };
+        let mut s = State {
+            passes: 0,
+            elections,
+            stores,
+            decided: 0,
+            late: vec![],
+            budget: self.budget.clone(),
+        };
         // The first candidate's claim reaches all or none.
         let claims = self.tick(&mut s, None, None);
         let mut reached = s.clone();
         let routes = self.routes(&claims, None);
         let fates = vec![Fate::Answered; routes.len()];
-        let pass = Pass { frozen: None, unheard: None, reversed: false, fates };
+        let pass = Pass {
+            frozen: None,
+            unheard: None,
+            reversed: false,
+            fates,
+        };
         self.settle(&mut reached, routes, &pass);
         vec![s, reached]
     }
@@ -323,7 +405,11 @@
         if self.may_decide(s) {
             out.push(Step::Decide);
         }
-        let behind = |n: &usize| s.stores[*n].as_ref().is_some_and(|store| store.epoch < s.decided);
+        let behind = |n: &usize| {
+            s.stores[*n]
+                .as_ref()
+                .is_some_and(|store| store.epoch < s.decided)
+        };
         out.extend(self.machines().filter(behind).map(Step::Learn));
     }
 
@@ -344,24 +430,41 @@
                 }
             }
             Step::Decide => s.decided += 1,
-            Step::Learn(n) => s.stores[n] = Some(Store { epoch: s.decided, since: self.clock(&s, n) }),
+            Step::Learn(n) => {
+                s.stores[n] = Some(Store {
+                    epoch: s.decided,
+                    since: self.clock(&s, n),
+                })
+            }
         }
         Some(s)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("one holder at most", |scene: &Scene, s: &State| scene.holders(s).len() <= 1),
-            Property::always("who knows no voters holds nothing", |scene: &Scene, s: &State| {
-                scene.holders(s).iter().all(|n| !scene.fresh.contains(n))
-            }),
-            Property::sometimes("it is held in the last epoch", |scene: &Scene, s: &State| {
-                let last = scene.epochs.len() as u64;
-                scene.holders(s).iter().any(|n| s.elections[*n].epoch() == last)
-            }),
-            Property::sometimes("a second one holds it after the first", |scene: &Scene, s: &State| {
-                scene.holders(s).iter().any(|n| *n != 0)
+            Property::always("one holder at most", |scene: &Scene, s: &State| {
+                scene.holders(s).len() <= 1
             }),
+            Property::always(
+                "who knows no voters holds nothing",
+                |scene: &Scene, s: &State| {
+                    scene.holders(s).iter().all(|n| !scene.fresh.contains(n))
+                },
+            ),
+            Property::sometimes(
+                "it is held in the last epoch",
+                |scene: &Scene, s: &State| {
+                    let last = scene.epochs.len() as u64;
+                    scene
+                        .holders(s)
+                        .iter()
+                        .any(|n| s.elections[*n].epoch() == last)
+                },
+            ),
+            Property::sometimes(
+                "a second one holds it after the first",
+                |scene: &Scene, s: &State| scene.holders(s).iter().any(|n| *n != 0),
+            ),
         ]
     }
 }
@@ -371,8 +474,17 @@
 
 fn explore(name: &str, scene: Scene) {
     let threads = std::thread::available_parallelism().map_or(1, |n| n.get().min(4));
-    let done = scene.checker().threads(threads).target_state_count(MOST_STATES).spawn_bfs().join();
-    let whole = if done.state_count() < MOST_STATES { "whole" } else { "in part" };
+    let done = scene
+        .checker()
+        .threads(threads)
+        .target_state_count(MOST_STATES)
+        .spawn_bfs()
+        .join();
+    let whole = if done.state_count() < MOST_STATES {
+        "whole"
+    } else {
+        "in part"
+    };
     println!(
         "{name}: {whole}, {} states of {}, {} steps deep",
         done.unique_state_count(),
@@ -393,11 +505,20 @@
 }
 
 fn three_voters() -> Scene {
-    let few = Budget { freezes: 1, unheard: 0, late: 0, leaves: 1 };
+    let few = Budget {
+        freezes: 1,
+        unheard: 0,
+        late: 0,
+        leaves: 1,
+    };
     Scene {
         step: Duration::from_millis(450),
         passes: passes(3, 4),
-        budget: if is_extensive() { Budget { late: 1, ..few } } else { few },
+        budget: if is_extensive() {
+            Budget { late: 1, ..few }
+        } else {
+            few
+        },
         // The bound on the difference of rates: a slow holder among fast voters, and the other way round.
         rates: vec![0.95, 1.05, 1.0],
         epochs: vec![vec![0, 1, 2]],
@@ -408,11 +529,24 @@
 
 /// Majorities of consecutive epochs meet, while those of the first and the last do not.
 fn replaced_voter() -> Scene {
-    let few = Budget { freezes: 0, unheard: 2, late: 0, leaves: 0 };
+    let few = Budget {
+        freezes: 0,
+        unheard: 2,
+        late: 0,
+        leaves: 0,
+    };
     Scene {
         step: Duration::from_millis(550),
         passes: passes(6, 7),
-        budget: if is_extensive() { Budget { freezes: 1, late: 1, ..few } } else { few },
+        budget: if is_extensive() {
+            Budget {
+                freezes: 1,
+                late: 1,
+                ..few
+            }
+        } else {
+            few
+        },
         rates: vec![1.0, 1.0, 1.0],
         epochs: vec![vec![0], vec![0, 1], vec![1]],
         fresh: vec![2],
@@ -425,7 +559,15 @@
     let few = Budget::default();
     Scene {
         passes: passes(2, 4),
-        budget: if is_extensive() { Budget { freezes: 1, unheard: 1, ..few } } else { few },
+        budget: if is_extensive() {
+            Budget {
+                freezes: 1,
+                unheard: 1,
+                ..few
+            }
+        } else {
+            few
+        },
         rates: vec![1.0; 3],
         epochs: vec![vec![0, 1], vec![0, 1, 2]],
         ..three_voters()
--- a/crates/control/tests/transfer.rs
+++ b/crates/control/tests/transfer.rs
@@ -16,9 +16,17 @@
 const NOW: Duration = Duration::ZERO;
 
 fn item(number: u16, version: u64) -> Item {
-    let key = Key { kind: Kind::Tenant, name: format!("tenant-{number}") };
+    let key = Key {
+        kind: Kind::Tenant,
+        name: format!("tenant-{number}"),
+    };
     let body = (!version.is_multiple_of(5)).then(|| vec![b'x'; usize::from(number % 7) * 5_000]);
-    Item { key, version, ballot: Ballot::default(), body }
+    Item {
+        key,
+        version,
+        ballot: Ballot::default(),
+        body,
+    }
 }
 
 fn merge_all(snapshot: &mut ConfigSnapshot, items: Vec<Item>) {
@@ -56,7 +64,9 @@
 
     fn provide(&mut self, message: &TransferMessage) {
         if let TransferMessage::Compare { round, .. } = message {
-            self.compared.entry(*round).or_insert_with(|| self.provider.clone());
+            self.compared
+                .entry(*round)
+                .or_insert_with(|| self.provider.clone());
         }
         let reply = answer(&self.provider, message).expect("a receiver's message has an answer");
         if let TransferMessage::Chunk { items, .. } = &reply {
@@ -72,12 +82,19 @@
         self.to_provider.extend(self.receiver.requests(&self.held));
         let asked = |m: &&TransferMessage| matches!(m, TransferMessage::Request { round, .. } if *round == self.round);
         let requests = self.to_provider.iter().filter(asked).count();
-        assert!(requests <= CHUNKS_IN_FLIGHT, "{requests} requests of one round");
+        assert!(
+            requests <= CHUNKS_IN_FLIGHT,
+            "{requests} requests of one round"
+        );
         if complete.is_some() {
             self.completed = true;
             for (key, item) in self.compared[&self.round].items() {
                 let held = self.held.get(key).map_or(0, |held| held.version);
-                assert!(held >= item.version, "complete without {key:?} {}", item.version);
+                assert!(
+                    held >= item.version,
+                    "complete without {key:?} {}",
+                    item.version
+                );
             }
         }
     }
@@ -86,7 +103,10 @@
     fn step(&mut self, choice: u16) {
         let pick = usize::from(choice / 8);
         match choice % 8 {
-            0 => merge_all(&mut self.provider, vec![item(choice / 8 % 400, u64::from(choice % 23))]),
+            0 => merge_all(
+                &mut self.provider,
+                vec![item(choice / 8 % 400, u64::from(choice % 23))],
+            ),
             1 if pick % 8 == 0 => self.reconnect(),
             1 if pick % 8 == 1 => self.begin_round(),
             2 if !self.to_receiver.is_empty() => {
@@ -96,7 +116,10 @@
                 let doubled = self.to_receiver[pick % self.to_receiver.len()].clone();
                 self.receive(doubled.clone());
                 let again = self.receiver.receive(&self.held, doubled, NOW);
-                assert!(again == Received::default(), "the second of two alike brings something");
+                assert!(
+                    again == Received::default(),
+                    "the second of two alike brings something"
+                );
             }
             4 | 5 if !self.to_provider.is_empty() => {
                 let message = self.to_provider.remove(pick % self.to_provider.len());
@@ -123,11 +146,16 @@
 
 fn converges(theirs: Versions, ours: Versions, choices: Vec<u16>) -> TestResult {
     let mut world = World::default();
-    let provided = theirs.iter().map(|(n, version)| item(n % 400, (*version).into()));
+    let provided = theirs
+        .iter()
+        .map(|(n, version)| item(n % 400, (*version).into()));
     merge_all(&mut world.provider, provided.collect());
     // The receiver lacks some, has older ones of others, and has none that the provider never had.
     for (n, version) in ours {
-        let known = world.provider.get(&item(n % 400, 0).key).map(|known| known.version);
+        let known = world
+            .provider
+            .get(&item(n % 400, 0).key)
+            .map(|known| known.version);
         let older = known.map(|known| item(n % 400, known.min(version.into())));
         merge_all(&mut world.held, older.into_iter().collect());
     }
@@ -135,12 +163,17 @@
     choices.into_iter().for_each(|choice| world.step(choice));
     world.run_without_losses();
     assert!(world.completed && world.receiver.is_idle());
-    TestResult::from_bool(world.held == world.provider && world.held.digest() == world.provider.digest())
+    TestResult::from_bool(
+        world.held == world.provider && world.held.digest() == world.provider.digest(),
+    )
 }
 
 #[test]
 fn a_lossy_connection_delays_but_a_complete_round_has_all() {
-    QuickCheck::new().tests(400).rng(quickcheck::Gen::new(300)).quickcheck(converges as Property);
+    QuickCheck::new()
+        .tests(400)
+        .rng(quickcheck::Gen::new(300))
+        .quickcheck(converges as Property);
 }
 
 #[test]
@@ -152,7 +185,13 @@
         merge_all(&mut world.held, vec![item(n, 2)]);
     }
     world.run_without_losses();
-    assert!(world.completed && world.held.get(&item(6, 0).key).is_some_and(|item| item.version == 2));
+    assert!(
+        world.completed
+            && world
+                .held
+                .get(&item(6, 0).key)
+                .is_some_and(|item| item.version == 2)
+    );
 }
 
 #[test]
--- a/crates/ctl/src/explain.rs
+++ b/crates/ctl/src/explain.rs
@@ -21,8 +21,14 @@
     let known = time.starts_with(|c: char| c.is_ascii_digit());
     // Level and place are for whoever wrote the programs.
     let text = rest.trim_start().splitn(4, ' ').last()?;
-    let text = rest.split_once(".rs:").map_or(text, |r| r.1.split_once(' ').map_or(text, |t| t.1));
-    known.then(|| Line { time: time.into(), machine: machine.into(), text: text.into() })
+    let text = rest
+        .split_once(".rs:")
+        .map_or(text, |r| r.1.split_once(' ').map_or(text, |t| t.1));
+    known.then(|| Line {
+        time: time.into(),
+        machine: machine.into(),
+        text: text.into(),
+    })
 }
 
 /// Whether a line names it: as a word of its own, not as part of another name.
@@ -38,12 +44,19 @@
 /// Where the folder or a file can't be read.
 pub fn explain(what: &str, logs: &Path) -> Result<Vec<Line>, Fault> {
     let mut out = Vec::new();
-    let mut files: Vec<_> =
-        std::fs::read_dir(logs).map_err(|e| file(logs, e))?.flatten().map(|f| f.path()).collect();
+    let mut files: Vec<_> = std::fs::read_dir(logs)
+        .map_err(|e| file(logs, e))?
+        .flatten()
+        .map(|f| f.path())
+        .collect();
     files.sort();
     for path in files.into_iter().filter(|p| p.is_file()) {
         let text = std::fs::read(&path).map_err(|e| file(&path, e))?;
-        let machine = path.file_stem().unwrap_or_default().to_string_lossy().into_owned();
+        let machine = path
+            .file_stem()
+            .unwrap_or_default()
+            .to_string_lossy()
+            .into_owned();
         let text = String::from_utf8_lossy(&text);
         let whole_file = machine.starts_with(what);
         let lines = text.lines().filter(|l| whole_file || names(l, what));
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -39,8 +39,15 @@
 pub fn check_settings(path: &Path) -> Result<String, Fault> {
     let text = std::fs::read(path).map_err(|e| file(path, e))?;
     // The error names the file itself.
-    let s = Settings::check(&path.display().to_string(), text).map_err(|e| Fault::Asked(e.to_string()))?;
-    Ok(format!("{}: {} in {}, {} seeds", path.display(), s.node, s.zone, s.seeds.len()))
+    let s = Settings::check(&path.display().to_string(), text)
+        .map_err(|e| Fault::Asked(e.to_string()))?;
+    Ok(format!(
+        "{}: {} in {}, {} seeds",
+        path.display(),
+        s.node,
+        s.zone,
+        s.seeds.len()
+    ))
 }
 
 /// Operators' calls in the order in which they are to be sent, each checked on the whole as the store would.
@@ -60,15 +67,33 @@
         snapshot = next;
     }
     let count = |kind| snapshot.standing(kind).count();
-    let (routes, tenants, services) = (count(Kind::Route), count(Kind::Tenant), count(Kind::Service));
-    Ok(format!("valid: {routes} routes, {tenants} tenants, {services} services"))
+    let (routes, tenants, services) = (
+        count(Kind::Route),
+        count(Kind::Tenant),
+        count(Kind::Service),
+    );
+    Ok(format!(
+        "valid: {routes} routes, {tenants} tenants, {services} services"
+    ))
 }
 
 fn line(item: &Item, decided: bool) -> String {
     let state = if item.body.is_some() { "" } else { ", dropped" };
-    let known = if decided { "" } else { ", not known to be decided" };
-    let Item { key, version, ballot, .. } = item;
-    format!("{:?} {} r{version}, ballot {}.{}{state}{known}", key.kind, key.name, ballot.round, ballot.writer)
+    let known = if decided {
+        ""
+    } else {
+        ", not known to be decided"
+    };
+    let Item {
+        key,
+        version,
+        ballot,
+        ..
+    } = item;
+    format!(
+        "{:?} {} r{version}, ballot {}.{}{state}{known}",
+        key.kind, key.name, ballot.round, ballot.writer
+    )
 }
 
 /// A store's store, item by item.
@@ -77,10 +102,21 @@
 /// Where there is none, or a record can't be read.
 pub fn show_store(dir: &Path) -> Result<String, Fault> {
     let (kept, roster, backends) = open(dir)?;
-    let vote = if kept.has_vote() { "has a vote" } else { "has no vote yet" };
-    let mut out = vec![format!("{vote}, promised ballot {}.{}", kept.promised.round, kept.promised.writer)];
+    let vote = if kept.has_vote() {
+        "has a vote"
+    } else {
+        "has no vote yet"
+    };
+    let mut out = vec![format!(
+        "{vote}, promised ballot {}.{}",
+        kept.promised.round, kept.promised.writer
+    )];
     if let Some(set) = VoterSet::decided(&kept.decided) {
-        let ips: Vec<String> = set.voters().iter().map(|v| addr(v.ip).to_string()).collect();
+        let ips: Vec<String> = set
+            .voters()
+            .iter()
+            .map(|v| addr(v.ip).to_string())
+            .collect();
         out.push(format!("voters of epoch {}: {}", set.epoch, ips.join(", ")));
     }
     out.push(format!("{} stores known", roster.len()));
@@ -103,10 +139,21 @@
     let (kept, ..) = open(dir)?;
     kept.decided.check().map_err(|e| file(dir, e))?;
     if !kept.has_vote() {
-        return Err(file(dir, "has no vote yet: it is new, came back empty or was replaced"));
+        return Err(file(
+            dir,
+            "has no vote yet: it is new, came back empty or was replaced",
+        ));
     }
-    let left = kept.accepted.items().values().filter(|i| kept.decided.items().get(&i.key) != Some(i)).count();
-    Ok(format!("sound: {} items, {left} not known to be decided", kept.decided.items().len()))
+    let left = kept
+        .accepted
+        .items()
+        .values()
+        .filter(|i| kept.decided.items().get(&i.key) != Some(i))
+        .count();
+    Ok(format!(
+        "sound: {} items, {left} not known to be decided",
+        kept.decided.items().len()
+    ))
 }
 
 /// The configuration that a store holds, as an operator would send it.
@@ -129,7 +176,9 @@
     if !dir.join("items.redb").exists() {
         return Err(file(dir, "no store here (items.redb)"));
     }
-    Disk::open(dir).and_then(|s| s.read()).map_err(|e| file(dir, e))
+    Disk::open(dir)
+        .and_then(|s| s.read())
+        .map_err(|e| file(dir, e))
 }
 
 /// How a live system stands, as one registry sees it.
@@ -157,15 +206,23 @@
     let mut rows = Vec::new();
     for at in proxies {
         let path = request.map_or("/-/account".into(), |r| format!("/-/account?request={r}"));
-        let body = parse(get(*at, &path)?.into_bytes()).map_err(|e| Fault::Asked(format!("{at}: {e}")))?;
+        let body =
+            parse(get(*at, &path)?.into_bytes()).map_err(|e| Fault::Asked(format!("{at}: {e}")))?;
         let last = body.get("last").and_then(|l| l.as_array());
         let last = last.ok_or_else(|| Fault::Asked(format!("{at}: no account")))?;
-        rows.extend(last.iter().map(|e| (e.get("at_ms").and_then(|a| a.as_u64()).unwrap_or(0), row(*at, e))));
+        rows.extend(last.iter().map(|e| {
+            (
+                e.get("at_ms").and_then(|a| a.as_u64()).unwrap_or(0),
+                row(*at, e),
+            )
+        }));
     }
     rows.sort();
     if let Some(request) = request.filter(|_| rows.is_empty()) {
         let why = "served, never come, or of longer ago than is kept";
-        return Err(Fault::Asked(format!("no proxy asked has an account of `{request}`: {why}")));
+        return Err(Fault::Asked(format!(
+            "no proxy asked has an account of `{request}`: {why}"
+        )));
     }
     Ok(rows.into_iter().map(|r| r.1).collect::<Vec<_>>().join("\n"))
 }
@@ -175,16 +232,25 @@
     let text = |name: &str| e.get(name).and_then(|v| v.as_str()).unwrap_or("none");
     let ms = e.get("at_ms").and_then(|a| a.as_u64()).unwrap_or(0);
     let (h, m, s) = (ms / 3_600_000 % 24, ms / 60_000 % 60, ms / 1000 % 60);
-    let ran = e.get("may_have_run").and_then(|r| r.as_bool()).unwrap_or(true);
+    let ran = e
+        .get("may_have_run")
+        .and_then(|r| r.as_bool())
+        .unwrap_or(true);
     format!(
         "{h:02}:{m:02}:{s:02}.{:03}  {at}  request {}: {}, {}; route {}, tenant {}, coordinator's term {}, list {}",
         ms % 1000,
         text("request"),
         text("cause"),
-        if ran { "it may have run" } else { "it has not run" },
+        if ran {
+            "it may have run"
+        } else {
+            "it has not run"
+        },
         text("route"),
         text("tenant"),
-        e.get("coordinator_term").and_then(|t| t.as_u64()).unwrap_or(0),
+        e.get("coordinator_term")
+            .and_then(|t| t.as_u64())
+            .unwrap_or(0),
         text("list")
     )
 }
@@ -198,7 +264,11 @@
         let mut stream = TcpStream::connect_timeout(&at, ANSWER)?;
         stream.set_read_timeout(Some(ANSWER))?;
         let head = format!("{method} {path} HTTP/1.1\r\nHost: {at}\r\nConnection: close");
-        write!(stream, "{head}\r\nContent-Length: {}\r\n\r\n{body}", body.len())?;
+        write!(
+            stream,
+            "{head}\r\nContent-Length: {}\r\n\r\n{body}",
+            body.len()
+        )?;
         let mut text = String::new();
         stream.read_to_string(&mut text)?;
         Ok(text)
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -6,8 +6,8 @@
 
 use bpaf::Bpaf;
 use damsonbeam_ctl::{
-    Fault, account, check_calls, check_settings, explain, export_store, loads, mirror, show_store, state,
-    verify_store,
+    Fault, account, check_calls, check_settings, explain, export_store, loads, mirror, show_store,
+    state, verify_store,
 };
 
 #[derive(Clone, Debug, Bpaf)]
@@ -37,7 +37,10 @@
     Loads(#[bpaf(positional("READINESS-ADDRESS"))] SocketAddr),
     /// Sets rules for copies of live requests to trial services, as a file has them
     #[bpaf(command("mirror-set"))]
-    MirrorSet(#[bpaf(positional("CONTROL-ADDRESS"))] SocketAddr, #[bpaf(positional("FILE"))] PathBuf),
+    MirrorSet(
+        #[bpaf(positional("CONTROL-ADDRESS"))] SocketAddr,
+        #[bpaf(positional("FILE"))] PathBuf,
+    ),
     /// The rules for copies in force
     #[bpaf(command("mirror-show"))]
     MirrorShow(#[bpaf(positional("CONTROL-ADDRESS"))] SocketAddr),
@@ -50,7 +53,9 @@
     ),
     /// What came of the copies, over the proxies asked
     #[bpaf(command("mirror-report"))]
-    MirrorReport(#[bpaf(positional("READINESS-ADDRESS"), some("name a proxy at least"))] Vec<SocketAddr>),
+    MirrorReport(
+        #[bpaf(positional("READINESS-ADDRESS"), some("name a proxy at least"))] Vec<SocketAddr>,
+    ),
     /// A store's store: its items, their versions and ballots. Only while no store runs on it.
     #[bpaf(command("store-show"))]
     Show(#[bpaf(positional("FOLDER"))] PathBuf),
@@ -88,9 +93,14 @@
         Work::Explain { what, logs } => {
             let lines = explain::explain(&what, &logs)?;
             if lines.is_empty() {
-                return Err(Fault::Asked(format!("{}: no line names `{what}`", logs.display())));
+                return Err(Fault::Asked(format!(
+                    "{}: no line names `{what}`",
+                    logs.display()
+                )));
             }
-            let lines = lines.iter().map(|l| format!("{}  {}  {}", l.time, l.machine, l.text));
+            let lines = lines
+                .iter()
+                .map(|l| format!("{}  {}  {}", l.time, l.machine, l.text));
             Ok(lines.collect::<Vec<_>>().join("\n"))
         }
     }
--- a/crates/ctl/tests/files.rs
+++ b/crates/ctl/tests/files.rs
@@ -6,13 +6,16 @@
 use damsonbeam_config_store::consensus::voters::VoterSet;
 use damsonbeam_config_store::disk::Disk;
 use damsonbeam_control::items::{Ballot, Change};
-use damsonbeam_ctl::{check_calls, check_settings, explain::explain, export_store, show_store, verify_store};
+use damsonbeam_ctl::{
+    check_calls, check_settings, explain::explain, export_store, show_store, verify_store,
+};
 
 struct Folder(PathBuf);
 
 impl Folder {
     fn new(name: &str) -> Self {
-        let dir = std::env::temp_dir().join(format!("damsonbeam-ctl-{name}-{}", std::process::id()));
+        let dir =
+            std::env::temp_dir().join(format!("damsonbeam-ctl-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&dir).expect("a folder");
         Folder(dir)
     }
@@ -33,11 +36,11 @@
 /// An error without the folder, which differs by run.
 fn told<T: std::fmt::Debug>(result: Result<T, damsonbeam_ctl::Fault>, dir: &Folder) -> String {
     let e = result.expect_err("a fault").to_string();
-    e.replace(&format!("{}/", dir.0.display()), "").replace(&dir.0.display().to_string(), "DIR")
+    e.replace(&format!("{}/", dir.0.display()), "")
+        .replace(&dir.0.display().to_string(), "DIR")
 }
 
-const SERVICE: &str =
-    r#"{"name":"s","health_path":"/health","max_connections":120,"cold_rate_s":20.0,"config_version":"r1"}"#;
+const SERVICE: &str = r#"{"name":"s","health_path":"/health","max_connections":120,"cold_rate_s":20.0,"config_version":"r1"}"#;
 
 fn route(name: &str, prefix: &str, more: &str) -> String {
     format!(
@@ -46,25 +49,50 @@
 }
 
 fn call(routes: &[String]) -> String {
-    format!(r#"{{"upserts":{{"route_list":[{}],"service_list":[{SERVICE}]}}}}"#, routes.join(","))
+    format!(
+        r#"{{"upserts":{{"route_list":[{}],"service_list":[{SERVICE}]}}}}"#,
+        routes.join(",")
+    )
 }
 
 #[test]
 fn operators_calls_are_checked_as_the_store_would() {
     let dir = Folder::new("calls");
     let good = dir.file("one.json", &call(&[route("r-1", "/x/", "")]));
-    assert_eq!(check_calls(std::slice::from_ref(&good)), Ok("valid: 1 routes, 0 tenants, 1 services".into()));
+    assert_eq!(
+        check_calls(std::slice::from_ref(&good)),
+        Ok("valid: 1 routes, 0 tenants, 1 services".into())
+    );
     let bad = [
-        ("cut.json", call(&[route("r-2", "/y/", "")])[..90].to_string()),
+        (
+            "cut.json",
+            call(&[route("r-2", "/y/", "")])[..90].to_string(),
+        ),
         ("same-place.json", call(&[route("r-2", "/x/", "")])),
         (
             "no-service.json",
-            call(&[route("r-2", "/y/", r#","traffic_split":[{"target_service":"t","weight":1}]"#)]),
+            call(&[route(
+                "r-2",
+                "/y/",
+                r#","traffic_split":[{"target_service":"t","weight":1}]"#,
+            )]),
+        ),
+        (
+            "kind.json",
+            call(&[route("r-2", "/y/", "").replace("mutating", "maybe")]),
+        ),
+        (
+            "timeout.json",
+            call(&[route("r-2", "/y/", "").replace("3000", "0")]),
+        ),
+        (
+            "aim.json",
+            call(&[route("r-2", "/y/", "").replace(":500", ":63000")]),
+        ),
+        (
+            "version.json",
+            call(&[route("r-2", "/y/", "").replace("\"r1\"", "7")]),
         ),
-        ("kind.json", call(&[route("r-2", "/y/", "").replace("mutating", "maybe")])),
-        ("timeout.json", call(&[route("r-2", "/y/", "").replace("3000", "0")])),
-        ("aim.json", call(&[route("r-2", "/y/", "").replace(":500", ":63000")])),
-        ("version.json", call(&[route("r-2", "/y/", "").replace("\"r1\"", "7")])),
     ];
     let errors: Vec<String> = bad
         .map(|(name, text)| told(check_calls(&[good.clone(), dir.file(name, &text)]), &dir))
@@ -80,7 +108,9 @@
     version.json: r-2: config_version: not `r` and a number
     ");
     // 20,000 routes are read and checked like any.
-    let many: Vec<String> = (0..20_000).map(|n| route(&format!("m{n}"), &format!("/{n}/"), "")).collect();
+    let many: Vec<String> = (0..20_000)
+        .map(|n| route(&format!("m{n}"), &format!("/{n}/"), ""))
+        .collect();
     assert!(check_calls(&[dir.file("many.json", &call(&many))]).is_ok());
 }
 
@@ -89,7 +119,9 @@
     let dir = Folder::new("settings");
     let good = r#"{"node_name":"edge-1","ip_address":"10.1.0.33","zone":"a","region":"x","zones":{"a":"x"},"serves":["edge"],"listen_addresses":{"front":"10.1.0.33:80"},"internal_port_range":[7740,7755],"seed_nodes":["10.1.0.35:8688"],"timing_bounds":["drain_ms=4000","revocation_global=false"],"cloud_api":{"address":"10.200.0.51:8682","rate_per_s":50.0}}"#;
     let path = dir.file("good.json", good);
-    let line = check_settings(&path).expect("whole").replace(&format!("{}/", dir.0.display()), "");
+    let line = check_settings(&path)
+        .expect("whole")
+        .replace(&format!("{}/", dir.0.display()), "");
     assert_eq!(line, "good.json: edge-1 in a, 1 seeds");
     let bad = [
         ("ports.json", good.replace("[7740,7755]", "[7740]")),
@@ -99,8 +131,10 @@
         ("node.json", good.replace("node_name", "name")),
         ("cut.json", good[..200].to_string()),
     ];
-    let errors: Vec<String> =
-        bad.map(|(name, text)| told(check_settings(&dir.file(name, &text)), &dir)).into_iter().collect();
+    let errors: Vec<String> = bad
+        .map(|(name, text)| told(check_settings(&dir.file(name, &text)), &dir))
+        .into_iter()
+        .collect();
     insta::assert_snapshot!(errors.join("\n"), @r"
     ports.json: internal_port_range: two ports are wanted
     seed.json: seed_nodes: not an address
@@ -114,18 +148,43 @@
 #[test]
 fn a_store_is_shown_verified_and_exported() {
     let dir = Folder::new("store");
-    assert_eq!(told(show_store(&dir.0), &dir), "DIR: no store here (items.redb)");
-    let mut items = Change::read(call(&[route("r-1", "/x/", "")]).into_bytes()).expect("reads").items;
-    items.iter_mut().for_each(|i| i.ballot = Ballot { round: 3, writer: 7 });
+    assert_eq!(
+        told(show_store(&dir.0), &dir),
+        "DIR: no store here (items.redb)"
+    );
+    let mut items = Change::read(call(&[route("r-1", "/x/", "")]).into_bytes())
+        .expect("reads")
+        .items;
+    items.iter_mut().for_each(|i| {
+        i.ballot = Ballot {
+            round: 3,
+            writer: 7,
+        }
+    });
     let store = Disk::open(&dir.0).expect("opens");
-    store.keep(&[DurableWrite::Accepted(items.clone()), DurableWrite::Decided(items)]).expect("kept");
+    store
+        .keep(&[
+            DurableWrite::Accepted(items.clone()),
+            DurableWrite::Decided(items),
+        ])
+        .expect("kept");
     drop(store);
     assert!(told(verify_store(&dir.0), &dir).contains("has no vote yet"));
-    let voters = vec![VoterSet::founding(&[[10, 0, 0, 1], [10, 0, 0, 2]]).to_item(Ballot::default())];
-    let writes =
-        [DurableWrite::Accepted(voters.clone()), DurableWrite::Decided(voters), DurableWrite::Disk(0)];
-    Disk::open(&dir.0).expect("opens").keep(&writes).expect("kept");
-    assert_eq!(verify_store(&dir.0), Ok("sound: 3 items, 0 not known to be decided".into()));
+    let voters =
+        vec![VoterSet::founding(&[[10, 0, 0, 1], [10, 0, 0, 2]]).to_item(Ballot::default())];
+    let writes = [
+        DurableWrite::Accepted(voters.clone()),
+        DurableWrite::Decided(voters),
+        DurableWrite::Disk(0),
+    ];
+    Disk::open(&dir.0)
+        .expect("opens")
+        .keep(&writes)
+        .expect("kept");
+    assert_eq!(
+        verify_store(&dir.0),
+        Ok("sound: 3 items, 0 not known to be decided".into())
+    );
     insta::assert_snapshot!(show_store(&dir.0).expect("shown"), @r"
     has a vote, promised ballot 0.0
     voters of epoch 1: 10.0.0.1, 10.0.0.2
@@ -136,7 +195,10 @@
     Voters voters r1, ballot 0.0
     ");
     let exported = dir.file("exported.json", &export_store(&dir.0).expect("exported"));
-    assert_eq!(check_calls(&[exported]), Ok("valid: 1 routes, 0 tenants, 1 services".into()));
+    assert_eq!(
+        check_calls(&[exported]),
+        Ok("valid: 1 routes, 0 tenants, 1 services".into())
+    );
 }
 
 #[test]
@@ -152,6 +214,15 @@
         "2026-12-02T01:00:01Z INFO damsonbeam_config_store: main.rs:10 store: 10.0.0.2 lost.\n",
     );
     let lines = explain("10.0.0.2", &dir.0).expect("read");
-    let lines: Vec<String> = lines.into_iter().map(|l| format!("{} {}", l.machine, l.text)).collect();
-    assert_eq!(lines, ["core-b-1 store: 10.0.0.2 lost.", "core-a-1 members: 10.0.0.2 is Suspect."]);
+    let lines: Vec<String> = lines
+        .into_iter()
+        .map(|l| format!("{} {}", l.machine, l.text))
+        .collect();
+    assert_eq!(
+        lines,
+        [
+            "core-b-1 store: 10.0.0.2 lost.",
+            "core-a-1 members: 10.0.0.2 is Suspect."
+        ]
+    );
 }
--- a/crates/ctl/tests/system/cluster.rs
+++ b/crates/ctl/tests/system/cluster.rs
@@ -21,8 +21,13 @@
 fn built(name: &str) -> PathBuf {
     let path = PathBuf::from(env!("CARGO_BIN_EXE_damsonbeam-ctl")).with_file_name(name);
     if !path.exists() {
-        let made = Command::new(env!("CARGO")).args(["build", "--locked", "-p", name]).status();
-        assert!(made.is_ok_and(|s| s.success()) && path.exists(), "{name} can't be built");
+        let made = Command::new(env!("CARGO"))
+            .args(["build", "--locked", "-p", name])
+            .status();
+        assert!(
+            made.is_ok_and(|s| s.success()) && path.exists(),
+            "{name} can't be built"
+        );
     }
     path
 }
@@ -32,14 +37,22 @@
     let Ok(socket) = TcpStream::connect_timeout(&at, Duration::from_secs(1)) else {
         return Message::default();
     };
-    socket.set_read_timeout(Some(Duration::from_secs(5))).expect("set");
+    socket
+        .set_read_timeout(Some(Duration::from_secs(5)))
+        .expect("set");
     let mut socket = BufReader::new(socket);
     socket.get_mut().write_all(text.as_bytes()).ok();
     Message::read(&mut socket).unwrap_or_default()
 }
 
 pub fn call(at: SocketAddr, what: &str, body: &str) -> Message {
-    ask(at, &format!("{what} HTTP/1.1\r\nHost: x\r\nContent-Length: {}\r\n\r\n{body}", body.len()))
+    ask(
+        at,
+        &format!(
+            "{what} HTTP/1.1\r\nHost: x\r\nContent-Length: {}\r\n\r\n{body}",
+            body.len()
+        ),
+    )
 }
 
 fn listen(does: impl Fn(Message) -> String + Send + Sync + 'static) -> SocketAddr {
@@ -49,7 +62,8 @@
         for socket in listener.incoming().map_while(Result::ok) {
             let does = does.clone();
             thread::spawn(move || {
-                let (mut out, mut from) = (socket.try_clone().expect("cloned"), BufReader::new(socket));
+                let (mut out, mut from) =
+                    (socket.try_clone().expect("cloned"), BufReader::new(socket));
                 while let Some(request) = Message::read(&mut from) {
                     out.write_all(does(request).as_bytes()).unwrap_or(());
                 }
@@ -73,14 +87,26 @@
         let ran = Arc::<Mutex<Vec<Message>>>::default();
         let (kept, me) = (ran.clone(), id.to_string());
         let at = listen(move |request| {
-            let name = request.header("x-request-id").unwrap_or_default().to_string();
+            let name = request
+                .header("x-request-id")
+                .unwrap_or_default()
+                .to_string();
             if request.header("x-target-instance").is_some_and(|i| i != me) {
                 return answer("421 Other\r\nX-Not-Executed: 1", "");
             }
             kept.lock().expect("whole").push(request);
-            answer(&format!("200 OK\r\nX-Response-Seal: s\r\nX-Request-Id: {name}"), &me)
+            answer(
+                &format!("200 OK\r\nX-Response-Seal: s\r\nX-Request-Id: {name}"),
+                &me,
+            )
         });
-        Server { id: id.into(), service: service.into(), zone: zone.into(), at, ran }
+        Server {
+            id: id.into(),
+            service: service.into(),
+            zone: zone.into(),
+            at,
+            ran,
+        }
     }
 }
 
@@ -121,7 +147,11 @@
 
 impl Machine {
     fn programs(&self) -> &'static [&'static str] {
-        if self.core { &[REGISTRY, STORE] } else { &[PROXY] }
+        if self.core {
+            &[REGISTRY, STORE]
+        } else {
+            &[PROXY]
+        }
     }
 
     pub fn at(&self, port: u16) -> SocketAddr {
@@ -138,17 +168,27 @@
     pub fn new(plan: Plan, servers: &[Server]) -> Self {
         static STREETS: AtomicU32 = AtomicU32::new(0);
         let (n, process) = (STREETS.fetch_add(1, Ordering::SeqCst), std::process::id());
-        let (a, b) = ((100 + process % 140) as u8, ((process / 140 * 8 + n) % 250) as u8);
+        let (a, b) = (
+            (100 + process % 140) as u8,
+            ((process / 140 * 8 + n) % 250) as u8,
+        );
         let list = Arc::<Mutex<Vec<String>>>::default();
         let told = list.clone();
         let cloud = listen(move |_| {
             let all = told.lock().expect("whole").join(",");
-            answer("200 OK", &format!("{{\"instances\":[{all}],\"next_page_token\":null}}"))
+            answer(
+                "200 OK",
+                &format!("{{\"instances\":[{all}],\"next_page_token\":null}}"),
+            )
         });
         let mut machines = Vec::new();
         for (zone, region, edges, cores) in &plan.zones {
             for core in (0..edges + cores).map(|i| i >= *edges) {
-                let name = format!("{}-{zone}-{}", if core { "core" } else { "edge" }, machines.len());
+                let name = format!(
+                    "{}-{zone}-{}",
+                    if core { "core" } else { "edge" },
+                    machines.len()
+                );
                 let ip = Ipv4Addr::new(127, a, b, 1 + machines.len() as u8);
                 let (zone, region) = (zone.to_string(), region.to_string());
                 machines.push(Machine {
@@ -164,7 +204,14 @@
         }
         let folder = std::env::temp_dir().join(format!("damsonbeam-cluster-{process}-{n}"));
         let lines = channel();
-        let cluster = Cluster { machines, folder, plan, list, cloud, lines };
+        let cluster = Cluster {
+            machines,
+            folder,
+            plan,
+            list,
+            cloud,
+            lines,
+        };
         cluster.set_list(servers, &[]);
         cluster
     }
@@ -172,7 +219,11 @@
     /// The platform's list; those named drain.
     pub fn set_list(&self, servers: &[Server], draining: &[&str]) {
         let entry = |s: &Server| {
-            let state = if draining.contains(&&*s.id) { "draining" } else { "ready" };
+            let state = if draining.contains(&&*s.id) {
+                "draining"
+            } else {
+                "ready"
+            };
             format!(
                 r#"{{"id":"{}","target_service":"{}","address":"{}","zone":"{}","config_version":"v1","capacity_slots":4,"state":"{state}","cold_remaining_ms":0}}"#,
                 s.id, s.service, s.at, s.zone
@@ -182,18 +233,42 @@
     }
 
     fn settings(&self, machine: &Machine, program: &str, first: bool) -> String {
-        let zones = self.plan.zones.iter().map(|z| format!("\"{}\":\"{}\"", z.0, z.1)).collect::<Vec<_>>();
-        let first_three = || self.machines.iter().filter(|m| m.core).take(3).map(|m| m.at(CONTROL)).collect();
+        let zones = self
+            .plan
+            .zones
+            .iter()
+            .map(|z| format!("\"{}\":\"{}\"", z.0, z.1))
+            .collect::<Vec<_>>();
+        let first_three = || {
+            self.machines
+                .iter()
+                .filter(|m| m.core)
+                .take(3)
+                .map(|m| m.at(CONTROL))
+                .collect()
+        };
         let seeds: Vec<SocketAddr> = machine.seeds.clone().unwrap_or_else(first_three);
-        let seeds = seeds.iter().map(|s| format!("\"{s}\"")).collect::<Vec<_>>().join(",");
+        let seeds = seeds
+            .iter()
+            .map(|s| format!("\"{s}\""))
+            .collect::<Vec<_>>()
+            .join(",");
         let listens: &[(&str, u16)] = match program {
             PROXY => &[("front", FRONT), ("readiness", READY)],
             REGISTRY => &[("control", CONTROL), ("directory", DIRECTORY)],
             _ => &[],
         };
-        let listens = listens.iter().map(|l| format!("\"{}\":\"{}\"", l.0, machine.at(l.1)));
+        let listens = listens
+            .iter()
+            .map(|l| format!("\"{}\":\"{}\"", l.0, machine.at(l.1)));
         let listens = listens.collect::<Vec<_>>().join(",");
-        let bounds = self.plan.bounds.iter().map(|b| format!("\"{b}\"")).collect::<Vec<_>>().join(",");
+        let bounds = self
+            .plan
+            .bounds
+            .iter()
+            .map(|b| format!("\"{b}\""))
+            .collect::<Vec<_>>()
+            .join(",");
         let cloud = match self.plan.cloud {
             true => format!(
                 "{{\"address\":\"{}\",\"rate_per_s\":20.0,\"duties\":[],\"max_lag_ms\":100}}",
@@ -231,18 +306,31 @@
                 }
                 let text = self.settings(&self.machines[n], program, first);
                 std::fs::create_dir_all(&self.folder).expect("a folder");
-                let file = self.folder.join(format!("{}-{program}.json", self.machines[n].name));
+                let file = self
+                    .folder
+                    .join(format!("{}-{program}.json", self.machines[n].name));
                 std::fs::write(&file, text).expect("written");
                 // A write beyond a limit on file sizes is refused, as by a full disk, and ends nothing.
                 let mut command = Command::new("sh");
-                command.args(["-c", "trap '' XFSZ; exec \"$0\" \"$@\""]).arg(built(program));
-                command.env("DAMSONBEAM_CONFIG", file).env("DAMSONBEAM_LOG", "debug");
+                command
+                    .args(["-c", "trap '' XFSZ; exec \"$0\" \"$@\""])
+                    .arg(built(program));
+                command
+                    .env("DAMSONBEAM_CONFIG", file)
+                    .env("DAMSONBEAM_LOG", "debug");
                 if *program == PROXY {
                     command.args(self.plan.words);
                 }
                 let mut child = command.stderr(Stdio::piped()).spawn().expect("starts");
-                let (from, to) = (BufReader::new(child.stderr.take().expect("piped")), self.lines.0.clone());
-                thread::spawn(move || from.lines().map_while(Result::ok).all(|l| to.send(l).is_ok()));
+                let (from, to) = (
+                    BufReader::new(child.stderr.take().expect("piped")),
+                    self.lines.0.clone(),
+                );
+                thread::spawn(move || {
+                    from.lines()
+                        .map_while(Result::ok)
+                        .all(|l| to.send(l).is_ok())
+                });
                 self.machines[n].children.insert(program, child);
             }
         }
@@ -254,7 +342,9 @@
             for child in m.children.values_mut() {
                 child.kill().expect("killed");
             }
-            std::mem::take(&mut m.children).into_values().for_each(|mut c| drop(c.wait()));
+            std::mem::take(&mut m.children)
+                .into_values()
+                .for_each(|mut c| drop(c.wait()));
         }
     }
 
@@ -278,8 +368,14 @@
 
     pub fn signal_program(&self, machine: usize, program: &str, name: &str) {
         let child = &self.machines[machine].children[program];
-        let sent = Command::new("kill").arg(name).arg(child.id().to_string()).status();
-        assert!(sent.is_ok_and(|s| s.success()), "{name} is not sent to {program}");
+        let sent = Command::new("kill")
+            .arg(name)
+            .arg(child.id().to_string())
+            .status();
+        assert!(
+            sent.is_ok_and(|s| s.success()),
+            "{name} is not sent to {program}"
+        );
     }
 
     /// Stops all programs of those machines where they are; they say nothing until they are thawed.
@@ -310,21 +406,44 @@
 
     /// Refuses each write of a machine's store from now on, as a full disk does, or takes them again.
     pub fn set_disk_full(&self, machine: usize, full: bool) {
-        let limit = if full { "--fsize=1:unlimited" } else { "--fsize=unlimited:unlimited" };
+        let limit = if full {
+            "--fsize=1:unlimited"
+        } else {
+            "--fsize=unlimited:unlimited"
+        };
         let store = self.machines[machine].children[STORE].id().to_string();
-        let set = Command::new("prlimit").args(["--pid", &store, limit]).status();
-        assert!(set.is_ok_and(|s| s.success()), "prlimit does not set the limit");
+        let set = Command::new("prlimit")
+            .args(["--pid", &store, limit])
+            .status();
+        assert!(
+            set.is_ok_and(|s| s.success()),
+            "prlimit does not set the limit"
+        );
     }
 
     /// A machine for the core with an empty disk and those seeds; it does not run yet.
     pub fn add_core(&mut self, zone: &str, seeds: Vec<SocketAddr>) -> usize {
         let number = self.machines.len();
-        let region = self.plan.zones.iter().find(|z| z.0 == zone).expect("a zone of the plan").1;
+        let region = self
+            .plan
+            .zones
+            .iter()
+            .find(|z| z.0 == zone)
+            .expect("a zone of the plan")
+            .1;
         let [net, high, low, _] = self.machines[0].ip.octets();
         let ip = Ipv4Addr::new(net, high, low, 1 + number as u8);
         let name = format!("core-{zone}-{number}");
         let (zone, region, seeds) = (zone.to_string(), region.to_string(), Some(seeds));
-        self.machines.push(Machine { name, ip, zone, region, core: true, seeds, children: BTreeMap::new() });
+        self.machines.push(Machine {
+            name,
+            ip,
+            zone,
+            region,
+            core: true,
+            seeds,
+            children: BTreeMap::new(),
+        });
         number
     }
 
@@ -350,7 +469,11 @@
     /// The exit code of one program, once it has ended by itself.
     pub fn ended_program(&mut self, machine: usize, program: &str) -> Option<i32> {
         let child = self.machines[machine].children.remove(program);
-        child.expect("it was started").wait().expect("waited").code()
+        child
+            .expect("it was started")
+            .wait()
+            .expect("waited")
+            .code()
     }
 
     pub fn control(&self, machine: usize) -> SocketAddr {
@@ -366,16 +489,27 @@
     /// Exit codes of a machine's programs, once they have ended by themselves.
     pub fn ended(&mut self, machine: usize) -> Vec<Option<i32>> {
         let children = std::mem::take(&mut self.machines[machine].children);
-        children.into_values().map(|mut c| c.wait().expect("waited").code()).collect()
+        children
+            .into_values()
+            .map(|mut c| c.wait().expect("waited").code())
+            .collect()
     }
 
     pub fn edges(&self) -> Vec<SocketAddr> {
-        self.machines.iter().filter(|m| !m.core).map(|m| m.at(FRONT)).collect()
+        self.machines
+            .iter()
+            .filter(|m| !m.core)
+            .map(|m| m.at(FRONT))
+            .collect()
     }
 
     /// The operator's call, sent again to the next running core machine as long as none answers it clearly.
     pub fn order(&mut self, what: &str, body: &str) -> Message {
-        let all: Vec<SocketAddr> = self.running_core().into_iter().map(|n| self.control(n)).collect();
+        let all: Vec<SocketAddr> = self
+            .running_core()
+            .into_iter()
+            .map(|n| self.control(n))
+            .collect();
         let (mut answer, mut n) = (Message::default(), 0);
         self.until(what, |_| {
             answer = call(all[n % all.len()], what, body);
--- a/crates/ctl/tests/system/isolation.rs
+++ b/crates/ctl/tests/system/isolation.rs
@@ -14,7 +14,9 @@
 
 /// Nobody listens here.
 pub fn dead_seeds() -> Vec<SocketAddr> {
-    (1..=3).map(|n| SocketAddr::from(([127, 0, 77, n], crate::cluster::CONTROL))).collect()
+    (1..=3)
+        .map(|n| SocketAddr::from(([127, 0, 77, n], crate::cluster::CONTROL)))
+        .collect()
 }
 
 /// Asks those machines for so long: none acknowledges, refuses or reads anything.
@@ -27,11 +29,19 @@
             let body = set_route("r-alone", &format!("/alone-{}/", at.ip()), version);
             assert_eq!(change(at, &body), Outcome::Unclear, "{at}, change {round}");
             assert_eq!(read(at), None, "{at}, reading {round}");
-            assert_eq!(evacuate(at, "a", true), Outcome::Unclear, "{at}, evacuation {round}");
+            assert_eq!(
+                evacuate(at, "a", true),
+                Outcome::Unclear,
+                "{at}, evacuation {round}"
+            );
             thread::sleep(Duration::from_millis(50));
         }
     };
-    thread::scope(|scope| machines.iter().for_each(|at| drop(scope.spawn(move || ask_one(*at)))));
+    thread::scope(|scope| {
+        machines
+            .iter()
+            .for_each(|at| drop(scope.spawn(move || ask_one(*at))))
+    });
 }
 
 #[test]
@@ -63,23 +73,42 @@
 /// The machine that orders are passed on to is frozen: the others go on, and once woken it tells nothing old.
 #[test]
 fn a_frozen_machine_wakes_to_what_was_decided_meanwhile() {
-    let zones = vec![("a", "east", 1, 1), ("b", "west", 1, 1), ("c", "west", 0, 1)];
-    let plan = Plan { zones, bounds: BOUNDS.to_vec(), cloud: true, words: &[] };
+    let zones = vec![
+        ("a", "east", 1, 1),
+        ("b", "west", 1, 1),
+        ("c", "west", 0, 1),
+    ];
+    let plan = Plan {
+        zones,
+        bounds: BOUNDS.to_vec(),
+        cloud: true,
+        words: &[],
+    };
     let servers = [Server::start("i-1", "s", "a")];
     let mut cluster = Cluster::new(plan, &servers);
     cluster.begin();
     let edges = cluster.edges();
-    let proxies: Vec<usize> = (0..cluster.machines.len()).filter(|n| !cluster.machines[*n].core).collect();
-    let [first, ..] = cluster.running_core()[..] else { panic!("no core") };
+    let proxies: Vec<usize> = (0..cluster.machines.len())
+        .filter(|n| !cluster.machines[*n].core)
+        .collect();
+    let [first, ..] = cluster.running_core()[..] else {
+        panic!("no core")
+    };
     cluster.until("all serve", |_| edges.iter().all(|e| serves(*e, "/x/")));
     cluster.freeze(&[first]);
     cluster.kill_one(proxies[1]);
-    let others: Vec<usize> = cluster.running_core().into_iter().filter(|n| *n != first).collect();
+    let others: Vec<usize> = cluster
+        .running_core()
+        .into_iter()
+        .filter(|n| *n != first)
+        .collect();
     for version in 2..6 {
         let moved = set_route("r-1", &format!("/x{version}/"), version);
         cluster.change_at(others[version as usize % 2], &moved);
     }
-    cluster.until("the proxy serves by the last change", |_| serves(edges[0], "/x5/"));
+    cluster.until("the proxy serves by the last change", |_| {
+        serves(edges[0], "/x5/")
+    });
     // A fresh proxy may hear of the woken machine first.
     cluster.start_one(proxies[1]);
     cluster.thaw(&[first]);
@@ -87,12 +116,24 @@
     let until = Instant::now() + Duration::from_secs(3);
     let mut new_served = false;
     while Instant::now() < until {
-        assert!(read(woken).is_none_or(|text| text.contains("\"/x5/\"")), "an old configuration is read");
-        assert_eq!(get(edges[0], "/x/", KEY).status(), 404, "a proxy went back to an old configuration");
+        assert!(
+            read(woken).is_none_or(|text| text.contains("\"/x5/\"")),
+            "an old configuration is read"
+        );
+        assert_eq!(
+            get(edges[0], "/x/", KEY).status(),
+            404,
+            "a proxy went back to an old configuration"
+        );
         new_served |= serves(edges[1], "/x5/");
-        assert!(!new_served || get(edges[1], "/x/", KEY).status() == 404, "a fresh proxy went back");
+        assert!(
+            !new_served || get(edges[1], "/x/", KEY).status() == 404,
+            "a fresh proxy went back"
+        );
     }
-    cluster.until("the fresh proxy serves by the last change", |_| serves(edges[1], "/x5/"));
+    cluster.until("the fresh proxy serves by the last change", |_| {
+        serves(edges[1], "/x5/")
+    });
     cluster.until_level();
     assert!(cluster.read_at(first).contains("\"/x5/\""));
 }
--- a/crates/ctl/tests/system/minority.rs
+++ b/crates/ctl/tests/system/minority.rs
@@ -21,7 +21,9 @@
     cluster.kill_one(4);
     cluster.wipe(4);
     cluster.freeze(&[0, 1, 2, 3]);
-    cluster.until("the last machine holds the frozen ones for gone", |c| registries(c, 5) == Some(1));
+    cluster.until("the last machine holds the frozen ones for gone", |c| {
+        registries(c, 5) == Some(1)
+    });
     let other = cluster.control(5);
     cluster.set_seeds(4, [vec![other], dead_seeds()[..2].to_vec()].concat());
     cluster.start_one(4);
--- a/crates/ctl/tests/system/operator.rs
+++ b/crates/ctl/tests/system/operator.rs
@@ -36,7 +36,10 @@
 
 /// A call that sets one route; its prefix tells its content.
 pub fn set_route(name: &str, prefix: &str, version: u32) -> String {
-    format!(r#"{{"upserts":{{"route_list":[{}]}}}}"#, route(name, prefix, "s", version, ""))
+    format!(
+        r#"{{"upserts":{{"route_list":[{}]}}}}"#,
+        route(name, prefix, "s", version, "")
+    )
 }
 
 pub fn remove_route(name: &str, version: u32) -> String {
@@ -51,7 +54,15 @@
 }
 
 pub fn evacuate(at: SocketAddr, zone: &str, on: bool) -> Outcome {
-    call(at, &format!("{} /-/evacuations/{zone}", if on { "POST" } else { "DELETE" }), "").into()
+    call(
+        at,
+        &format!(
+            "{} /-/evacuations/{zone}",
+            if on { "POST" } else { "DELETE" }
+        ),
+        "",
+    )
+    .into()
 }
 
 /// The configuration as one machine reads it; none where it does not answer.
@@ -62,7 +73,10 @@
 
 /// Sends a change and goes away without its answer.
 pub fn send_and_hang_up(at: SocketAddr, body: &str) {
-    let head = format!("{PATCH} HTTP/1.1\r\nHost: x\r\nContent-Length: {}\r\n\r\n", body.len());
+    let head = format!(
+        "{PATCH} HTTP/1.1\r\nHost: x\r\nContent-Length: {}\r\n\r\n",
+        body.len()
+    );
     if let Ok(mut socket) = TcpStream::connect_timeout(&at, Duration::from_secs(1)) {
         socket.write_all((head + body).as_bytes()).ok();
     }
@@ -73,12 +87,19 @@
     pub fn begin(&mut self) {
         self.start(true, |_| true);
         let body = first(&[route("r-1", "/x/", "s", 1, "")], TENANT);
-        assert_eq!(Outcome::from(self.order(PATCH, &body)), Outcome::Acknowledged);
+        assert_eq!(
+            Outcome::from(self.order(PATCH, &body)),
+            Outcome::Acknowledged
+        );
     }
 
     /// Sends a change to whichever machine takes it.
     pub fn change_anywhere(&mut self, body: &str) {
-        assert_eq!(Outcome::from(self.order(PATCH, body)), Outcome::Acknowledged, "{body}");
+        assert_eq!(
+            Outcome::from(self.order(PATCH, body)),
+            Outcome::Acknowledged,
+            "{body}"
+        );
     }
 
     /// Sends a change to one machine until it is acknowledged; it must not be refused.
@@ -86,7 +107,10 @@
         let at = self.control(machine);
         self.until("the change is acknowledged", |_| {
             let outcome = change(at, body);
-            assert!(!matches!(outcome, Outcome::Refused(_)), "{outcome:?}: {body}");
+            assert!(
+                !matches!(outcome, Outcome::Refused(_)),
+                "{outcome:?}: {body}"
+            );
             outcome == Outcome::Acknowledged
         });
     }
@@ -106,7 +130,10 @@
         for machine in self.running_core() {
             let text = self.read_at(machine);
             for prefix in prefixes {
-                assert!(text.contains(prefix.as_str()), "{prefix} is not read at machine {machine}: {text}");
+                assert!(
+                    text.contains(prefix.as_str()),
+                    "{prefix} is not read at machine {machine}: {text}"
+                );
             }
         }
     }
@@ -114,7 +141,14 @@
     /// The digest of what a registry knows to be decided, as `damsonbeam-ctl state` tells it.
     pub fn digest(&self, machine: usize) -> Option<String> {
         let state = damsonbeam_ctl::state(self.control(machine)).ok()?;
-        Some(state.split("\"digest\":\"").nth(1)?.split('"').next()?.to_string())
+        Some(
+            state
+                .split("\"digest\":\"")
+                .nth(1)?
+                .split('"')
+                .next()?
+                .to_string(),
+        )
     }
 
     /// Waits as long as a machine that came counts as lost, and until all know the same.
@@ -126,7 +160,10 @@
     /// All running core machines know the same.
     pub fn until_level(&mut self) {
         self.until("all core machines know the same", |cluster| {
-            let mut digests = cluster.running_core().into_iter().map(|n| cluster.digest(n));
+            let mut digests = cluster
+                .running_core()
+                .into_iter()
+                .map(|n| cluster.digest(n));
             let first = digests.next().flatten();
             first.is_some() && digests.all(|d| d == first)
         });
--- a/crates/ctl/tests/system/orders.rs
+++ b/crates/ctl/tests/system/orders.rs
@@ -8,7 +8,12 @@
 /// Core machines alone, each in a zone of its own.
 pub fn core_only(zones: &[&'static str]) -> Plan {
     let zones = zones.iter().map(|z| (*z, *z, 0, 1)).collect();
-    Plan { zones, bounds: crate::BOUNDS.to_vec(), cloud: false, words: &[] }
+    Plan {
+        zones,
+        bounds: crate::BOUNDS.to_vec(),
+        cloud: false,
+        words: &[],
+    }
 }
 
 #[test]
@@ -16,7 +21,8 @@
     let mut cluster = Cluster::new(core_only(&["a", "b", "c"]), &[]);
     cluster.begin();
     let order = set_route("r-2", "/two/", 2);
-    let again_everywhere = |cluster: &mut Cluster| (0..3).for_each(|n| cluster.change_at(n, &order));
+    let again_everywhere =
+        |cluster: &mut Cluster| (0..3).for_each(|n| cluster.change_at(n, &order));
 
     // Its answer is lost; it is sent to another machine, and to the one that took it after its restart.
     send_and_hang_up(cluster.control(0), &order);
@@ -34,11 +40,15 @@
     cluster.change_at(2, &set_route("r-3", "/two/", 3));
     again_everywhere(&mut cluster);
     let text = cluster.read_at(1);
-    assert!(text.contains("\"r-3\"") && !text.contains("\"r-2\""), "{text}");
+    assert!(
+        text.contains("\"r-3\"") && !text.contains("\"r-2\""),
+        "{text}"
+    );
 
     // Eight at once, each at two machines at the same time.
-    let orders: Vec<String> =
-        (0..8).map(|n| set_route(&format!("r-at-once-{n}"), &format!("/at-once-{n}/"), 4)).collect();
+    let orders: Vec<String> = (0..8)
+        .map(|n| set_route(&format!("r-at-once-{n}"), &format!("/at-once-{n}/"), 4))
+        .collect();
     let tries: Vec<_> = (0..16)
         .map(|n| {
             let (at, body) = (cluster.control(n % 3), orders[n % 8].clone());
@@ -52,5 +62,9 @@
     for (n, body) in orders.iter().enumerate() {
         cluster.change_at((n + 1) % 3, body);
     }
-    cluster.all_read(&(0..8).map(|n| format!("\"/at-once-{n}/\"")).collect::<Vec<_>>());
+    cluster.all_read(
+        &(0..8)
+            .map(|n| format!("\"/at-once-{n}/\""))
+            .collect::<Vec<_>>(),
+    );
 }
--- a/crates/ctl/tests/system/replacement.rs
+++ b/crates/ctl/tests/system/replacement.rs
@@ -8,9 +8,21 @@
 use crate::{BOUNDS, serves};
 
 fn three_zones() -> (Plan, Vec<Server>) {
-    let zones = vec![("a", "east", 1, 1), ("b", "west", 0, 1), ("c", "south", 0, 1)];
+    let zones = vec![
+        ("a", "east", 1, 1),
+        ("b", "west", 0, 1),
+        ("c", "south", 0, 1),
+    ];
     let bounds = [&BOUNDS[..], &["catch_up_s=4"]].concat();
-    (Plan { zones, bounds, cloud: true, words: &[] }, vec![Server::start("i-1", "s", "a")])
+    (
+        Plan {
+            zones,
+            bounds,
+            cloud: true,
+            words: &[],
+        },
+        vec![Server::start("i-1", "s", "a")],
+    )
 }
 
 #[derive(Clone, Copy, PartialEq)]
@@ -47,8 +59,14 @@
     cluster.settle(since);
     cluster.kill_one(core[1]);
     cluster.change_anywhere(&set_route("r-4", "/four/", 4));
-    cluster.all_read(&["\"/two/\"".into(), "\"/three/\"".into(), "\"/four/\"".into()]);
-    cluster.until("the proxy serves by the last change", |_| serves(edge, "/four/"));
+    cluster.all_read(&[
+        "\"/two/\"".into(),
+        "\"/three/\"".into(),
+        "\"/four/\"".into(),
+    ]);
+    cluster.until("the proxy serves by the last change", |_| {
+        serves(edge, "/four/")
+    });
 }
 
 #[test]
@@ -76,24 +94,37 @@
         let (oldest, latest) = (core[0], core[core.len() - 1]);
         let zone = cluster.machines[oldest].zone.clone();
         let seeds = vec![gone, cluster.control(oldest), cluster.control(latest)];
-        let how = if round % 2 == 0 { End::AtOnce } else { End::InOrder };
+        let how = if round % 2 == 0 {
+            End::AtOnce
+        } else {
+            End::InOrder
+        };
         end(&mut cluster, oldest, how);
         let new = cluster.add_core(["a", "b", "c"][round % 3], seeds);
         assert_eq!(cluster.machines[new].zone, zone);
         cluster.start_one(new);
         let since = Instant::now();
         let version = round as u32 + 2;
-        cluster.change_anywhere(&set_route(&format!("r-{version}"), &format!("/round-{round}/"), version));
+        cluster.change_anywhere(&set_route(
+            &format!("r-{version}"),
+            &format!("/round-{round}/"),
+            version,
+        ));
         prefixes.push(format!("\"/round-{round}/\""));
         cluster.settle(since);
         cluster.all_read(&prefixes);
     }
-    assert!(cluster.running_core().iter().all(|n| !firsts.contains(n)), "a first machine is left");
+    assert!(
+        cluster.running_core().iter().all(|n| !firsts.contains(n)),
+        "a first machine is left"
+    );
     // A loss after it all is borne as at the start.
     let last = cluster.running_core()[0];
     cluster.kill_one(last);
     cluster.change_anywhere(&set_route("r-last", "/last/", 9));
     prefixes.push("\"/last/\"".into());
     cluster.all_read(&prefixes);
-    cluster.until("the proxy serves by the last change", |_| serves(edge, "/last/"));
+    cluster.until("the proxy serves by the last change", |_| {
+        serves(edge, "/last/")
+    });
 }
--- a/crates/gateway/src/account.rs
+++ b/crates/gateway/src/account.rs
@@ -39,8 +39,10 @@
             return;
         }
         if !self.counts.is_empty() {
-            let counts: Map<String, Value> =
-                std::mem::take(&mut self.counts).into_iter().map(|(k, n)| (k, n.into())).collect();
+            let counts: Map<String, Value> = std::mem::take(&mut self.counts)
+                .into_iter()
+                .map(|(k, n)| (k, n.into()))
+                .collect();
             let counts = Value::Object(counts);
             tracing::debug!(code = "account", version = VERSION, second = self.second, %counts, "");
         }
@@ -49,7 +51,15 @@
 
     pub fn event(&mut self, now: Duration, event: &Event) {
         match event {
-            Event::Invocation(i) => self.add(now, if i.repeat { "came.repeat" } else { "came.first" }, 1),
+            Event::Invocation(i) => self.add(
+                now,
+                if i.repeat {
+                    "came.repeat"
+                } else {
+                    "came.first"
+                },
+                1,
+            ),
             Event::Targets { form, entries } => {
                 if matches!(form, ListForm::Replace | ListForm::Restored) {
                     self.since.clear();
@@ -58,7 +68,14 @@
                 self.add(now, "list.pages", 1);
                 self.add(now, "list.entries", entries.len() as u64);
             }
-            Event::Outcome { inv, no, tgt, outcome, latency, .. } => {
+            Event::Outcome {
+                inv,
+                no,
+                tgt,
+                outcome,
+                latency,
+                ..
+            } => {
                 let ms = latency.as_millis() as u64;
                 let state = self.state(now, *tgt);
                 tracing::trace!(code = "delivery", inv = inv.0, no = no.0, tgt = tgt.0, state, outcome = ?outcome, ms, at = now.as_millis() as u64);
@@ -66,7 +83,9 @@
                 self.add(now, &name, 1);
                 self.add(now, "ended.ms", latency.as_millis() as u64);
             }
-            Event::Total { outcome, latency, .. } => {
+            Event::Total {
+                outcome, latency, ..
+            } => {
                 self.add(now, &format!("counter.{outcome:?}"), 1);
                 self.add(now, "counter.ms", latency.as_millis() as u64);
             }
@@ -84,7 +103,15 @@
                 self.add(now, &name, 1);
             }
             Action::Count { add, .. } => {
-                self.add(now, if *add == 0.0 { "asked.read" } else { "asked.add" }, 1);
+                self.add(
+                    now,
+                    if *add == 0.0 {
+                        "asked.read"
+                    } else {
+                        "asked.add"
+                    },
+                    1,
+                );
             }
             Action::Tell { .. } => self.add(now, "peers.told", 1),
             _ => {}
--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -44,7 +44,10 @@
 
 impl Pace {
     fn new(now: Duration) -> Pace {
-        Pace { saved: BEYOND as f64, at: now }
+        Pace {
+            saved: BEYOND as f64,
+            at: now,
+        }
     }
 
     /// Takes one, or says how long till there is one.
@@ -69,7 +72,11 @@
 
 impl Admission {
     pub fn new(now: Duration) -> Admission {
-        Admission { turned_away: Pace::new(now), ended: Pace::new(now), crowd: Duration::ZERO }
+        Admission {
+            turned_away: Pace::new(now),
+            ended: Pace::new(now),
+            crowd: Duration::ZERO,
+        }
     }
 
     /// What becomes of the next connection, with `open` of `most` places in use.
@@ -115,9 +122,15 @@
         let mut door = Admission::new(ms(0));
         assert_eq!(door.next(99, 100, Idle::Now, ms(0)), Next::Take);
         assert_eq!(door.next(100, 100, Idle::Now, ms(0)), Next::Evict);
-        assert_eq!(door.next(100, 100, Idle::Soon(ms(9)), ms(0)), Next::Leave(ms(9)));
+        assert_eq!(
+            door.next(100, 100, Idle::Soon(ms(9)), ms(0)),
+            Next::Leave(ms(9))
+        );
         assert_eq!(door.next(100, 100, Idle::None, ms(0)), Next::TurnAway);
-        assert_eq!(door.next(100 + BEYOND, 100, Idle::None, ms(0)), Next::Leave(TURN));
+        assert_eq!(
+            door.next(100 + BEYOND, 100, Idle::None, ms(0)),
+            Next::Leave(TURN)
+        );
     }
 
     /// The gateway was spent on refusals: each took an accept, an answer and a close (issue 23).
--- a/crates/gateway/src/attempts.rs
+++ b/crates/gateway/src/attempts.rs
@@ -121,7 +121,9 @@
         match verdict {
             Verdict::Succeeded => Ending::Succeeded,
             Verdict::Failed => Ending::Failed,
-            Verdict::Declined(refusal) => Ending::NotExecuted(NotExecuted(Evidence::Declined(refusal))),
+            Verdict::Declined(refusal) => {
+                Ending::NotExecuted(NotExecuted(Evidence::Declined(refusal)))
+            }
             Verdict::Misplaced => Ending::Unknown,
         }
     }
@@ -152,7 +154,10 @@
 
 impl Attempts {
     pub fn new(repeatable: Option<Repeatable>) -> Self {
-        Attempts { repeatable, all: Vec::new() }
+        Attempts {
+            repeatable,
+            all: Vec::new(),
+        }
     }
 
     /// The number of the next attempt.
@@ -163,7 +168,11 @@
     /// Counts an attempt, and gives the permit to send it where it may be sent at all.
     pub fn permit(&mut self) -> Option<SendPermit> {
         let allowed = self.repeatable.is_some() || self.none_executed();
-        self.all.push(if allowed { State::MayRun } else { State::NotExecuted });
+        self.all.push(if allowed {
+            State::MayRun
+        } else {
+            State::NotExecuted
+        });
         allowed.then_some(SendPermit(()))
     }
 
@@ -174,7 +183,9 @@
 
     /// No attempt was executed, and none will be.
     pub fn none_executed(&self) -> bool {
-        self.all.iter().all(|state| matches!(state, State::NotExecuted))
+        self.all
+            .iter()
+            .all(|state| matches!(state, State::NotExecuted))
     }
 
     pub fn is_empty(&self) -> bool {
--- a/crates/gateway/src/backends.rs
+++ b/crates/gateway/src/backends.rs
@@ -16,7 +16,9 @@
 use futures_util::stream::{FuturesUnordered, StreamExt};
 use hyper::body::Body;
 use hyper::client::conn::http1::{Builder, SendRequest};
-use hyper::header::{CONNECTION, CONTENT_LENGTH, HeaderMap, HeaderName, HeaderValue, TRANSFER_ENCODING};
+use hyper::header::{
+    CONNECTION, CONTENT_LENGTH, HeaderMap, HeaderName, HeaderValue, TRANSFER_ENCODING,
+};
 use hyper::{Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
 use socket2::SockRef;
@@ -72,7 +74,11 @@
 }
 
 impl AsyncRead for Wire {
-    fn poll_read(self: Pin<&mut Self>, cx: &mut Context, buf: &mut ReadBuf) -> Poll<io::Result<()>> {
+    fn poll_read(
+        self: Pin<&mut Self>,
+        cx: &mut Context,
+        buf: &mut ReadBuf,
+    ) -> Poll<io::Result<()>> {
         Pin::new(&mut *self.socket.borrow_mut()).poll_read(cx, buf)
     }
 }
@@ -209,7 +215,10 @@
     fn pool(&self, name: &str) -> Rc<Pool> {
         let mut pools = self.pools.borrow_mut();
         pools.retain(|p| p.1.strong_count() > 0);
-        let known = pools.iter().find(|p| !name.is_empty() && p.0 == name).and_then(|p| p.1.upgrade());
+        let known = pools
+            .iter()
+            .find(|p| !name.is_empty() && p.0 == name)
+            .and_then(|p| p.1.upgrade());
         known.unwrap_or_else(|| {
             let pool = Rc::<Pool>::default();
             pools.push((name.to_owned(), Rc::downgrade(&pool)));
@@ -222,9 +231,18 @@
     async fn room(&self) -> bool {
         let oldest = |p: &Rc<Pool>| p.borrow().first().map(|(_, at)| *at);
         if self.open.get() >= self.most {
-            let pools: Vec<_> = self.pools.borrow().iter().filter_map(|p| p.1.upgrade()).collect();
-            let idle = pools.iter().filter(|p| oldest(p).is_some()).min_by_key(|p| oldest(p));
-            idle.into_iter().for_each(|p| drop(p.borrow_mut().remove(0)));
+            let pools: Vec<_> = self
+                .pools
+                .borrow()
+                .iter()
+                .filter_map(|p| p.1.upgrade())
+                .collect();
+            let idle = pools
+                .iter()
+                .filter(|p| oldest(p).is_some())
+                .min_by_key(|p| oldest(p));
+            idle.into_iter()
+                .for_each(|p| drop(p.borrow_mut().remove(0)));
             for _ in 0..TURNS {
                 if self.open.get() < self.most {
                     break;
@@ -250,9 +268,19 @@
     pub fn hire(fleet: &Rc<Fleet>, at: SocketAddr, name: &Arc<str>) -> Peer {
         let (to, mailbox) = mpsc::channel(JOBS);
         let shut = Rc::<Cell<bool>>::default();
-        let backend = Backend { at, name: name.clone(), fleet: fleet.clone(), shut: shut.clone(), mailbox };
+        let backend = Backend {
+            at,
+            name: name.clone(),
+            fleet: fleet.clone(),
+            shut: shut.clone(),
+            mailbox,
+        };
         tokio::task::spawn_local(backend.run());
-        Peer { at, mailbox: to, shut }
+        Peer {
+            at,
+            mailbox: to,
+            shut,
+        }
     }
 
     /// Until the mailbox is closed and all deliveries have ended.
@@ -313,11 +341,23 @@
     socket.set_nodelay(true).map_err(|e| e.to_string())?;
     let (socket, meter) = (Rc::new(RefCell::new(socket)), Rc::<Meter>::default());
     let sends = fleet.figures.sends.clone();
-    let wire = Wire { socket: socket.clone(), meter: meter.clone(), sends, _open: open };
-    let handshake = Builder::new().max_buf_size(HEAD).handshake(TokioIo::new(wire)).await;
+    let wire = Wire {
+        socket: socket.clone(),
+        meter: meter.clone(),
+        sends,
+        _open: open,
+    };
+    let handshake = Builder::new()
+        .max_buf_size(HEAD)
+        .handshake(TokioIo::new(wire))
+        .await;
     let (send, conn) = handshake.map_err(|e| e.to_string())?;
     tokio::task::spawn_local(async move { conn.await.ok() });
-    Ok(Conn { send, socket: Rc::downgrade(&socket), meter })
+    Ok(Conn {
+        send,
+        socket: Rc::downgrade(&socket),
+        meter,
+    })
 }
 
 /// One delivery; its connection comes back if it can carry another.
@@ -328,10 +368,30 @@
     conn: Option<Conn>,
     job: Job,
 ) -> Option<Conn> {
-    let Job { inv, no, permit, ask, wait, line, replaces, to } = job;
+    let Job {
+        inv,
+        no,
+        permit,
+        ask,
+        wait,
+        line,
+        replaces,
+        to,
+    } = job;
     let tell = |ending, reply, report| {
         let module = to.clone();
-        async move { module.send(ToModule::Done(Done { inv, no, ending, reply, report })).await.ok() }
+        async move {
+            module
+                .send(ToModule::Done(Done {
+                    inv,
+                    no,
+                    ending,
+                    reply,
+                    report,
+                }))
+                .await
+                .ok()
+        }
     };
     let conn = match conn {
         Some(conn) => Ok(conn),
@@ -357,10 +417,15 @@
     replaces.into_iter().for_each(|overdue| overdue.give_up());
     *line.socket.borrow_mut() = conn.socket.clone();
     // Of a body whose length is not known, none can be told to be the last byte but by its end.
-    conn.meter.begin(ask.body.length().map_or(usize::MAX, |n| n as usize));
+    conn.meter
+        .begin(ask.body.length().map_or(usize::MAX, |n| n as usize));
     let attempt = permit.sent_over(conn.meter.clone());
     let coming = ask.body.coming();
-    let answer = match conn.send.send_request(request(&ask, wait, &*fleet.back, &name)).await {
+    let answer = match conn
+        .send
+        .send_request(request(&ask, wait, &*fleet.back, &name))
+        .await
+    {
         Ok(answer) => read(&fleet.rooms, answer).await,
         Err(e) => Err(e.to_string()),
     };
@@ -393,11 +458,21 @@
     }
     *line.socket.borrow_mut() = Weak::new();
     let report = report(&headers, &fleet.reports);
-    fleet.back.keep(&headers).into_iter().for_each(|k| fleet.keep.set(k * IDLE_PART.0 / IDLE_PART.1));
-    let close = headers.get(CONNECTION).is_some_and(|v| v.as_bytes().eq_ignore_ascii_case(b"close"));
+    fleet
+        .back
+        .keep(&headers)
+        .into_iter()
+        .for_each(|k| fleet.keep.set(k * IDLE_PART.0 / IDLE_PART.1));
+    let close = headers
+        .get(CONNECTION)
+        .is_some_and(|v| v.as_bytes().eq_ignore_ascii_case(b"close"));
     let reply = fleet.back.passes(verdict, status, &headers).then(|| {
         fleet.back.strip(&mut headers);
-        Reply { status, headers, body }
+        Reply {
+            status,
+            headers,
+            body,
+        }
     });
     tell(attempt.answered(verdict), reply, report).await;
     if let Some(end) = end
@@ -422,7 +497,10 @@
 
 async fn read(rooms: &Rooms, answer: Response<hyper::body::Incoming>) -> Result<Read, String> {
     let (head, mut body) = answer.into_parts();
-    let (length, chunks) = (head.headers.get(CONTENT_LENGTH), head.headers.get(TRANSFER_ENCODING));
+    let (length, chunks) = (
+        head.headers.get(CONTENT_LENGTH),
+        head.headers.get(TRANSFER_ENCODING),
+    );
     // A length given in both ways is given in none. With neither, the close of the connection ends it: a
     // machine that dies resets its connections, and a reset is no end.
     let chunked = chunks.map(|c| c.as_bytes().eq_ignore_ascii_case(b"chunked"));
@@ -437,10 +515,19 @@
         (Bytes::new(), false)
     } else {
         // What may be this large and does not say so has its room from what all answers share.
-        let room = if said.is_none() { Some(rooms.take(BODY).ok_or("no room for an answer")?) } else { None };
+        let room = if said.is_none() {
+            Some(rooms.take(BODY).ok_or("no room for an answer")?)
+        } else {
+            None
+        };
         let within = said.is_none().then_some(HELD);
-        let (first, whole) = bodies::begin(&mut body, within).await.map_err(|e| e.to_string())?;
-        (room.into_iter().fold(first, |first, room| room.keep(first)), whole)
+        let (first, whole) = bodies::begin(&mut body, within)
+            .await
+            .map_err(|e| e.to_string())?;
+        (
+            room.into_iter().fold(first, |first, room| room.keep(first)),
+            whole,
+        )
     };
     if whole {
         let body = Some(first).filter(|b| !b.is_empty());
@@ -448,16 +535,31 @@
     }
     // Its time is its first bytes': a head alone is no answer yet.
     let (through, end) = Through::new(first, body, said);
-    Ok((head.status, head.headers, Given::Through(Box::new(through)), Some(end)))
+    Ok((
+        head.status,
+        head.headers,
+        Given::Through(Box::new(through)),
+        Some(end),
+    ))
 }
 
 /// The values of a load report in the settings' order; none if it isn't whole.
 fn report(headers: &HeaderMap, names: &[String]) -> Report {
-    let Some(text) = headers.get(&LOAD).filter(|_| !names.is_empty()) else { return vec![] };
-    let fields: Vec<(&str, &str)> =
-        text.to_str().unwrap_or("").split(',').filter_map(|f| f.trim().split_once('=')).collect();
+    let Some(text) = headers.get(&LOAD).filter(|_| !names.is_empty()) else {
+        return vec![];
+    };
+    let fields: Vec<(&str, &str)> = text
+        .to_str()
+        .unwrap_or("")
+        .split(',')
+        .filter_map(|f| f.trim().split_once('='))
+        .collect();
     let value = |name: &String| fields.iter().find(|f| f.0 == name)?.1.parse().ok();
-    names.iter().map(value).collect::<Option<_>>().unwrap_or_default()
+    names
+        .iter()
+        .map(value)
+        .collect::<Option<_>>()
+        .unwrap_or_default()
 }
 
 /// Leaves the headers that are meant for the far end, and the name of an invocation in any case: a client
@@ -468,7 +570,14 @@
             headers.remove(name.trim());
         }
     }
-    for name in ["keep-alive", "proxy-connection", "te", "trailer", "upgrade", "expect"] {
+    for name in [
+        "keep-alive",
+        "proxy-connection",
+        "te",
+        "trailer",
+        "upgrade",
+        "expect",
+    ] {
         headers.remove(name);
     }
     headers.remove(CONTENT_LENGTH);
--- a/crates/gateway/src/bodies.rs
+++ b/crates/gateway/src/bodies.rs
@@ -31,7 +31,10 @@
 ///
 /// # Errors
 /// Where the body breaks off.
-pub async fn begin(body: &mut Incoming, within: Option<Duration>) -> Result<(Bytes, bool), hyper::Error> {
+pub async fn begin(
+    body: &mut Incoming,
+    within: Option<Duration>,
+) -> Result<(Bytes, bool), hyper::Error> {
     let mut parts: Vec<u8> = Vec::new();
     let until = within.map(|within| Instant::now() + within);
     while parts.len() <= BODY {
@@ -75,7 +78,12 @@
 }
 
 impl Coming {
-    pub fn new(first: Bytes, rest: Incoming, length: Option<u64>, whole: Box<dyn FnOnce()>) -> Rc<Self> {
+    pub fn new(
+        first: Bytes,
+        rest: Incoming,
+        length: Option<u64>,
+        whole: Box<dyn FnOnce()>,
+    ) -> Rc<Self> {
         Rc::new(Coming {
             came: Cell::new(first.len() as u64),
             first,
@@ -98,7 +106,9 @@
 
     /// Reads what still comes and drops it, so that the client goes on to read its answer.
     pub async fn drain(&self) {
-        let Some(mut rest) = self.rest.borrow_mut().take() else { return };
+        let Some(mut rest) = self.rest.borrow_mut().take() else {
+            return;
+        };
         let read = async {
             let mut read = 0;
             while let Ok(Some(Ok(frame))) = timeout(CLIENT_SILENT, rest.frame()).await {
@@ -113,18 +123,25 @@
 
     fn poll(&self, cx: &mut Context) -> Poll<Option<Result<Frame<Bytes>, Error>>> {
         let mut rest = self.rest.borrow_mut();
-        let Some(body) = rest.as_mut() else { return Poll::Ready(Some(Err("the body is given up".into()))) };
+        let Some(body) = rest.as_mut() else {
+            return Poll::Ready(Some(Err("the body is given up".into())));
+        };
         let frame = ready!(Pin::new(&mut *body).poll_frame(cx));
         if let Some(Ok(frame)) = &frame {
             self.spent.set(true);
-            self.came.set(self.came.get() + frame.data_ref().map_or(0, Bytes::len) as u64);
+            self.came
+                .set(self.came.get() + frame.data_ref().map_or(0, Bytes::len) as u64);
             if self.came.get() > LARGE as u64 {
                 return Poll::Ready(Some(Err("the body is too large".into())));
             }
         }
         if frame.is_none() || body.is_end_stream() {
             self.ended.set(true);
-            self.whole.borrow_mut().take().into_iter().for_each(|whole| whole());
+            self.whole
+                .borrow_mut()
+                .take()
+                .into_iter()
+                .for_each(|whole| whole());
         }
         Poll::Ready(frame.map(|f| f.map_err(Error::from)))
     }
@@ -166,7 +183,10 @@
 
     /// Ready once it has lasted for `most`.
     fn poll(&mut self, most: Duration, cx: &mut Context) -> Poll<()> {
-        self.0.get_or_insert_with(|| Box::pin(sleep(most))).as_mut().poll(cx)
+        self.0
+            .get_or_insert_with(|| Box::pin(sleep(most)))
+            .as_mut()
+            .poll(cx)
     }
 }
 
@@ -183,11 +203,21 @@
         match load {
             Load::Whole(bytes) => {
                 let first = Some(bytes.clone()).filter(|b| !b.is_empty());
-                Upload { first, rest: None, length: load.length(), silence: Silence::default() }
+                Upload {
+                    first,
+                    rest: None,
+                    length: load.length(),
+                    silence: Silence::default(),
+                }
             }
             Load::Coming(coming) => {
                 let (first, rest) = (Some(coming.first.clone()), Some(coming.clone()));
-                Upload { first, rest, length: coming.length, silence: Silence::default() }
+                Upload {
+                    first,
+                    rest,
+                    length: coming.length,
+                    silence: Silence::default(),
+                }
             }
         }
     }
@@ -197,11 +227,16 @@
     type Data = Bytes;
     type Error = Error;
 
-    fn poll_frame(mut self: Pin<&mut Self>, cx: &mut Context) -> Poll<Option<Result<Frame<Bytes>, Error>>> {
+    fn poll_frame(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context,
+    ) -> Poll<Option<Result<Frame<Bytes>, Error>>> {
         if let Some(first) = self.first.take() {
             return Poll::Ready(Some(Ok(Frame::data(first))));
         }
-        let Some(rest) = self.rest.clone() else { return Poll::Ready(None) };
+        let Some(rest) = self.rest.clone() else {
+            return Poll::Ready(None);
+        };
         match rest.poll(cx) {
             Poll::Ready(frame) => {
                 self.silence.broken();
@@ -219,7 +254,8 @@
     }
 
     fn size_hint(&self) -> SizeHint {
-        self.length.map_or_else(SizeHint::default, SizeHint::with_exact)
+        self.length
+            .map_or_else(SizeHint::default, SizeHint::with_exact)
     }
 }
 
@@ -248,11 +284,27 @@
 }
 
 impl Through {
-    pub fn new(first: Bytes, rest: Incoming, length: Option<u64>) -> (Self, oneshot::Receiver<End>) {
+    pub fn new(
+        first: Bytes,
+        rest: Incoming,
+        length: Option<u64>,
+    ) -> (Self, oneshot::Receiver<End>) {
         let (end, ended) = oneshot::channel();
         let first = Some(first).filter(|f| !f.is_empty());
         let (silence, count) = (Silence::default(), None);
-        (Through { first, rest, length, silence, broken: false, over: false, end: Some(end), count }, ended)
+        (
+            Through {
+                first,
+                rest,
+                length,
+                silence,
+                broken: false,
+                over: false,
+                end: Some(end),
+                count,
+            },
+            ended,
+        )
     }
 }
 
@@ -260,7 +312,10 @@
     type Data = Bytes;
     type Error = Error;
 
-    fn poll_frame(mut self: Pin<&mut Self>, cx: &mut Context) -> Poll<Option<Result<Frame<Bytes>, Error>>> {
+    fn poll_frame(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context,
+    ) -> Poll<Option<Result<Frame<Bytes>, Error>>> {
         if let Some(first) = self.first.take() {
             return Poll::Ready(Some(Ok(Frame::data(first))));
         }
@@ -286,7 +341,8 @@
     }
 
     fn size_hint(&self) -> SizeHint {
-        self.length.map_or_else(SizeHint::default, SizeHint::with_exact)
+        self.length
+            .map_or_else(SizeHint::default, SizeHint::with_exact)
     }
 }
 
@@ -312,7 +368,10 @@
     type Data = Bytes;
     type Error = Error;
 
-    fn poll_frame(mut self: Pin<&mut Self>, cx: &mut Context) -> Poll<Option<Result<Frame<Bytes>, Error>>> {
+    fn poll_frame(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context,
+    ) -> Poll<Option<Result<Frame<Bytes>, Error>>> {
         match &mut *self {
             Given::Whole(bytes) => Poll::Ready(bytes.take().map(|b| Ok(Frame::data(b)))),
             Given::Through(body) => Pin::new(&mut **body).poll_frame(cx),
@@ -328,7 +387,9 @@
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Given::Whole(bytes) => SizeHint::with_exact(bytes.as_ref().map_or(0, |b| b.len() as u64)),
+            Given::Whole(bytes) => {
+                SizeHint::with_exact(bytes.as_ref().map_or(0, |b| b.len() as u64))
+            }
             Given::Through(body) => body.size_hint(),
         }
     }
--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -96,7 +96,10 @@
 
 impl Default for Patience {
     fn default() -> Self {
-        Patience { whole: WHOLE, quiet: QUIET }
+        Patience {
+            whole: WHOLE,
+            quiet: QUIET,
+        }
     }
 }
 
@@ -162,7 +165,11 @@
 
     /// Connections with an answer still owed.
     pub fn owed(&self) -> usize {
-        self.conns.borrow().values().filter(|c| !c.is_free()).count()
+        self.conns
+            .borrow()
+            .values()
+            .filter(|c| !c.is_free())
+            .count()
     }
 
     /// Two processes are one gateway: until the other has ended, half of the connections are its.
@@ -178,8 +185,15 @@
     pub async fn accept(self: Rc<Self>, listener: Rc<TcpListener>) {
         loop {
             let (open, most) = (self.open(), self.most.get());
-            let (idle, id) = if open >= most { self.idle() } else { (Idle::None, None) };
-            let next = self.door.borrow_mut().next(open, most, idle, self.clock.now());
+            let (idle, id) = if open >= most {
+                self.idle()
+            } else {
+                (Idle::None, None)
+            };
+            let next = self
+                .door
+                .borrow_mut()
+                .next(open, most, idle, self.clock.now());
             match next {
                 Next::Take | Next::TurnAway => {}
                 Next::Evict => {
@@ -191,7 +205,11 @@
                 Next::Leave(wait) => {
                     if idle == Idle::None {
                         // Closing one would lose what it has sent.
-                        log!(warn, "clients-full", "{open} connections, all with invocations");
+                        log!(
+                            warn,
+                            "clients-full",
+                            "{open} connections, all with invocations"
+                        );
                     }
                     timeout(wait, self.gone.notified()).await.ok();
                     continue;
@@ -245,9 +263,19 @@
     /// A connection, until it ends or its client's time is over.
     async fn serve(self: Rc<Self>, conn: Rc<Conn>, full: bool) {
         let (clock, now) = (self.clock, self.now.clone());
-        let invoke = Invoke { conn: conn.clone(), clients: self };
-        let service = TowerToHyperService::new(PhaseService { full, inner: invoke });
-        let ear = ObservedSocket { socket: conn.socket.clone(), conn: conn.clone(), clock };
+        let invoke = Invoke {
+            conn: conn.clone(),
+            clients: self,
+        };
+        let service = TowerToHyperService::new(PhaseService {
+            full,
+            inner: invoke,
+        });
+        let ear = ObservedSocket {
+            socket: conn.socket.clone(),
+            conn: conn.clone(),
+            clock,
+        };
         let serving = http1::Builder::new()
             .auto_date_header(false)
             .max_buf_size(HEAD)
@@ -275,7 +303,11 @@
             }
             // Dropped with what it holds: a head that never ends would keep its place for good.
             let over = due.is_some() && alarm.as_mut().poll(cx).is_ready();
-            if over || conn.at_once.get() { Poll::Ready(Ok(())) } else { Poll::Pending }
+            if over || conn.at_once.get() {
+                Poll::Ready(Ok(()))
+            } else {
+                Poll::Pending
+            }
         });
         if let Err(e) = done.await
             && e.is_parse()
@@ -290,10 +322,14 @@
     fn idle(&self) -> (Idle, Option<u64>) {
         let (conns, now) = (self.conns.borrow(), self.clock.now());
         let free = conns.iter().filter(|(_, c)| c.is_free());
-        let mut free: Vec<_> = free.map(|(id, c)| ((c.proven.get(), c.since.get()), *id)).collect();
+        let mut free: Vec<_> = free
+            .map(|(id, c)| ((c.proven.get(), c.since.get()), *id))
+            .collect();
         free.sort_unstable();
         match free.into_iter().find(|(_, id)| !unread(&conns[id].socket)) {
-            Some(((false, since), _)) if now < since + GREET => (Idle::Soon(since + GREET - now), None),
+            Some(((false, since), _)) if now < since + GREET => {
+                (Idle::Soon(since + GREET - now), None)
+            }
             Some((_, id)) => (Idle::Now, Some(id)),
             None => (Idle::None, None),
         }
@@ -306,7 +342,10 @@
 
     /// Ends all connections, each after the answer that it owes.
     pub fn close(&self) {
-        self.conns.borrow().values().for_each(|c| c.close.notify_one());
+        self.conns
+            .borrow()
+            .values()
+            .for_each(|c| c.close.notify_one());
     }
 
     fn open(&self) -> usize {
--- a/crates/gateway/src/clients/connection.rs
+++ b/crates/gateway/src/clients/connection.rs
@@ -71,7 +71,10 @@
 
     /// Whether no whole request is on it, and no answer.
     pub(super) fn is_free(&self) -> bool {
-        matches!(self.stand.get(), Awaits::New | Awaits::Asking | Awaits::Quiet)
+        matches!(
+            self.stand.get(),
+            Awaits::New | Awaits::Asking | Awaits::Quiet
+        )
     }
 
     /// When its client's time for this stand is over.
@@ -112,7 +115,11 @@
 }
 
 impl AsyncRead for ObservedSocket {
-    fn poll_read(self: Pin<&mut Self>, cx: &mut Context, buf: &mut ReadBuf) -> Poll<io::Result<()>> {
+    fn poll_read(
+        self: Pin<&mut Self>,
+        cx: &mut Context,
+        buf: &mut ReadBuf,
+    ) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
         ready!(Pin::new(&mut *self.socket.borrow_mut()).poll_read(cx, buf))?;
         let came = &buf.filled()[before..];
--- a/crates/gateway/src/clients/invocation.rs
+++ b/crates/gateway/src/clients/invocation.rs
@@ -23,7 +23,11 @@
 impl Clients {
     /// The answer to a request that is not taken, for the program ends.
     pub(super) fn refusal(&self) -> ClientResponse {
-        let refused = Answer::Throttled { after: Some(ELSEWHERE), why: Why::Line, clean: true };
+        let refused = Answer::Throttled {
+            after: Some(ELSEWHERE),
+            why: Why::Line,
+            clean: true,
+        };
         self.front.encode("", None, refused)
     }
 
@@ -32,7 +36,9 @@
         let status = answer.status();
         let all = match status {
             StatusCode::OK => &self.figures.answered,
-            StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => &self.figures.deferred,
+            StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
+                &self.figures.deferred
+            }
             _ => &self.figures.errored,
         };
         let Given::Through(body) = answer.body_mut() else {
@@ -43,7 +49,11 @@
         body.count = Some(Box::new(move |end| {
             clients.figures.current.dec();
             let figures = &clients.figures;
-            let all = if end == End::Broken { &figures.errored } else { &figures.answered };
+            let all = if end == End::Broken {
+                &figures.errored
+            } else {
+                &figures.answered
+            };
             all.with_label_values(&[&*operation]).inc();
         }));
     }
@@ -56,9 +66,19 @@
     ) -> Result<ClientResponse, Rejection> {
         let (head, body) = request.into_parts();
         let inv = InvId(self.next.replace(self.next.get() + 1));
-        let Decoded { mut told, repeatable, name, mut about, left, headers, to } =
-            self.front.decode(inv, &head)?;
-        let body = self.body(conn, &head.method, body, told.inv, left, &to).await.map_err(rejection)?;
+        let Decoded {
+            mut told,
+            repeatable,
+            name,
+            mut about,
+            left,
+            headers,
+            to,
+        } = self.front.decode(inv, &head)?;
+        let body = self
+            .body(conn, &head.method, body, told.inv, left, &to)
+            .await
+            .map_err(rejection)?;
         told.coming = body.coming().is_some();
         // Its client's time runs from its last byte.
         let came = self.clock.now();
@@ -69,20 +89,43 @@
             return Err(rejection(StatusCode::CONFLICT));
         }
         self.figures.current.inc();
-        let mut held = Held { inv: told.inv, name, clients: self, to: to.clone(), answered: false };
+        let mut held = Held {
+            inv: told.inv,
+            name,
+            clients: self,
+            to: to.clone(),
+            answered: false,
+        };
         conn.proven.set(true);
         conn.turn(Awaits::Held, Duration::ZERO);
         let coming = body.coming().cloned();
-        let ask = Rc::new(Ask { method: head.method, uri: head.uri, headers, body });
+        let ask = Rc::new(Ask {
+            method: head.method,
+            uri: head.uri,
+            headers,
+            body,
+        });
         self.front.taken(&ask, &mut about);
         let (answer, answered) = oneshot::channel();
-        if to.send(ToModule::Invocation { told, left, repeatable, ask, answer }).await.is_err() {
+        if to
+            .send(ToModule::Invocation {
+                told,
+                left,
+                repeatable,
+                ask,
+                answer,
+            })
+            .await
+            .is_err()
+        {
             held.answered = true;
             return Err(rejection(StatusCode::SERVICE_UNAVAILABLE));
         }
         let answer = answered.await.unwrap_or(Answer::Errored);
         held.answered = true;
-        self.figures.answer_seconds.observe(self.clock.now().saturating_sub(came).as_secs_f64());
+        self.figures
+            .answer_seconds
+            .observe(self.clock.now().saturating_sub(came).as_secs_f64());
         if let Some(coming) = coming.filter(|c| !c.ended()) {
             conn.unread.set(true);
             tokio::task::spawn_local(async move { coming.drain().await });
@@ -118,19 +161,29 @@
         conn.turn(Awaits::Giving, self.clock.now());
         conn.began.set(self.clock.now());
         conn.came.set(0);
-        let (first, whole) = bodies::begin(&mut body, None).await.map_err(|_| StatusCode::BAD_REQUEST)?;
+        let (first, whole) = bodies::begin(&mut body, None)
+            .await
+            .map_err(|_| StatusCode::BAD_REQUEST)?;
         let first = room.keep(first);
         if whole {
             return Ok(Load::Whole(first));
         }
         let (module, clock) = (to.clone(), self.clock);
         let whole = move || {
-            let told = ToModule::Whole { inv, deadline: clock.now() + left };
+            let told = ToModule::Whole {
+                inv,
+                deadline: clock.now() + left,
+            };
             if let Err(mpsc::error::TrySendError::Full(told)) = module.try_send(told) {
                 tokio::task::spawn_local(async move { module.send(told).await.ok() });
             }
         };
-        Ok(Load::Coming(Coming::new(first, body, length, Box::new(whole))))
+        Ok(Load::Coming(Coming::new(
+            first,
+            body,
+            length,
+            Box::new(whole),
+        )))
     }
 }
 
--- a/crates/gateway/src/clients/services.rs
+++ b/crates/gateway/src/clients/services.rs
@@ -34,7 +34,11 @@
     }
 
     fn call(&mut self, request: Request<Incoming>) -> Answering {
-        let (conn, full, clients) = (self.inner.conn.clone(), self.full, self.inner.clients.clone());
+        let (conn, full, clients) = (
+            self.inner.conn.clone(),
+            self.full,
+            self.inner.clients.clone(),
+        );
         let up = clients.front.asks_up(request.uri());
         let both = conn.heads.borrow().both();
         // Where the next head starts is not known after one.
@@ -47,7 +51,9 @@
             let mut answer = match inner {
                 Some(inner) => {
                     let answer = inner.await?;
-                    clients.last_call.answered(clients.clock.now().saturating_sub(began));
+                    clients
+                        .last_call
+                        .answered(clients.clock.now().saturating_sub(began));
                     answer
                 }
                 // A second request may hide in its body.
@@ -72,7 +78,9 @@
             }
             let ends = full || both || chunked || sends_away || conn.unread.get();
             if ends || clients.door.borrow_mut().ends(clients.most.get(), now) {
-                answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+                answer
+                    .headers_mut()
+                    .insert(CONNECTION, HeaderValue::from_static("close"));
             }
             Ok(answer)
         })
@@ -97,6 +105,11 @@
 
     fn call(&mut self, request: Request<Incoming>) -> Answering {
         let (clients, conn) = (self.clients.clone(), self.conn.clone());
-        Box::pin(async move { Ok(clients.invoke(&conn, request).await.unwrap_or_else(|answer| *answer)) })
+        Box::pin(async move {
+            Ok(clients
+                .invoke(&conn, request)
+                .await
+                .unwrap_or_else(|answer| *answer))
+        })
     }
 }
--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -10,13 +10,21 @@
 
 impl Clock {
     pub fn start() -> Self {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { unix, start: Instant::now() }
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
+        Clock {
+            unix,
+            start: Instant::now(),
+        }
     }
 
     /// A clock that says `unix` now.
     pub fn at(unix: Duration) -> Self {
-        Clock { unix, start: Instant::now() }
+        Clock {
+            unix,
+            start: Instant::now(),
+        }
     }
 
     pub fn now(&self) -> Duration {
