--- a/crates/gateway/src/counter.rs
+++ b/crates/gateway/src/counter.rs
@@ -58,7 +58,11 @@
         let (before, keep) = (self.out.len(), call.keep.as_millis().max(1));
         write!(self.out, "tally {} {} {keep}\r\n", call.name, call.add).expect("memory takes it");
         self.end += (self.out.len() - before) as u64;
-        self.sent.push_back(Sent { at: call.at, call: Some(call), end: self.end });
+        self.sent.push_back(Sent {
+            at: call.at,
+            call: Some(call),
+            end: self.end,
+        });
     }
 
     fn write(&mut self, socket: &OwnedWriteHalf) -> Result<(), Error> {
@@ -80,9 +84,10 @@
 fn decode(line: &[u8]) -> Option<(Outcome, f64)> {
     let line = std::str::from_utf8(line).ok()?.trim_end();
     match line.split_once(' ') {
-        Some(("ok", total)) => {
-            Some((Outcome::Ok, total.trim().parse().ok().filter(|t: &f64| t.is_finite())?))
-        }
+        Some(("ok", total)) => Some((
+            Outcome::Ok,
+            total.trim().parse().ok().filter(|t: &f64| t.is_finite())?,
+        )),
         _ if line == "busy" || line.starts_with("error") => Some((Outcome::Full, 0.0)),
         _ => None,
     }
@@ -92,8 +97,13 @@
 /// calls behind it until the connection counts as silent.
 fn begins(line: &[u8]) -> bool {
     let number = |b: &u8| b.is_ascii_digit() || b" +-.eE\r".contains(b);
-    let word = [b"ok ".as_slice(), b"busy\r", b"error"].iter().any(|w| w.starts_with(line));
-    word || line.starts_with(b"error") || line.strip_prefix(b"ok ").is_some_and(|n| n.iter().all(number))
+    let word = [b"ok ".as_slice(), b"busy\r", b"error"]
+        .iter()
+        .any(|w| w.starts_with(line));
+    word || line.starts_with(b"error")
+        || line
+            .strip_prefix(b"ok ")
+            .is_some_and(|n| n.iter().all(number))
 }
 
 /// Why a connection was left.
@@ -125,10 +135,15 @@
             match self.connect(&mut waiting).await {
                 Some(Ok(socket)) => {
                     let began = self.clock.now();
-                    let mut stream = Stream { heard: began, patience, ..Stream::default() };
+                    let mut stream = Stream {
+                        heard: began,
+                        patience,
+                        ..Stream::default()
+                    };
                     waiting.drain(..).for_each(|call| stream.encode(call));
                     let why = self.talk(socket, &mut stream).await;
-                    let spoilt = matches!(&why, Some(Left::Broken(e)) if e.kind() == ErrorKind::InvalidData);
+                    let spoilt =
+                        matches!(&why, Some(Left::Broken(e)) if e.kind() == ErrorKind::InvalidData);
                     for (n, s) in std::mem::take(&mut stream.sent).into_iter().enumerate() {
                         let outcome = match s.end <= stream.written {
                             // Answered, so added, though how much is there by now can't be read.
@@ -139,7 +154,11 @@
                         self.tell(s.call, outcome, 0.0).await;
                     }
                     let mute = stream.heard == began;
-                    patience = if mute { (patience * 2).min(SILENT.max(self.timeout)) } else { self.timeout };
+                    patience = if mute {
+                        (patience * 2).min(SILENT.max(self.timeout))
+                    } else {
+                        self.timeout
+                    };
                     match why {
                         Some(Left::Broken(e)) => log!(warn, "counter-lost", "{}: {e}", self.at),
                         Some(Left::Moved) => {}
@@ -190,10 +209,13 @@
         let bad = |what| Error::new(ErrorKind::InvalidData, what);
         let mut from = 0;
         while let Some(n) = stream.read[from..].iter().position(|b| *b == b'\n') {
-            let (outcome, total) =
-                decode(&stream.read[from..from + n]).ok_or_else(|| bad("an answer that is none"))?;
+            let (outcome, total) = decode(&stream.read[from..from + n])
+                .ok_or_else(|| bad("an answer that is none"))?;
             from += n + 1;
-            let sent = stream.sent.pop_front().ok_or_else(|| bad("an answer to no call"))?;
+            let sent = stream
+                .sent
+                .pop_front()
+                .ok_or_else(|| bad("an answer to no call"))?;
             self.tell(sent.call, outcome, total).await;
         }
         stream.read.drain(..from);
@@ -277,8 +299,18 @@
     }
 
     async fn tell(&self, call: Option<Call>, outcome: Outcome, total: f64) {
-        let Some(Call { name, at, .. }) = call else { return };
+        let Some(Call { name, at, .. }) = call else {
+            return;
+        };
         let latency = self.clock.now().saturating_sub(at);
-        self.module.send(ToModule::Total { name, outcome, total, latency }).await.ok();
+        self.module
+            .send(ToModule::Total {
+                name,
+                outcome,
+                total,
+                latency,
+            })
+            .await
+            .ok();
     }
 }
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -8,7 +8,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use damsonbeam::interface::{CustomerId, GatewayId, InvId, Invocation, OpId, PlanId, Repeat, Settings};
+use damsonbeam::interface::{
+    CustomerId, GatewayId, InvId, Invocation, OpId, PlanId, Repeat, Settings,
+};
 use damsonbeam_admin::Figures;
 use hyper::header::{HeaderMap, HeaderValue, RETRY_AFTER};
 use hyper::http::request::Parts;
@@ -46,12 +48,28 @@
         let operation = |op: &OpId| {
             let o = &settings.operations[op.0];
             let (repeat, integration_timeout) = (o.repeat, o.integration_timeout);
-            (o.name.clone(), Operation { op: *op, repeat, integration_timeout })
+            (
+                o.name.clone(),
+                Operation {
+                    op: *op,
+                    repeat,
+                    integration_timeout,
+                },
+            )
         };
         Fields {
             operations: settings.in_force.operations.iter().map(operation).collect(),
-            plans: settings.in_force.plans.iter().map(|p| (settings.plans[p.0].name.clone(), *p)).collect(),
-            most_units: if settings.most_units > 0.0 { settings.most_units } else { f64::MAX },
+            plans: settings
+                .in_force
+                .plans
+                .iter()
+                .map(|p| (settings.plans[p.0].name.clone(), *p))
+                .collect(),
+            most_units: if settings.most_units > 0.0 {
+                settings.most_units
+            } else {
+                f64::MAX
+            },
             gateways: settings.gateways,
         }
     }
@@ -66,7 +84,10 @@
 
 impl PlatformRequests {
     pub fn new(settings: &Settings, figures: &Figures, module: mpsc::Sender<ToModule>) -> Self {
-        settings.operations.iter().for_each(|o| figures.name(&o.name));
+        settings
+            .operations
+            .iter()
+            .for_each(|o| figures.name(&o.name));
         PlatformRequests {
             fields: RefCell::new(Rc::new(Fields::new(settings))),
             figures: figures.clone(),
@@ -76,14 +97,28 @@
 
     /// New settings: requests are decoded by them from now on. The module must have them first.
     pub fn settle(&self, settings: &Settings) {
-        settings.operations.iter().for_each(|o| self.figures.name(&o.name));
+        settings
+            .operations
+            .iter()
+            .for_each(|o| self.figures.name(&o.name));
         *self.fields.borrow_mut() = Rc::new(Fields::new(settings));
     }
 
     /// What a request says, if all of it can be used.
-    fn read(&self, inv: InvId, method: &Method, uri: &hyper::Uri, headers: &HeaderMap) -> Option<Decoded> {
+    fn read(
+        &self,
+        inv: InvId,
+        method: &Method,
+        uri: &hyper::Uri,
+        headers: &HeaderMap,
+    ) -> Option<Decoded> {
         let plain = uri.scheme().is_none() && uri.authority().is_none();
-        let operation = uri.path().strip_prefix('/').filter(|_| plain)?.split('/').next()?;
+        let operation = uri
+            .path()
+            .strip_prefix('/')
+            .filter(|_| plain)?
+            .split('/')
+            .next()?;
         let fields = self.fields.borrow().clone();
         let asked = fields.operations.get(operation)?;
         if (asked.repeat == Repeat::Idempotent) != (method == Method::GET)
@@ -136,7 +171,15 @@
         let mut headers = headers.clone();
         end_to_end(&mut headers, &name);
         let repeatable = Repeatable::by(asked.repeat);
-        Some(Decoded { told, repeatable, name, about: None, left, headers, to: self.module.clone() })
+        Some(Decoded {
+            told,
+            repeatable,
+            name,
+            about: None,
+            left,
+            headers,
+            to: self.module.clone(),
+        })
     }
 }
 
@@ -147,14 +190,22 @@
 
     fn named(&self, uri: &hyper::Uri) -> Option<Arc<str>> {
         let name = uri.path().strip_prefix('/')?.split('/').next()?;
-        Some(self.fields.borrow().operations.get_key_value(name)?.0.clone())
+        Some(
+            self.fields
+                .borrow()
+                .operations
+                .get_key_value(name)?
+                .0
+                .clone(),
+        )
     }
 
     fn decode(&self, inv: InvId, head: &Parts) -> Result<Decoded, Rejection> {
-        self.read(inv, &head.method, &head.uri, &head.headers).ok_or_else(|| {
-            log!(warn, "invocation-malformed", "{} {}", head.method, head.uri);
-            rejection(StatusCode::BAD_REQUEST)
-        })
+        self.read(inv, &head.method, &head.uri, &head.headers)
+            .ok_or_else(|| {
+                log!(warn, "invocation-malformed", "{} {}", head.method, head.uri);
+                rejection(StatusCode::BAD_REQUEST)
+            })
     }
 
     fn encode(&self, _: &str, _: About, answer: Answer) -> ClientResponse {
--- a/crates/gateway/src/handover.rs
+++ b/crates/gateway/src/handover.rs
@@ -22,7 +22,11 @@
 /// then a second process can't listen anyway.
 pub fn path(name: &str) -> Option<PathBuf> {
     std::env::var_os("NODE_LISTEN_FD")?;
-    let plain: String = name.chars().filter(|c| c.is_ascii_alphanumeric() || *c == '-').take(40).collect();
+    let plain: String = name
+        .chars()
+        .filter(|c| c.is_ascii_alphanumeric() || *c == '-')
+        .take(40)
+        .collect();
     Some(PathBuf::from(std::env::var_os("TMPDIR")?).join(format!("damsonbeam-{plain}.sock")))
 }
 
@@ -37,19 +41,33 @@
 impl Link {
     fn new(stream: UnixStream) -> Self {
         let (from, to) = stream.into_split();
-        Link { from: BufReader::new(from).take(LINE), to, line: Vec::new() }
+        Link {
+            from: BufReader::new(from).take(LINE),
+            to,
+            line: Vec::new(),
+        }
     }
 
     /// Greets the process that serves; none where there is none, or it does not listen.
     pub async fn greet(path: &PathBuf, name: &str) -> Option<Link> {
-        let mut link = Link::new(timeout(ANSWER, UnixStream::connect(path)).await.ok()?.ok()?);
-        let hello = Said::Hello { version: VERSION, name: name.to_owned() };
+        let mut link = Link::new(
+            timeout(ANSWER, UnixStream::connect(path))
+                .await
+                .ok()?
+                .ok()?,
+        );
+        let hello = Said::Hello {
+            version: VERSION,
+            name: name.to_owned(),
+        };
         link.say(&hello).await.then_some(link)
     }
 
     /// False where the other is gone, or does not read.
     pub async fn say(&mut self, said: &Said) -> bool {
-        let Ok(mut line) = serde_json::to_vec(said) else { return false };
+        let Ok(mut line) = serde_json::to_vec(said) else {
+            return false;
+        };
         line.push(b'\n');
         matches!(timeout(ANSWER, self.to.write_all(&line)).await, Ok(Ok(())))
     }
@@ -84,7 +102,12 @@
         match UnixListener::bind(path) {
             Ok(listener) => Some(Seat { listener }),
             Err(e) => {
-                log!(warn, "handover-off", "{}: {e}; no other process can follow this one", path.display());
+                log!(
+                    warn,
+                    "handover-off",
+                    "{}: {e}; no other process can follow this one",
+                    path.display()
+                );
                 None
             }
         }
--- a/crates/gateway/src/heads.rs
+++ b/crates/gateway/src/heads.rs
@@ -35,7 +35,8 @@
             }
             let end = bytes.iter().position(|b| *b == b'\n');
             let part = &bytes[..end.unwrap_or(bytes.len())];
-            self.line.extend_from_slice(&part[..part.len().min(LINE - self.line.len())]);
+            self.line
+                .extend_from_slice(&part[..part.len().min(LINE - self.line.len())]);
             let Some(end) = end else { return };
             bytes = &bytes[end + 1..];
             self.line_ended();
--- a/crates/gateway/src/last_call.rs
+++ b/crates/gateway/src/last_call.rs
@@ -30,6 +30,8 @@
 
     /// Whether a request that comes now can be expected to be answered in time.
     pub fn takes(&self, now: Duration) -> bool {
-        self.end.get().is_none_or(|end| now + self.slow.get() * MARGIN <= end)
+        self.end
+            .get()
+            .is_none_or(|end| now + self.slow.get() * MARGIN <= end)
     }
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -36,8 +36,12 @@
 fn serve() -> Result<(), String> {
     let config = config::Config::read()?;
     // One core, one thread. Tasks of a `LocalSet` would write to the poller's wake-up at each turn.
-    let runtime = Builder::new_current_thread().enable_all().build_local(LocalOptions::default());
-    runtime.map_err(|e| format!("runtime: {e}"))?.block_on(life::Life::default().run(config))
+    let runtime = Builder::new_current_thread()
+        .enable_all()
+        .build_local(LocalOptions::default());
+    runtime
+        .map_err(|e| format!("runtime: {e}"))?
+        .block_on(life::Life::default().run(config))
 }
 
 /// From start to exit.
--- a/crates/gateway/src/life.rs
+++ b/crates/gateway/src/life.rs
@@ -102,16 +102,27 @@
     /// Greetings, and what is said after one; never, where nobody can follow.
     async fn heard(&mut self, name: &str) -> Heard {
         if self.link.is_none() {
-            let Some(seat) = &self.seat else { return pending().await };
+            let Some(seat) = &self.seat else {
+                return pending().await;
+            };
             self.link = seat.came().await;
         }
-        let Some(link) = &mut self.link else { return Heard::Lost };
+        let Some(link) = &mut self.link else {
+            return Heard::Lost;
+        };
         // One that came and says nothing must not keep out the next.
-        let said = if self.step == Elder::Alone { link.hear_soon().await } else { link.hear().await };
+        let said = if self.step == Elder::Alone {
+            link.hear_soon().await
+        } else {
+            link.hear().await
+        };
         match said {
-            Some(Said::Hello { version, name: whose }) => {
-                Heard::Hello { ours: version == VERSION && whose == name }
-            }
+            Some(Said::Hello {
+                version,
+                name: whose,
+            }) => Heard::Hello {
+                ours: version == VERSION && whose == name,
+            },
             Some(Said::Prepared) => Heard::Prepared,
             Some(Said::Taken) => Heard::Taken,
             _ => Heard::Lost,
@@ -123,8 +134,14 @@
     /// From start to exit.
     pub async fn run(self, config: Config) -> Result<(), String> {
         let name = config.name.clone();
-        config.notes.iter().for_each(|note| log!(info, "not-on-sockets", "{note}"));
-        config.unknown.iter().for_each(|key| log!(warn, "key-unknown", "{key}: not read"));
+        config
+            .notes
+            .iter()
+            .for_each(|note| log!(info, "not-on-sockets", "{note}"));
+        config
+            .unknown
+            .iter()
+            .for_each(|key| log!(warn, "key-unknown", "{key}: not read"));
         let mut running = self.start(config).await?;
         running.serves().await;
         self.now.enter(Stage::Serving, &name);
@@ -214,7 +231,11 @@
     async fn hand_over(&self, running: &mut Running, does: Does) -> Result<(), String> {
         let name = running.name.clone();
         log!(info, "handover", "{name}: {does:?}");
-        running.figures.handovers.with_label_values(&[&format!("{does:?}")]).inc();
+        running
+            .figures
+            .handovers
+            .with_label_values(&[&format!("{does:?}")])
+            .inc();
         let mut link = running.succession.link.take();
         let mut say = async |said: Said| {
             let there = match &mut link {
@@ -239,14 +260,22 @@
             }
             Does::SendCarry => {
                 let (to, carry) = oneshot::channel();
-                running.module.send(ToModule::Yield(to)).await.map_err(|e| e.to_string())?;
+                running
+                    .module
+                    .send(ToModule::Yield(to))
+                    .await
+                    .map_err(|e| e.to_string())?;
                 if let Ok(Ok(carry)) = timeout(CARRY, carry).await {
                     say(Said::Carry(carry)).await;
                 }
             }
             Does::SendClientsAway => self.now.enter(Stage::Yielded, &name),
             Does::Resume => {
-                running.module.send(ToModule::Resume).await.map_err(|e| e.to_string())?;
+                running
+                    .module
+                    .send(ToModule::Resume)
+                    .await
+                    .map_err(|e| e.to_string())?;
                 running.accept();
                 if let Some(path) = &running.succession.path {
                     running.succession.seat = Seat::take(path);
@@ -271,7 +300,12 @@
         if let Some(at) = config.admin {
             let now = self.now.clone();
             let ready = Arc::new(move || now.stage().serves());
-            Admin { figures: figures.clone(), ready, orders: to_life }.start(at)?;
+            Admin {
+                figures: figures.clone(),
+                ready,
+                orders: to_life,
+            }
+            .start(at)?;
         }
         let path = handover::path(&config.name);
         let mut younger = Younger::Greeted;
@@ -302,20 +336,46 @@
             &figures,
         );
         let now = self.now.clone();
-        let front = Rc::new(PlatformRequests::new(&config.settings, &figures, to_module.clone()));
-        let clients = Clients::new(front.clone(), config.clients, config.bodies, clock, now, &figures);
+        let front = Rc::new(PlatformRequests::new(
+            &config.settings,
+            &figures,
+            to_module.clone(),
+        ));
+        let clients = Clients::new(
+            front.clone(),
+            config.clients,
+            config.bodies,
+            clock,
+            now,
+            &figures,
+        );
         let clients = Rc::new(clients);
         let (limits, facts) = (&config.settings.limits, config.facts);
         let actors = FuturesUnordered::new();
-        let counter = config.settings.counter.as_ref().zip(places.counter).map(|(set, at)| {
-            let (to, mailbox) = mpsc::channel(PEER_ROOM);
-            let (timeout, connect_timeout) = (set.timeout, limits.connect_timeout);
-            let counter = Counter { at, timeout, connect_timeout, clock, module: to_module.clone(), mailbox };
-            actors.push(tokio::task::spawn_local(counter.run()));
-            to
-        });
+        let counter = config
+            .settings
+            .counter
+            .as_ref()
+            .zip(places.counter)
+            .map(|(set, at)| {
+                let (to, mailbox) = mpsc::channel(PEER_ROOM);
+                let (timeout, connect_timeout) = (set.timeout, limits.connect_timeout);
+                let counter = Counter {
+                    at,
+                    timeout,
+                    connect_timeout,
+                    clock,
+                    module: to_module.clone(),
+                    mailbox,
+                };
+                actors.push(tokio::task::spawn_local(counter.run()));
+                to
+            });
         let me = config.settings.me;
-        let others = (0..config.peers.len() as u32).map(GatewayId).filter(|g| *g != me).collect();
+        let others = (0..config.peers.len() as u32)
+            .map(GatewayId)
+            .filter(|g| *g != me)
+            .collect();
         let wants_witness = config.witness;
         let peers = match config.peer_listen.filter(|_| limits.tell) {
             None => None,
@@ -324,7 +384,14 @@
                 let socket = Peers::bind(at).map_err(|e| format!("peer_listen: {at}: {e}"))?;
                 let (peers, all) = (config.peers, config.peers_all);
                 tokio::task::spawn_local(
-                    Peers { socket, peers, all, module: to_module.clone(), mailbox }.run(),
+                    Peers {
+                        socket,
+                        peers,
+                        all,
+                        module: to_module.clone(),
+                        mailbox,
+                    }
+                    .run(),
                 );
                 Some(to)
             }
@@ -356,7 +423,10 @@
             shown: config.admin.is_some(),
             carry: None,
         };
-        to_module.send(ToModule::Listed(known)).await.map_err(|e| e.to_string())?;
+        to_module
+            .send(ToModule::Listed(known))
+            .await
+            .map_err(|e| e.to_string())?;
         actors.push(tokio::task::spawn_local(module.run()));
         let list = List {
             at: places.discovery,
@@ -369,8 +439,12 @@
             first: Some(first),
         };
         actors.push(tokio::task::spawn_local(list.run()));
-        let listener = listen(config.listen).map_err(|e| format!("listen: {}: {e}", config.listen))?;
-        let succession = Succession { path, ..Succession::default() };
+        let listener =
+            listen(config.listen).map_err(|e| format!("listen: {}: {e}", config.listen))?;
+        let succession = Succession {
+            path,
+            ..Succession::default()
+        };
         let mut running = Running {
             name: config.name,
             clients,
@@ -403,14 +477,26 @@
         }
         if let Some(mut link) = elder {
             if younger.prepared() {
-                let said = if link.say(&Said::Prepared).await { link.hear_soon().await } else { None };
+                let said = if link.say(&Said::Prepared).await {
+                    link.hear_soon().await
+                } else {
+                    None
+                };
                 younger.on(said.as_ref());
                 if let Some(Said::Carry(carry)) = said {
-                    running.module.send(ToModule::Carried(carry)).await.map_err(|e| e.to_string())?;
+                    running
+                        .module
+                        .send(ToModule::Carried(carry))
+                        .await
+                        .map_err(|e| e.to_string())?;
                 }
             }
             log!(info, "handover", "{}: younger: {younger:?}", running.name);
-            running.figures.handovers.with_label_values(&[&format!("{younger:?}")]).inc();
+            running
+                .figures
+                .handovers
+                .with_label_values(&[&format!("{younger:?}")])
+                .inc();
             if younger == Younger::Follows {
                 running.clients.beside();
                 running.elder = Some(link);
@@ -432,12 +518,19 @@
 /// The clients' socket: the one that the platform hands over in `NODE_LISTEN_FD`, else one of our own.
 fn listen(at: SocketAddr) -> Result<TcpListener, String> {
     if let Some(fd) = std::env::var_os("NODE_LISTEN_FD") {
-        let fd = fd.to_str().and_then(|fd| fd.parse().ok()).filter(|fd: &i32| *fd > 2);
+        let fd = fd
+            .to_str()
+            .and_then(|fd| fd.parse().ok())
+            .filter(|fd: &i32| *fd > 2);
         let fd = fd.ok_or("NODE_LISTEN_FD: no number of a descriptor")?;
         return inherited(fd).map_err(|e| format!("NODE_LISTEN_FD: {fd}: {e}"));
     }
     let own = || {
-        let socket = if at.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
+        let socket = if at.is_ipv4() {
+            TcpSocket::new_v4()
+        } else {
+            TcpSocket::new_v6()
+        }?;
         socket.set_reuseaddr(true)?;
         socket.bind(at)?;
         socket.listen(BACKLOG)
@@ -483,7 +576,12 @@
 
     /// From SIGTERM to the exit at the latest.
     fn grace(&self) -> Duration {
-        let longest = self.settings.operations.iter().map(|o| o.integration_timeout).max();
+        let longest = self
+            .settings
+            .operations
+            .iter()
+            .map(|o| o.integration_timeout)
+            .max();
         longest.unwrap_or_default().max(LONGEST) + ACCEPT_ON - BEFORE
     }
 
@@ -494,15 +592,24 @@
         self.settings = self.settings.follow(config.settings);
         // The module first: what is decoded by the new names is told in their positions.
         let settings = Box::new(self.settings.clone());
-        self.module.send(ToModule::Settings(settings)).await.map_err(|e| e.to_string())?;
+        self.module
+            .send(ToModule::Settings(settings))
+            .await
+            .map_err(|e| e.to_string())?;
         self.front.settle(&self.settings);
         if new.discovery != old.discovery {
-            self.list.send(ToList::Move(new.discovery)).await.map_err(|e| e.to_string())?;
+            self.list
+                .send(ToList::Move(new.discovery))
+                .await
+                .map_err(|e| e.to_string())?;
         }
         if let (Some(counter), Some(at)) = (&self.counter, new.counter)
             && new.counter != old.counter
         {
-            counter.send(ToCounter::Move(at)).await.map_err(|e| e.to_string())?;
+            counter
+                .send(ToCounter::Move(at))
+                .await
+                .map_err(|e| e.to_string())?;
         }
         (self.places, self.source) = (new, config.source);
         self.figures.conf_loaded.inc();
--- a/crates/gateway/src/list.rs
+++ b/crates/gateway/src/list.rs
@@ -66,8 +66,10 @@
         if news.complete {
             self.members.clear();
         }
-        self.members.retain(|m| news.members.iter().all(|n| n.id != m.id));
-        self.members.extend(news.members.iter().filter(|m| m.phase != "left").cloned());
+        self.members
+            .retain(|m| news.members.iter().all(|n| n.id != m.id));
+        self.members
+            .extend(news.members.iter().filter(|m| m.phase != "left").cloned());
     }
 }
 
@@ -80,7 +82,11 @@
 
 impl Numbers {
     pub fn new(zones: Vec<String>, kinds: Vec<String>) -> Self {
-        Numbers { zones, kinds, ids: HashMap::new() }
+        Numbers {
+            zones,
+            kinds,
+            ids: HashMap::new(),
+        }
     }
 
     /// How many names it knows.
@@ -123,8 +129,11 @@
             weight: m.size,
         };
         let stay = |m: &Member| m.phase != "left";
-        let (stay, left): (Vec<_>, Vec<_>) =
-            page.members.iter().map(|m| (m.id.clone(), stay(m))).partition(|m| m.1);
+        let (stay, left): (Vec<_>, Vec<_>) = page
+            .members
+            .iter()
+            .map(|m| (m.id.clone(), stay(m)))
+            .partition(|m| m.1);
         let entries = page.members.into_iter().map(entry).collect();
         // Backends are replaced for ever: names that are gone must not stay, or they fill the memory.
         if form == ListForm::Update {
@@ -135,7 +144,12 @@
             let stay: HashSet<_> = stay.into_iter().map(|(id, _)| id).collect();
             self.ids.retain(|id, _| stay.contains(id));
         }
-        Listed { form, entries, addrs, names: vec![] }
+        Listed {
+            form,
+            entries,
+            addrs,
+            names: vec![],
+        }
     }
 }
 
@@ -205,7 +219,11 @@
                 Some(Ok(Ok(page))) => {
                     from = Some(page.revision);
                     // Only what says that it is complete is: backends absent from it are gone.
-                    let form = if page.complete { ListForm::Replace } else { ListForm::Update };
+                    let form = if page.complete {
+                        ListForm::Replace
+                    } else {
+                        ListForm::Update
+                    };
                     if page.complete || !page.members.is_empty() {
                         self.last_list.borrow_mut().join(&page);
                         let listed = self.numbers.listed(page, form);
@@ -217,8 +235,14 @@
                 }
                 None => watching = false,
                 Some(failed) => {
-                    let why = failed.map_or("no answer".to_owned(), |r| r.err().unwrap_or_default());
-                    log!(warn, "list-unavailable", "{}: {why}; the last list stays", self.at);
+                    let why =
+                        failed.map_or("no answer".to_owned(), |r| r.err().unwrap_or_default());
+                    log!(
+                        warn,
+                        "list-unavailable",
+                        "{}: {why}; the last list stays",
+                        self.at
+                    );
                     if self.mode == Discovery::Subscribed {
                         watching = false;
                         let none = Listed {
@@ -249,16 +273,26 @@
         None => {
             let stream = TcpStream::connect(at).await.map_err(|e| e.to_string())?;
             stream.set_nodelay(true).map_err(|e| e.to_string())?;
-            let (send, conn) = handshake(TokioIo::new(stream)).await.map_err(|e| e.to_string())?;
+            let (send, conn) = handshake(TokioIo::new(stream))
+                .await
+                .map_err(|e| e.to_string())?;
             tokio::task::spawn_local(async move { conn.await.ok() });
             send
         }
     };
     send.ready().await.map_err(|e| e.to_string())?;
-    let request = Request::get(path).header(HOST, at.to_string()).body(Empty::new());
-    let answer = send.send_request(request.map_err(|e| e.to_string())?).await.map_err(|e| e.to_string())?;
+    let request = Request::get(path)
+        .header(HOST, at.to_string())
+        .body(Empty::new());
+    let answer = send
+        .send_request(request.map_err(|e| e.to_string())?)
+        .await
+        .map_err(|e| e.to_string())?;
     let status = answer.status();
-    let body = Limited::new(answer.into_body(), BYTES).collect().await.map_err(|e| e.to_string())?;
+    let body = Limited::new(answer.into_body(), BYTES)
+        .collect()
+        .await
+        .map_err(|e| e.to_string())?;
     if status != StatusCode::OK {
         return Err(format!("status {status}"));
     }
--- a/crates/gateway/src/mail.rs
+++ b/crates/gateway/src/mail.rs
@@ -139,7 +139,9 @@
     pub fn give_up(&self) {
         self.over.set(true);
         if let Some(socket) = self.socket.borrow().upgrade() {
-            SockRef::from(&*socket.borrow()).shutdown(Shutdown::Both).ok();
+            SockRef::from(&*socket.borrow())
+                .shutdown(Shutdown::Both)
+                .ok();
         }
     }
 }
--- a/crates/gateway/src/meter.rs
+++ b/crates/gateway/src/meter.rs
@@ -21,10 +21,16 @@
 
     pub fn wrote(&self, mut bytes: &[u8]) {
         while self.head.get() {
-            let Some((&b, rest)) = bytes.split_first() else { return };
+            let Some((&b, rest)) = bytes.split_first() else {
+                return;
+            };
             bytes = rest;
             let mark = self.mark.get();
-            let next = if b == b"\r\n\r\n"[mark] { mark + 1 } else { usize::from(b == b'\r') };
+            let next = if b == b"\r\n\r\n"[mark] {
+                mark + 1
+            } else {
+                usize::from(b == b'\r')
+            };
             self.mark.set(next);
             self.head.set(next < 4);
         }
--- a/crates/gateway/src/module.rs
+++ b/crates/gateway/src/module.rs
@@ -123,7 +123,9 @@
 impl Module {
     pub async fn run(mut self) {
         if self.witness.is_some() {
-            self.state.due.insert((self.clock.now() + witness::EVERY, Due::Report));
+            self.state
+                .due
+                .insert((self.clock.now() + witness::EVERY, Due::Report));
         }
         if self.shown {
             self.state.due.insert((self.clock.now(), Due::Figures));
@@ -171,17 +173,29 @@
     }
 
     fn report(&mut self, now: Duration) {
-        let (Some((witness, to)), Some(peers)) = (&mut self.witness, &self.peers) else { return };
+        let (Some((witness, to)), Some(peers)) = (&mut self.witness, &self.peers) else {
+            return;
+        };
         let admitted = self.rules.admitted(now);
         for bytes in witness.report(&admitted, DATAGRAM) {
             for g in to.iter() {
-                peers.try_send(ToPeers { to: Some(*g), bytes: bytes.clone() }).ok();
+                peers
+                    .try_send(ToPeers {
+                        to: Some(*g),
+                        bytes: bytes.clone(),
+                    })
+                    .ok();
             }
         }
         let at = witness.all_told(to, now);
         let others = admitted.into_iter().map(|a| {
             let units = witness.others(&a.name, now);
-            Others { customer: a.customer, slot: a.slot, units, at }
+            Others {
+                customer: a.customer,
+                slot: a.slot,
+                units,
+                at,
+            }
         });
         let others = others.collect();
         self.state.due.insert((now + witness::EVERY, Due::Report));
@@ -190,7 +204,13 @@
 
     fn mail(&mut self, mail: ToModule) {
         match mail {
-            ToModule::Invocation { told, left, repeatable, ask, answer } => {
+            ToModule::Invocation {
+                told,
+                left,
+                repeatable,
+                ask,
+                answer,
+            } => {
                 let (deadline, coming) = (told.deadline, told.coming.then_some(left));
                 let held = Held {
                     ask,
@@ -221,7 +241,9 @@
             ToModule::AnswerAll(told) => drop(told.send(self.answer_all())),
             ToModule::Carried(carry) => self.feed(Event::Carried(carry)),
             ToModule::Left { inv } => {
-                let Some(held) = self.state.held.get_mut(&inv) else { return };
+                let Some(held) = self.state.held.get_mut(&inv) else {
+                    return;
+                };
                 held.overdue.take().into_iter().for_each(Overdue::give_up);
                 if held.answer.take().is_some() {
                     self.feed(Event::Left { inv });
@@ -231,28 +253,60 @@
             ToModule::Done(done) => {
                 let (inv, no) = (done.inv, done.no);
                 // One whose time was over has had its outcome.
-                let Some(out) = self.end(inv, no) else { return self.overdue_done(done) };
-                let Done { ending, reply, report, .. } = done;
+                let Some(out) = self.end(inv, no) else {
+                    return self.overdue_done(done);
+                };
+                let Done {
+                    ending,
+                    reply,
+                    report,
+                    ..
+                } = done;
                 let outcome = ending.outcome();
-                if let (Ending::NotExecuted(proof), Some(held)) = (ending, self.state.held.get_mut(&inv)) {
+                if let (Ending::NotExecuted(proof), Some(held)) =
+                    (ending, self.state.held.get_mut(&inv))
+                {
                     held.attempts.not_executed(no, proof);
                 }
                 match (reply, self.state.held.get_mut(&inv)) {
-                    (Some(reply), _) if outcome == Outcome::Ok => self.answer(inv, Answer::Succeeded(reply)),
+                    (Some(reply), _) if outcome == Outcome::Ok => {
+                        self.answer(inv, Answer::Succeeded(reply))
+                    }
                     (spare @ Some(_), Some(held)) => held.spare = spare,
                     _ => {}
                 }
                 self.tell(inv, no, &out, outcome, report);
             }
-            ToModule::Total { name, outcome, total, latency } => {
-                self.figures.counter_calls.with_label_values(&[self::name(outcome)]).inc();
-                let others = self.witness.as_ref().map_or(0.0, |(w, _)| w.others(&name, self.clock.now()));
-                self.feed(Event::Total { name, outcome, total, others, latency });
+            ToModule::Total {
+                name,
+                outcome,
+                total,
+                latency,
+            } => {
+                self.figures
+                    .counter_calls
+                    .with_label_values(&[self::name(outcome)])
+                    .inc();
+                let others = self
+                    .witness
+                    .as_ref()
+                    .map_or(0.0, |(w, _)| w.others(&name, self.clock.now()));
+                self.feed(Event::Total {
+                    name,
+                    outcome,
+                    total,
+                    others,
+                    latency,
+                });
             }
             ToModule::Listed(listed) => self.listed(listed),
             ToModule::Peer { from, bytes } => {
                 let now = self.clock.now();
-                if !self.witness.as_mut().is_some_and(|(w, _)| w.heard(from.0, &bytes, now)) {
+                if !self
+                    .witness
+                    .as_mut()
+                    .is_some_and(|(w, _)| w.heard(from.0, &bytes, now))
+                {
                     self.feed(Event::Peer { from, bytes })
                 }
             }
@@ -260,7 +314,15 @@
     }
 
     /// Backends have an actor from the first list that names them to the one that has them gone.
-    fn listed(&mut self, Listed { form, entries, addrs, names }: Listed) {
+    fn listed(
+        &mut self,
+        Listed {
+            form,
+            entries,
+            addrs,
+            names,
+        }: Listed,
+    ) {
         let unnamed: Arc<str> = "".into();
         if matches!(form, ListForm::Replace | ListForm::Restored) {
             let named: BTreeSet<TgtId> = entries.iter().map(|e| e.tgt).collect();
@@ -270,7 +332,9 @@
             if e.health == Health::Gone {
                 self.state.backends.remove(&e.tgt);
             } else if self.state.backends.get(&e.tgt).is_none_or(|b| b.at != at) {
-                self.state.backends.insert(e.tgt, (self.hire)(at, names.get(n).unwrap_or(&unnamed)));
+                self.state
+                    .backends
+                    .insert(e.tgt, (self.hire)(at, names.get(n).unwrap_or(&unnamed)));
             }
             if let Some(peer) = self.state.backends.get(&e.tgt) {
                 peer.shut.set(e.health != Health::Up);
@@ -282,9 +346,15 @@
     /// A body's last byte has come: its deliveries' times run from now.
     fn whole(&mut self, inv: InvId, deadline: Duration) {
         let now = self.clock.now();
-        let Some(held) = self.state.held.get_mut(&inv) else { return };
+        let Some(held) = self.state.held.get_mut(&inv) else {
+            return;
+        };
         (held.deadline, held.coming) = (deadline, None);
-        for (no, out) in held.deliveries.iter_mut().enumerate().filter_map(|(no, o)| Some((no, o.as_mut()?)))
+        for (no, out) in held
+            .deliveries
+            .iter_mut()
+            .enumerate()
+            .filter_map(|(no, o)| Some((no, o.as_mut()?)))
         {
             let no = DeliveryNo(no as u32);
             self.state.due.remove(&(out.until, Due::Delivery(inv, no)));
@@ -296,19 +366,45 @@
 
     /// Takes a delivery off those out.
     fn end(&mut self, inv: InvId, no: DeliveryNo) -> Option<Out> {
-        let out = self.state.held.get_mut(&inv)?.deliveries.get_mut(no.0 as usize)?.take()?;
+        let out = self
+            .state
+            .held
+            .get_mut(&inv)?
+            .deliveries
+            .get_mut(no.0 as usize)?
+            .take()?;
         // Left there, it would wake the gateway for nothing.
         self.state.due.remove(&(out.until, Due::Delivery(inv, no)));
         Some(out)
     }
 
     /// How a delivery ended; the invocation is closed if its final answer has gone out.
-    fn ended(&self, inv: InvId, no: DeliveryNo, out: &Out, outcome: Outcome, report: Report) -> Event {
-        self.figures.deliveries.with_label_values(&[name(outcome)]).inc();
+    fn ended(
+        &self,
+        inv: InvId,
+        no: DeliveryNo,
+        out: &Out,
+        outcome: Outcome,
+        report: Report,
+    ) -> Event {
+        self.figures
+            .deliveries
+            .with_label_values(&[name(outcome)])
+            .inc();
         let closed = self.state.held.get(&inv).is_none_or(|h| h.answer.is_none());
         let latency = self.clock.now().saturating_sub(out.sent);
         let (tgt, used, true_units) = (out.tgt, None, None);
-        Event::Outcome { inv, no, tgt, outcome, latency, closed, used, true_units, report }
+        Event::Outcome {
+            inv,
+            no,
+            tgt,
+            outcome,
+            latency,
+            closed,
+            used,
+            true_units,
+            report,
+        }
     }
 
     fn tell(&mut self, inv: InvId, no: DeliveryNo, out: &Out, outcome: Outcome, report: Report) {
@@ -341,7 +437,9 @@
     }
 
     fn answer(&mut self, inv: InvId, answer: Answer) {
-        let Some(held) = self.state.held.get_mut(&inv) else { return };
+        let Some(held) = self.state.held.get_mut(&inv) else {
+            return;
+        };
         held.overdue.take().into_iter().for_each(Overdue::give_up);
         held.answer.take().map(|to| to.send(answer).ok());
     }
@@ -378,14 +476,36 @@
                     self.tidy(inv);
                 }
             }
-            Action::Throttle { inv, retry_after, why } => {
-                let sent = self.state.held.get(&inv).is_some_and(|h| !h.attempts.is_empty());
-                let when = if sent { "after_delivery" } else { "before_delivery" };
+            Action::Throttle {
+                inv,
+                retry_after,
+                why,
+            } => {
+                let sent = self
+                    .state
+                    .held
+                    .get(&inv)
+                    .is_some_and(|h| !h.attempts.is_empty());
+                let when = if sent {
+                    "after_delivery"
+                } else {
+                    "before_delivery"
+                };
                 self.figures.turned_away.with_label_values(&[when]).inc();
-                self.figures.turned_away_why.with_label_values(&[why.name()]).inc();
+                self.figures
+                    .turned_away_why
+                    .with_label_values(&[why.name()])
+                    .inc();
                 let held = self.state.held.get(&inv);
                 let clean = held.is_none_or(|h| h.attempts.none_executed());
-                self.fail(inv, Answer::Throttled { after: retry_after, why, clean });
+                self.fail(
+                    inv,
+                    Answer::Throttled {
+                        after: retry_after,
+                        why,
+                        clean,
+                    },
+                );
                 self.tidy(inv);
             }
             Action::Error { inv } => {
@@ -397,12 +517,22 @@
                 self.tidy(inv);
             }
             Action::Timer { after, token } => {
-                self.state.due.insert((self.clock.now() + after, Due::Token(token)));
+                self.state
+                    .due
+                    .insert((self.clock.now() + after, Due::Token(token)));
             }
             Action::Count { name, add, keep } => {
-                let call = Call { name, add, keep, at: self.clock.now() };
+                let call = Call {
+                    name,
+                    add,
+                    keep,
+                    at: self.clock.now(),
+                };
                 let left = match &self.counter {
-                    Some(counter) => counter.try_send(ToCounter::Call(call)).err().map(|e| e.into_inner()),
+                    Some(counter) => counter
+                        .try_send(ToCounter::Call(call))
+                        .err()
+                        .map(|e| e.into_inner()),
                     None => Some(ToCounter::Call(call)),
                 };
                 if let Some(ToCounter::Call(Call { name, .. })) = left {
@@ -425,7 +555,12 @@
             Action::Probe { tgt } => {
                 // The platform's protocol has no probes.
                 let (outcome, latency, report) = (Outcome::Ignored, Duration::ZERO, vec![]);
-                self.state.next.push_back(Event::Probed { tgt, outcome, latency, report });
+                self.state.next.push_back(Event::Probed {
+                    tgt,
+                    outcome,
+                    latency,
+                    report,
+                });
             }
             Action::Tell { to, bytes } => {
                 if let Some(peers) = &self.peers {
--- a/crates/gateway/src/module/delivery.rs
+++ b/crates/gateway/src/module/delivery.rs
@@ -12,15 +12,26 @@
 impl Module {
     pub(super) fn deliver(&mut self, inv: InvId, tgt: TgtId, timeout: Option<Duration>) {
         let now = self.clock.now();
-        let Some(held) = self.state.held.get_mut(&inv) else { return };
+        let Some(held) = self.state.held.get_mut(&inv) else {
+            return;
+        };
         let no = held.attempts.next();
         let line = Rc::<Line>::default();
         let left = held.deadline.saturating_sub(now);
         let wait = timeout.map_or(left, |t| t.min(left));
-        let out = Out { tgt, sent: now, until: now + wait, line: line.clone() };
+        let out = Out {
+            tgt,
+            sent: now,
+            until: now + wait,
+            line: line.clone(),
+        };
         held.deliveries.push(None);
         let Some(permit) = held.attempts.permit() else {
-            log!(error, "repeat-refused", "an attempt that may run twice is not sent");
+            log!(
+                error,
+                "repeat-refused",
+                "an attempt that may run twice is not sent"
+            );
             return self.tell_next(inv, no, &out, Outcome::Ignored);
         };
         if held.answer.is_none() || left.is_zero() {
@@ -46,8 +57,16 @@
         // While its body comes no client's time runs; the backend is told what will.
         let told = held.coming.unwrap_or(wait);
         let replaces = held.overdue.as_ref().map(Overdue::line);
-        let job =
-            Job { inv, no, permit, ask: held.ask.clone(), wait: told, line, replaces, to: self.me.clone() };
+        let job = Job {
+            inv,
+            no,
+            permit,
+            ask: held.ask.clone(),
+            wait: told,
+            line,
+            replaces,
+            to: self.me.clone(),
+        };
         let Some(job) = self.post(tgt, job) else {
             self.state.due.insert((out.until, Due::Delivery(inv, no)));
             let held = self.state.held.get_mut(&inv).expect("seen above");
@@ -63,7 +82,9 @@
 
     /// Hands a delivery to its backend's actor; it comes back where there is no room or no actor.
     fn post(&self, tgt: TgtId, job: Job) -> Option<Job> {
-        let Some(backend) = self.state.backends.get(&tgt) else { return Some(job) };
+        let Some(backend) = self.state.backends.get(&tgt) else {
+            return Some(job);
+        };
         match backend.mailbox.try_send(ToBackend::Deliver(job)) {
             Ok(()) => None,
             Err(refused) => match refused.into_inner() {
--- a/crates/gateway/src/module/overdue.rs
+++ b/crates/gateway/src/module/overdue.rs
@@ -42,13 +42,17 @@
     /// The time for an attempt is over: the one that the decision module set for it, or its client's.
     pub(super) fn timed_out(&mut self, inv: InvId, number: DeliveryNo) {
         let now = self.clock.now();
-        let Some(held) = self.state.held.get(&inv) else { return };
+        let Some(held) = self.state.held.get(&inv) else {
+            return;
+        };
         let deadline = held.deadline;
         let clients_time_is_over = now >= deadline || held.answer.is_none();
         if !clients_time_is_over && self.guard.as_ref().is_some_and(|g| !g.may_give_up()) {
             return self.extend(inv, number, deadline);
         }
-        let Some(out) = self.end(inv, number) else { return };
+        let Some(out) = self.end(inv, number) else {
+            return;
+        };
         if clients_time_is_over || self.guard.is_none() {
             out.line.give_up();
             return self.tell(inv, number, &out, Outcome::TimedOut, vec![]);
@@ -58,14 +62,21 @@
         let again = now.saturating_sub(out.sent) * TIMES_AGAIN;
         let until = now + again.min((deadline - now) / PART_OF_TIME_LEFT);
         if let Some(held) = self.state.held.get_mut(&inv) {
-            let before = held.overdue.replace(Overdue { number, out, until, failure: None });
+            let before = held.overdue.replace(Overdue {
+                number,
+                out,
+                until,
+                failure: None,
+            });
             before.into_iter().for_each(Overdue::give_up);
         }
         self.feed(event);
     }
 
     fn extend(&mut self, inv: InvId, number: DeliveryNo, until: Duration) {
-        let Some(held) = self.state.held.get_mut(&inv) else { return };
+        let Some(held) = self.state.held.get_mut(&inv) else {
+            return;
+        };
         if let Some(Some(out)) = held.deliveries.get_mut(number.0 as usize) {
             out.until = until;
             self.state.due.insert((until, Due::Delivery(inv, number)));
@@ -76,9 +87,13 @@
     pub(super) fn put_off(&mut self, inv: InvId, failure: Answer) -> Option<Answer> {
         let now = self.clock.now();
         let stays = self.guard.as_ref().is_some_and(|g| !g.may_give_up());
-        let Some(held) = self.state.held.get_mut(&inv) else { return Some(failure) };
+        let Some(held) = self.state.held.get_mut(&inv) else {
+            return Some(failure);
+        };
         let deadline = held.deadline;
-        let Some(overdue) = held.overdue.as_mut() else { return Some(failure) };
+        let Some(overdue) = held.overdue.as_mut() else {
+            return Some(failure);
+        };
         if stays {
             overdue.until = deadline;
         }
@@ -94,9 +109,13 @@
     pub(super) fn overdue_ended(&mut self, inv: InvId) {
         let now = self.clock.now();
         let stays = self.guard.as_ref().is_some_and(|g| !g.may_give_up());
-        let Some(held) = self.state.held.get_mut(&inv) else { return };
+        let Some(held) = self.state.held.get_mut(&inv) else {
+            return;
+        };
         let deadline = held.deadline;
-        let Some(overdue) = held.overdue.as_mut().filter(|o| o.failure.is_some()) else { return };
+        let Some(overdue) = held.overdue.as_mut().filter(|o| o.failure.is_some()) else {
+            return;
+        };
         if stays && now < deadline {
             overdue.until = deadline;
             self.state.due.insert((deadline, Due::Overdue(inv)));
@@ -107,9 +126,22 @@
     }
 
     /// How an attempt ended that was overdue.
-    pub(super) fn overdue_done(&mut self, Done { inv, no, ending, reply, .. }: Done) {
-        let Some(held) = self.state.held.get_mut(&inv) else { return };
-        let Some(mut overdue) = held.overdue.take_if(|o| o.number == no) else { return };
+    pub(super) fn overdue_done(
+        &mut self,
+        Done {
+            inv,
+            no,
+            ending,
+            reply,
+            ..
+        }: Done,
+    ) {
+        let Some(held) = self.state.held.get_mut(&inv) else {
+            return;
+        };
+        let Some(mut overdue) = held.overdue.take_if(|o| o.number == no) else {
+            return;
+        };
         let known_failure = overdue.failure.take();
         let undecided = known_failure.is_none();
         let answer = match (ending, reply) {
@@ -145,9 +177,11 @@
 /// A failure by what is known of its request's attempts now.
 fn proven(failure: Answer, held: &Held) -> Answer {
     match failure {
-        Answer::Throttled { after, why, .. } => {
-            Answer::Throttled { after, why, clean: held.attempts.none_executed() }
-        }
+        Answer::Throttled { after, why, .. } => Answer::Throttled {
+            after,
+            why,
+            clean: held.attempts.none_executed(),
+        },
         other => other,
     }
 }
--- a/crates/gateway/src/module/stop.rs
+++ b/crates/gateway/src/module/stop.rs
@@ -10,12 +10,16 @@
     /// Refuses what waits and has not run: its client has time left to go elsewhere.
     pub(super) fn refuse_unsent(&mut self) -> Unanswered {
         let unanswered = self.unanswered();
-        let (unsent, at_work): (Vec<InvId>, Vec<InvId>) =
-            unanswered.into_iter().partition(|inv| self.state.held[inv].attempts.none_executed());
+        let (unsent, at_work): (Vec<InvId>, Vec<InvId>) = unanswered
+            .into_iter()
+            .partition(|inv| self.state.held[inv].attempts.none_executed());
         for inv in &unsent {
             self.drop_with(*inv, refusal());
         }
-        Unanswered { refused: unsent.len(), at_work: at_work.len() }
+        Unanswered {
+            refused: unsent.len(),
+            at_work: at_work.len(),
+        }
     }
 
     /// Answers all that is left: refused where it has not run, an error where it may have.
@@ -28,7 +32,11 @@
     }
 
     fn unanswered(&self) -> Vec<InvId> {
-        let waiting = self.state.held.iter().filter(|(_, held)| held.answer.is_some());
+        let waiting = self
+            .state
+            .held
+            .iter()
+            .filter(|(_, held)| held.answer.is_some());
         waiting.map(|(inv, _)| *inv).collect()
     }
 
@@ -41,5 +49,9 @@
 }
 
 fn refusal() -> Answer {
-    Answer::Throttled { after: Some(ELSEWHERE), why: Why::Line, clean: true }
+    Answer::Throttled {
+        after: Some(ELSEWHERE),
+        why: Why::Line,
+        clean: true,
+    }
 }
--- a/crates/gateway/src/room.rs
+++ b/crates/gateway/src/room.rs
@@ -20,7 +20,10 @@
 
 impl Rooms {
     pub fn new(most: usize) -> Self {
-        Rooms { most, taken: Arc::default() }
+        Rooms {
+            most,
+            taken: Arc::default(),
+        }
     }
 
     /// None where it is full.
@@ -30,7 +33,10 @@
             return None;
         }
         self.taken.store(taken + bytes, Ordering::Relaxed);
-        Some(Room { bytes, taken: self.taken.clone() })
+        Some(Room {
+            bytes,
+            taken: self.taken.clone(),
+        })
     }
 }
 
--- a/crates/gateway/src/stage.rs
+++ b/crates/gateway/src/stage.rs
@@ -58,8 +58,12 @@
 impl Now {
     pub fn stage(&self) -> Stage {
         use Stage::*;
-        let all = [Starting, Serving, Yielding, Evacuated, Yielded, Draining, Finishing];
-        all.into_iter().find(|s| *s as u8 == self.0.load(Ordering::Relaxed)).unwrap_or(Ended)
+        let all = [
+            Starting, Serving, Yielding, Evacuated, Yielded, Draining, Finishing,
+        ];
+        all.into_iter()
+            .find(|s| *s as u8 == self.0.load(Ordering::Relaxed))
+            .unwrap_or(Ended)
     }
 
     pub fn enter(&self, stage: Stage, name: &str) {
--- a/crates/gateway/src/witness.rs
+++ b/crates/gateway/src/witness.rs
@@ -65,14 +65,23 @@
         self.own.retain(|h, _| named.contains(h));
         let per = (most.saturating_sub(1) / ENTRY).max(1);
         let entry = |(h, units): &(u64, f32)| [&h.to_be_bytes()[..], &units.to_be_bytes()].concat();
-        let datagram =
-            |news: &[(u64, f32)]| std::iter::once(TAG).chain(news.iter().flat_map(entry)).collect();
-        if news.is_empty() { vec![vec![TAG]] } else { news.chunks(per).map(datagram).collect() }
+        let datagram = |news: &[(u64, f32)]| {
+            std::iter::once(TAG)
+                .chain(news.iter().flat_map(entry))
+                .collect()
+        };
+        if news.is_empty() {
+            vec![vec![TAG]]
+        } else {
+            news.chunks(per).map(datagram).collect()
+        }
     }
 
     /// Takes a peer's report; false where the bytes are none.
     pub fn heard(&mut self, from: u32, bytes: &[u8], now: Duration) -> bool {
-        let Some((&TAG, entries)) = bytes.split_first() else { return false };
+        let Some((&TAG, entries)) = bytes.split_first() else {
+            return false;
+        };
         if entries.len() % ENTRY != 0 {
             return false;
         }
@@ -86,8 +95,9 @@
         self.heard.insert(from, now);
         if now >= self.swept + SWEEP {
             self.swept = now;
-            let fresh =
-                |told: &BTreeMap<u32, (f64, Duration)>| told.values().any(|(_, at)| now < *at + TRUST);
+            let fresh = |told: &BTreeMap<u32, (f64, Duration)>| {
+                told.values().any(|(_, at)| now < *at + TRUST)
+            };
             self.peers.retain(|_, told| fresh(told));
         }
         true
@@ -95,13 +105,22 @@
 
     /// What the peers say they admitted under a name.
     pub fn others(&self, name: &str, now: Duration) -> f64 {
-        let told = self.peers.get(&hash(name)).into_iter().flat_map(BTreeMap::values);
-        told.filter(|(_, at)| now < *at + TRUST).map(|(units, _)| units).sum()
+        let told = self
+            .peers
+            .get(&hash(name))
+            .into_iter()
+            .flat_map(BTreeMap::values);
+        told.filter(|(_, at)| now < *at + TRUST)
+            .map(|(units, _)| units)
+            .sum()
     }
 
     /// Up to when every one of these peers has told what it admitted; none where one is silent.
     pub fn all_told(&self, peers: &[GatewayId], now: Duration) -> Option<Duration> {
-        let oldest = peers.iter().map(|p| self.heard.get(&p.0).copied().unwrap_or_default()).min()?;
+        let oldest = peers
+            .iter()
+            .map(|p| self.heard.get(&p.0).copied().unwrap_or_default())
+            .min()?;
         (now < oldest + SILENT).then_some(oldest)
     }
 }
@@ -112,7 +131,12 @@
     use damsonbeam::interface::CustomerId;
 
     fn admitted(name: &str, units: f64) -> Admitted {
-        Admitted { customer: CustomerId("101".into()), slot: 7, name: name.into(), units }
+        Admitted {
+            customer: CustomerId("101".into()),
+            slot: 7,
+            name: name.into(),
+            units,
+        }
     }
 
     fn s(n: u64) -> Duration {
@@ -130,7 +154,9 @@
         assert_eq!(a.others("7/101", s(5)), 7.5);
         assert_eq!(a.others("8/101", s(5)), 0.0, "another name");
         // Said anew, it takes the place of what was said: an invocation was taken back.
-        b.report(&[admitted("7/101", 4.0)], 256).iter().for_each(|d| assert!(a.heard(1, d, s(6))));
+        b.report(&[admitted("7/101", 4.0)], 256)
+            .iter()
+            .for_each(|d| assert!(a.heard(1, d, s(6))));
         assert_eq!(a.others("7/101", s(6)), 6.5);
         assert_eq!(a.others("7/101", s(5) + TRUST), 4.0);
         let garbled = [&[TAG][..], &7u64.to_be_bytes(), &f32::NAN.to_be_bytes()].concat();
@@ -145,9 +171,21 @@
         w.heard(1, &[TAG], s(1));
         assert_eq!(w.all_told(&peers, s(1)), None, "one was never heard");
         w.heard(2, &[TAG], s(1) + EVERY);
-        assert_eq!(w.all_told(&peers, s(1) + EVERY), Some(s(1)), "up to the older word");
-        assert_eq!(w.all_told(&peers, s(1) + SILENT), None, "one has fallen silent");
-        assert_eq!(w.all_told(&[], s(1)), None, "a lone gateway has nobody to hear");
+        assert_eq!(
+            w.all_told(&peers, s(1) + EVERY),
+            Some(s(1)),
+            "up to the older word"
+        );
+        assert_eq!(
+            w.all_told(&peers, s(1) + SILENT),
+            None,
+            "one has fallen silent"
+        );
+        assert_eq!(
+            w.all_told(&[], s(1)),
+            None,
+            "a lone gateway has nobody to hear"
+        );
     }
 
     #[test]
@@ -157,9 +195,15 @@
         for _ in 0..TIMES {
             let sent = w.report(&all, 256);
             assert!(sent.iter().all(|d| d.len() <= 256 && d[0] == TAG));
-            assert_eq!(sent.iter().map(|d| (d.len() - 1) / ENTRY).sum::<usize>(), 50);
+            assert_eq!(
+                sent.iter().map(|d| (d.len() - 1) / ENTRY).sum::<usize>(),
+                50
+            );
         }
         assert_eq!(w.report(&all, 256), [[TAG]], "nothing changed since");
-        assert!(!w.heard(0, &[0, 1, 2, 3, 4, 5], s(0)), "the module's own datagrams are not reports");
+        assert!(
+            !w.heard(0, &[0, 1, 2, 3, 4, 5], s(0)),
+            "the module's own datagrams are not reports"
+        );
     }
 }
--- a/crates/gateway/tests/attempts.rs
+++ b/crates/gateway/tests/attempts.rs
@@ -13,7 +13,9 @@
     meter.wrote(written);
     let whole = meter.whole();
     let make = move |n| {
-        let permit = Attempts::new(None).permit().expect("the first may always be sent");
+        let permit = Attempts::new(None)
+            .permit()
+            .expect("the first may always be sent");
         let sent = permit.sent_over(meter.clone());
         match n {
             0 => (sent.broken(false), !whole),
@@ -22,7 +24,10 @@
             3 => (sent.answered(Verdict::Failed), false),
             4 => (sent.answered(Verdict::Misplaced), false),
             5 => (sent.answered(Verdict::Declined(Refusal::Full)), true),
-            _ => (sent.answered(Verdict::Declined(Refusal::WrongBackend)), true),
+            _ => (
+                sent.answered(Verdict::Declined(Refusal::WrongBackend)),
+                true,
+            ),
         }
     };
     (0..7).map(make)
@@ -30,7 +35,11 @@
 
 #[test]
 fn without_proof_that_it_was_not_executed_a_request_gets_one_permit() {
-    for written in [&b"POST"[..], b"POST / HTTP/1.1\r\n\r\nbod", b"POST / HTTP/1.1\r\n\r\nbody"] {
+    for written in [
+        &b"POST"[..],
+        b"POST / HTTP/1.1\r\n\r\nbod",
+        b"POST / HTTP/1.1\r\n\r\nbody",
+    ] {
         for (ending, proven) in endings(written) {
             let mut attempts = Attempts::new(Repeatable::by(Repeat::NonIdempotent));
             let first = attempts.next();
--- a/crates/handover/src/lib.rs
+++ b/crates/handover/src/lib.rs
@@ -85,7 +85,9 @@
             (Elder::Ending, _) => (Elder::Ending, &[]),
             (_, Heard::Terminate) => (Elder::Ending, &[]),
             (Elder::Alone, Heard::Hello { ours: true }) => (Elder::Asked, &[Does::TellKnown]),
-            (Elder::Asked, Heard::Prepared) => (Elder::Yielded, &[Does::StopAccepting, Does::SendCarry]),
+            (Elder::Asked, Heard::Prepared) => {
+                (Elder::Yielded, &[Does::StopAccepting, Does::SendCarry])
+            }
             (Elder::Yielded, Heard::Taken) => (Elder::Followed, &[Does::SendClientsAway]),
             (Elder::Alone | Elder::Asked, _) => (Elder::Alone, &[Does::HangUp]),
             (Elder::Yielded | Elder::Followed, _) => (Elder::Alone, &[Does::HangUp, Does::Resume]),
@@ -143,8 +145,14 @@
     use super::*;
 
     const OURS: Heard = Heard::Hello { ours: true };
-    const ALL: [Heard; 6] =
-        [OURS, Heard::Hello { ours: false }, Heard::Prepared, Heard::Taken, Heard::Lost, Heard::Terminate];
+    const ALL: [Heard; 6] = [
+        OURS,
+        Heard::Hello { ours: false },
+        Heard::Prepared,
+        Heard::Taken,
+        Heard::Lost,
+        Heard::Terminate,
+    ];
 
     fn after(heard: &[Heard]) -> (Elder, Vec<Does>) {
         let mut elder = Elder::default();
@@ -155,9 +163,17 @@
     #[test]
     fn the_steps_of_a_hand_over_come_in_order() {
         let (elder, does) = after(&[OURS, Heard::Prepared, Heard::Taken]);
-        let all = [Does::TellKnown, Does::StopAccepting, Does::SendCarry, Does::SendClientsAway];
+        let all = [
+            Does::TellKnown,
+            Does::StopAccepting,
+            Does::SendCarry,
+            Does::SendClientsAway,
+        ];
         assert_eq!((elder, does.as_slice()), (Elder::Followed, all.as_slice()));
-        assert_eq!(after(&[OURS, Heard::Prepared, Heard::Taken, Heard::Terminate]).0, Elder::Ending);
+        assert_eq!(
+            after(&[OURS, Heard::Prepared, Heard::Taken, Heard::Terminate]).0,
+            Elder::Ending
+        );
     }
 
     #[test]
@@ -183,19 +199,29 @@
     fn told_to_end_nothing_takes_it_back_and_out_of_order_nothing_is_handed_over() {
         // All sequences of five.
         for n in 0..ALL.len().pow(5) {
-            let heard: Vec<Heard> = (0..5).map(|i| ALL[n / ALL.len().pow(i) % ALL.len()]).collect();
+            let heard: Vec<Heard> = (0..5)
+                .map(|i| ALL[n / ALL.len().pow(i) % ALL.len()])
+                .collect();
             let (elder, does) = after(&heard);
             let ended = heard.iter().position(|h| *h == Heard::Terminate);
             if let Some(ended) = ended {
                 assert_eq!(elder, Elder::Ending);
-                assert_eq!(does, after(&heard[..ended]).1, "after SIGTERM nothing is done: {heard:?}");
+                assert_eq!(
+                    does,
+                    after(&heard[..ended]).1,
+                    "after SIGTERM nothing is done: {heard:?}"
+                );
             }
             let stops = does.iter().filter(|d| **d == Does::StopAccepting).count();
             let resumes = does.iter().filter(|d| **d == Does::Resume).count();
             let silent = stops - resumes;
             assert!(silent <= 1);
             if ended.is_none() {
-                assert_eq!(silent == 1, elder.is_followed(), "{heard:?}: it accepts unless it is followed");
+                assert_eq!(
+                    silent == 1,
+                    elder.is_followed(),
+                    "{heard:?}: it accepts unless it is followed"
+                );
             }
         }
     }
@@ -209,12 +235,21 @@
         assert!(younger.prepared());
         assert_eq!(younger.on(Some(&carry)), Younger::Follows);
         assert_eq!(younger.on(None), Younger::Follows);
-        for before in [Younger::Greeted, Younger::Starting, Younger::Prepared, Younger::Alone] {
+        for before in [
+            Younger::Greeted,
+            Younger::Starting,
+            Younger::Prepared,
+            Younger::Alone,
+        ] {
             let mut younger = before;
             assert_eq!(younger.on(None), Younger::Alone, "{before:?}");
             assert!(!younger.prepared(), "nobody is there to tell");
         }
         let mut younger = Younger::Greeted;
-        assert_eq!(younger.on(Some(&carry)), Younger::Alone, "a state that was not asked for is not taken");
+        assert_eq!(
+            younger.on(Some(&carry)),
+            Younger::Alone,
+            "a state that was not asked for is not taken"
+        );
     }
 }
--- a/crates/hollow/src/cluster.rs
+++ b/crates/hollow/src/cluster.rs
@@ -81,8 +81,13 @@
     ) -> Result<Self, Error> {
         std::fs::create_dir_all(folder)?;
         let machines = (0..count).map(|_| None).collect();
-        let mut cluster =
-            Cluster { topology, folder: folder.into(), programs: programs.into(), platform, machines };
+        let mut cluster = Cluster {
+            topology,
+            folder: folder.into(),
+            programs: programs.into(),
+            platform,
+            machines,
+        };
         for n in 0..count {
             cluster.start_machine(n, true)?;
         }
@@ -106,7 +111,9 @@
             let path = self.programs.join(program);
             let mut command = Command::new(&path);
             command.env("DAMSONBEAM_CONFIG", &settings).stderr(log);
-            Ok(command.spawn().map_err(|e| format!("{}: {e}", path.display()))?)
+            Ok(command
+                .spawn()
+                .map_err(|e| format!("{}: {e}", path.display()))?)
         };
         let (store, registry) = (start(STORE)?, start(REGISTRY)?);
         self.machines[n] = Some(Machine { registry, store });
@@ -121,7 +128,13 @@
 
     fn settings_text(&self, n: usize, first: bool) -> String {
         let data = self.folder.join(format!("core-{n}"));
-        self.text(&format!("core-{n}"), self.topology.core(n).to_string(), n, &format!("{data:?}"), first)
+        self.text(
+            &format!("core-{n}"),
+            self.topology.core(n).to_string(),
+            n,
+            &format!("{data:?}"),
+            first,
+        )
     }
 
     fn text(&self, node: &str, ip: String, place: usize, data: &str, first: bool) -> String {
@@ -154,13 +167,17 @@
     pub fn proxy_settings(&self, n: usize) -> Result<Settings, Error> {
         let ip = format!("127.0.{}.{}", n / 250, n % 250 + 1);
         let text = self.text(&format!("edge-{n}"), ip, n, "null", false);
-        Ok(Settings::check("a hollow proxy's settings", text.into_bytes())?)
+        Ok(Settings::check(
+            "a hollow proxy's settings",
+            text.into_bytes(),
+        )?)
     }
 
     /// Addresses of the operators' calls.
     pub fn control(&self) -> Vec<SocketAddr> {
         let up = (0..self.machines.len()).filter(|n| self.machines[*n].is_some());
-        up.map(|n| (self.topology.core(n), CONTROL_PORT).into()).collect()
+        up.map(|n| (self.topology.core(n), CONTROL_PORT).into())
+            .collect()
     }
 
     /// Which machine's registry has the coordinator's duty, as most of them know.
@@ -171,24 +188,44 @@
 
     pub fn usage(&self) -> RoleUsage {
         let of = |pid: fn(&Machine) -> u32| {
-            self.machines.iter().map(|m| process::usage(pid(m.as_ref()?)).ok()).collect()
+            self.machines
+                .iter()
+                .map(|m| process::usage(pid(m.as_ref()?)).ok())
+                .collect()
         };
-        RoleUsage { registries: of(|m| m.registry.id()), stores: of(|m| m.store.id()) }
+        RoleUsage {
+            registries: of(|m| m.registry.id()),
+            stores: of(|m| m.store.id()),
+        }
     }
 
     /// The most memory that any registry and any store had, in kilobytes.
     pub fn peak_memory_kb(&self) -> (u64, u64) {
         let up = || self.machines.iter().flatten();
-        let most = |pids: &mut dyn Iterator<Item = u32>| pids.map(process::peak_memory_kb).max().unwrap_or(0);
-        (most(&mut up().map(|m| m.registry.id())), most(&mut up().map(|m| m.store.id())))
+        let most = |pids: &mut dyn Iterator<Item = u32>| {
+            pids.map(process::peak_memory_kb).max().unwrap_or(0)
+        };
+        (
+            most(&mut up().map(|m| m.registry.id())),
+            most(&mut up().map(|m| m.store.id())),
+        )
     }
 
     /// Lines of the registries' and stores' logs that warn of something.
     pub fn warnings(&self) -> usize {
-        let logs = std::fs::read_dir(&self.folder).into_iter().flatten().flatten();
+        let logs = std::fs::read_dir(&self.folder)
+            .into_iter()
+            .flatten()
+            .flatten();
         let logs = logs.filter(|f| f.path().extension().is_some_and(|e| e == "log"));
         let texts = logs.filter_map(|f| std::fs::read_to_string(f.path()).ok());
-        texts.map(|t| t.lines().filter(|l| l.contains("WARN") || l.contains("ERROR")).count()).sum()
+        texts
+            .map(|t| {
+                t.lines()
+                    .filter(|l| l.contains("WARN") || l.contains("ERROR"))
+                    .count()
+            })
+            .sum()
     }
 }
 
--- a/crates/hollow/src/main.rs
+++ b/crates/hollow/src/main.rs
@@ -84,9 +84,14 @@
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, String> {
-        let (name, values) = text.split_once('=').ok_or("NAME=VALUE,VALUE... is wanted")?;
+        let (name, values) = text
+            .split_once('=')
+            .ok_or("NAME=VALUE,VALUE... is wanted")?;
         let values: Result<Vec<f64>, _> = values.split(',').map(str::parse).collect();
-        Ok(Axis { name: name.into(), values: values.map_err(|e| e.to_string())? })
+        Ok(Axis {
+            name: name.into(),
+            values: values.map_err(|e| e.to_string())?,
+        })
     }
 }
 
@@ -94,7 +99,10 @@
     fn plan(&self) -> Result<Plan, Error> {
         let programs = match &self.programs {
             Some(folder) => folder.clone(),
-            None => std::env::current_exe()?.parent().ok_or("no folder of this program")?.into(),
+            None => std::env::current_exe()?
+                .parent()
+                .ok_or("no folder of this program")?
+                .into(),
         };
         Ok(Plan {
             machines: self.machines,
@@ -163,7 +171,11 @@
 
 fn series(options: &Options) -> Result<bool, Error> {
     let axis = &options.vary;
-    let values = if axis.values.is_empty() { vec![0.0] } else { axis.values.clone() };
+    let values = if axis.values.is_empty() {
+        vec![0.0]
+    } else {
+        axis.values.clone()
+    };
     let (mut outcomes, mut whole) = (Vec::new(), true);
     for at in values {
         let mut plan = options.plan()?;
@@ -184,7 +196,13 @@
                 (None, Some(e.to_string()))
             }
         };
-        outcomes.push(Outcome { axis: axis.name.clone(), at, plan, found, error });
+        outcomes.push(Outcome {
+            axis: axis.name.clone(),
+            at,
+            plan,
+            found,
+            error,
+        });
         report::write(&options.out, &outcomes)?;
     }
     Ok(whole)
--- a/crates/hollow/src/meter.rs
+++ b/crates/hollow/src/meter.rs
@@ -58,9 +58,15 @@
         static KINDS_BY_VARIANT: OnceLock<BTreeMap<u8, MessageKind>> = OnceLock::new();
         let kinds = KINDS_BY_VARIANT.get_or_init(|| {
             let samples = samples().into_iter();
-            samples.filter_map(|(message, kind)| Some((*pack(&message).get(VARIANT_AT)?, kind))).collect()
+            samples
+                .filter_map(|(message, kind)| Some((*pack(&message).get(VARIANT_AT)?, kind)))
+                .collect()
         });
-        bytes.get(VARIANT_AT).and_then(|variant| kinds.get(variant)).copied().unwrap_or(MessageKind::Other)
+        bytes
+            .get(VARIANT_AT)
+            .and_then(|variant| kinds.get(variant))
+            .copied()
+            .unwrap_or(MessageKind::Other)
     }
 }
 
@@ -69,20 +75,49 @@
 
 /// A message of each variant that has a kind of its own.
 fn samples() -> Vec<(Message, MessageKind)> {
-    let status = Message::Status { status: ProxyStatus::default(), time_ms: None };
+    let status = Message::Status {
+        status: ProxyStatus::default(),
+        time_ms: None,
+    };
     let list = BackendSnapshot::default();
     vec![
         (status, MessageKind::Status),
         (Message::CountReport(Vec::new()), MessageKind::CountReport),
         (Message::PullBackends, MessageKind::Pull),
         (Message::Ack { no: 0 }, MessageKind::Ack),
-        (Message::Heartbeat(Heartbeat::default()), MessageKind::Heartbeat),
-        (Message::ConfigUpdate { no: 0, items: Vec::new() }, MessageKind::ConfigUpdate),
-        (Message::BackendUpdate { no: 0, list, page: 0, pages: 1 }, MessageKind::BackendUpdate),
-        (Message::CountTotals { term: 0, totals: Vec::new() }, MessageKind::CountTotals),
+        (
+            Message::Heartbeat(Heartbeat::default()),
+            MessageKind::Heartbeat,
+        ),
+        (
+            Message::ConfigUpdate {
+                no: 0,
+                items: Vec::new(),
+            },
+            MessageKind::ConfigUpdate,
+        ),
+        (
+            Message::BackendUpdate {
+                no: 0,
+                list,
+                page: 0,
+                pages: 1,
+            },
+            MessageKind::BackendUpdate,
+        ),
+        (
+            Message::CountTotals {
+                term: 0,
+                totals: Vec::new(),
+            },
+            MessageKind::CountTotals,
+        ),
         (Message::ConfigChanged, MessageKind::Transfer),
         (
-            Message::Transfer(TransferMessage::Compare { round: 0, group_sums: Vec::new() }),
+            Message::Transfer(TransferMessage::Compare {
+                round: 0,
+                group_sums: Vec::new(),
+            }),
             MessageKind::Transfer,
         ),
     ]
@@ -97,7 +132,12 @@
 static BYTES: [AtomicU64; 2 * KINDS] = [ZERO; 2 * KINDS];
 
 fn slot(direction: Direction, kind: MessageKind) -> usize {
-    kind as usize + if direction == Direction::Out { KINDS } else { 0 }
+    kind as usize
+        + if direction == Direction::Out {
+            KINDS
+        } else {
+            0
+        }
 }
 
 fn count(direction: Direction, bytes: &[u8]) {
@@ -128,7 +168,10 @@
 impl Reading {
     pub fn now() -> Self {
         let all = |of: &[AtomicU64]| of.iter().map(|n| n.load(Ordering::Relaxed)).collect();
-        Reading { messages: all(&MESSAGES), bytes: all(&BYTES) }
+        Reading {
+            messages: all(&MESSAGES),
+            bytes: all(&BYTES),
+        }
     }
 
     pub fn since(&self, before: &Reading, direction: Direction, kind: MessageKind) -> Flow {
@@ -140,6 +183,9 @@
     }
 
     pub fn bytes_since(&self, before: &Reading, direction: Direction) -> u64 {
-        MessageKind::ALL.iter().map(|kind| self.since(before, direction, *kind).bytes).sum()
+        MessageKind::ALL
+            .iter()
+            .map(|kind| self.since(before, direction, *kind).bytes)
+            .sum()
     }
 }
--- a/crates/hollow/src/operator.rs
+++ b/crates/hollow/src/operator.rs
@@ -70,12 +70,21 @@
             route(PROBE, "/probe/", 0, 1)
         )];
         let routes: Vec<String> = (0..self.routes)
-            .map(|n| route(&format!("r-{n:05}"), &format!("/p{n:05}/"), n % self.services.max(1), 1))
+            .map(|n| {
+                route(
+                    &format!("r-{n:05}"),
+                    &format!("/p{n:05}/"),
+                    n % self.services.max(1),
+                    1,
+                )
+            })
             .collect();
         let tenants: Vec<String> = (0..self.tenants).map(tenant).collect();
         for (list, items) in [("route_list", routes), ("tenant_list", tenants)] {
             let batches = items.chunks(self.batch.max(1));
-            calls.extend(batches.map(|b| format!(r#"{{"upserts":{{"{list}":[{}]}}}}"#, b.join(","))));
+            calls.extend(
+                batches.map(|b| format!(r#"{{"upserts":{{"{list}":[{}]}}}}"#, b.join(","))),
+            );
         }
         calls
     }
@@ -83,7 +92,10 @@
 
 /// The body of a call that changes the probe's route.
 pub fn probe_change(version: u64) -> String {
-    format!(r#"{{"upserts":{{"route_list":[{}]}}}}"#, route(PROBE, "/probe/", 0, version))
+    format!(
+        r#"{{"upserts":{{"route_list":[{}]}}}}"#,
+        route(PROBE, "/probe/", 0, version)
+    )
 }
 
 /// One call; an answer of status 0 where none came.
@@ -91,7 +103,10 @@
     let ask = || -> std::io::Result<Option<Message>> {
         let mut socket = TcpStream::connect_timeout(&at, ANSWER_TIMEOUT)?;
         socket.set_read_timeout(Some(ANSWER_TIMEOUT))?;
-        let head = format!("{what} HTTP/1.1\r\nHost: x\r\nContent-Length: {}\r\n\r\n", body.len());
+        let head = format!(
+            "{what} HTTP/1.1\r\nHost: x\r\nContent-Length: {}\r\n\r\n",
+            body.len()
+        );
         socket.write_all(head.as_bytes())?;
         socket.write_all(body.as_bytes())?;
         Ok(Message::read(&mut BufReader::new(socket)))
@@ -117,7 +132,11 @@
     for body in size.calls() {
         loop {
             let sent = Instant::now();
-            let answer = call(all[loaded.repeats as usize % all.len()], "PATCH /-/configuration", &body);
+            let answer = call(
+                all[loaded.repeats as usize % all.len()],
+                "PATCH /-/configuration",
+                &body,
+            );
             loaded.slowest_call = loaded.slowest_call.max(sent.elapsed());
             match answer.status() {
                 200 => break,
@@ -127,7 +146,9 @@
                 }
                 status => {
                     let why = String::from_utf8_lossy(&answer.body).into_owned();
-                    return Err(format!("a call that loads the configuration: {status} {why}").into());
+                    return Err(
+                        format!("a call that loads the configuration: {status} {why}").into(),
+                    );
                 }
             }
         }
--- a/crates/hollow/src/platform.rs
+++ b/crates/hollow/src/platform.rs
@@ -34,8 +34,15 @@
     fn page(&self, from: usize, size: usize) -> String {
         let to = (from + size).min(self.lives.len());
         let entries: Vec<String> = (from..to).map(|n| self.entry(n)).collect();
-        let next = if to < self.lives.len() { format!("\"{to}\"") } else { "null".into() };
-        format!("{{\"instances\":[{}],\"next_page_token\":{next}}}", entries.join(","))
+        let next = if to < self.lives.len() {
+            format!("\"{to}\"")
+        } else {
+            "null".into()
+        };
+        format!(
+            "{{\"instances\":[{}],\"next_page_token\":{next}}}",
+            entries.join(",")
+        )
     }
 }
 
@@ -52,7 +59,11 @@
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let at = listener.local_addr()?;
         let lives = (0..backends as u64).collect();
-        let list = Backends { lives, next_life: backends as u64, services: services.max(1) };
+        let list = Backends {
+            lives,
+            next_life: backends as u64,
+            services: services.max(1),
+        };
         let backends = Arc::new(Mutex::new(list));
         let readings = Arc::<AtomicU64>::default();
         let (list, counted) = (backends.clone(), readings.clone());
@@ -60,7 +71,9 @@
             for socket in listener.incoming().map_while(Result::ok) {
                 let (list, counted) = (list.clone(), counted.clone());
                 thread::spawn(move || {
-                    let Ok(mut out) = socket.try_clone() else { return };
+                    let Ok(mut out) = socket.try_clone() else {
+                        return;
+                    };
                     let mut from = BufReader::new(socket);
                     while let Some(request) = Message::read(&mut from) {
                         let token = request.first.split_once("page_token=").map(|t| t.1);
@@ -77,7 +90,11 @@
                 });
             }
         });
-        Ok(Platform { at, backends, readings })
+        Ok(Platform {
+            at,
+            backends,
+            readings,
+        })
     }
 
     /// A backend ends and another one comes in its place.
--- a/crates/hollow/src/proxies.rs
+++ b/crates/hollow/src/proxies.rs
@@ -70,13 +70,18 @@
 impl Progress {
     fn arrived(&self, versions: std::ops::RangeInclusive<u64>) {
         let now = Instant::now();
-        let Ok(mut arrivals) = self.arrivals.lock() else { return };
+        let Ok(mut arrivals) = self.arrivals.lock() else {
+            return;
+        };
         for version in versions {
             let n = version as usize;
             if arrivals.len() <= n {
                 arrivals.resize(n + 1, None);
             }
-            let arrival = arrivals[n].get_or_insert(Arrival { proxies: 0, last: now });
+            let arrival = arrivals[n].get_or_insert(Arrival {
+                proxies: 0,
+                last: now,
+            });
             (arrival.proxies, arrival.last) = (arrival.proxies + 1, now);
         }
     }
@@ -116,15 +121,26 @@
         let start = |_| {
             let (to, commands) = mpsc::unbounded_channel();
             let progress = progress.clone();
-            (to, Some(std::thread::spawn(move || run_thread(commands, progress))))
+            (
+                to,
+                Some(std::thread::spawn(move || run_thread(commands, progress))),
+            )
         };
         let threads = (0..threads.max(1)).map(start).collect();
-        HollowProxies { progress, threads, started: 0, restarted: 0 }
+        HollowProxies {
+            progress,
+            threads,
+            started: 0,
+            restarted: 0,
+        }
     }
 
     pub fn start(&mut self, settings: Settings) {
         let thread = self.started % self.threads.len();
-        self.threads[thread].0.send(ThreadCommand::Start(Box::new(settings))).ok();
+        self.threads[thread]
+            .0
+            .send(ThreadCommand::Start(Box::new(settings)))
+            .ok();
         self.started += 1;
     }
 
@@ -146,7 +162,12 @@
 }
 
 fn run_thread(mut commands: mpsc::UnboundedReceiver<ThreadCommand>, progress: Arc<Progress>) {
-    let Ok(runtime) = tokio::runtime::Builder::new_current_thread().enable_all().build() else { return };
+    let Ok(runtime) = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+    else {
+        return;
+    };
     let local = LocalSet::new();
     local.block_on(&runtime, async {
         let mut running = std::collections::VecDeque::new();
@@ -155,7 +176,9 @@
                 let settings = match command {
                     ThreadCommand::Start(settings) => Rc::new(*settings),
                     ThreadCommand::Restart => {
-                        let Some((task, settings)) = running.pop_front() else { continue };
+                        let Some((task, settings)) = running.pop_front() else {
+                            continue;
+                        };
                         let task: tokio::task::JoinHandle<()> = task;
                         task.abort();
                         settings
@@ -211,7 +234,11 @@
     };
     let known = Rc::new(RefCell::new(ControlState::new(&settings, status, false)));
     let (to, mut events) = mpsc::channel(EVENTS);
-    let _links = AbortOnDrop(tokio::task::spawn_local(control_client::run(settings, known.clone(), to)));
+    let _links = AbortOnDrop(tokio::task::spawn_local(control_client::run(
+        settings,
+        known.clone(),
+        to,
+    )));
     let mut proxy = HollowProxy {
         known,
         progress,
@@ -224,7 +251,11 @@
         probe: 0,
         ready: false,
     };
-    let mut tick = interval(if proxy.progress.requests > 0.0 { TICK } else { IDLE_TICK });
+    let mut tick = interval(if proxy.progress.requests > 0.0 {
+        TICK
+    } else {
+        IDLE_TICK
+    });
     tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         tokio::select! {
@@ -252,12 +283,15 @@
                 let known = self.known.borrow();
                 if let Some(time) = known.coordinator.time() {
                     let common = Duration::from_millis(time.now_ms());
-                    self.quota.clock(common.as_secs_f64() - self.began.elapsed().as_secs_f64());
-                    self.quota.link_coordinator(time.term, known.coordinator_link().is_some());
+                    self.quota
+                        .clock(common.as_secs_f64() - self.began.elapsed().as_secs_f64());
+                    self.quota
+                        .link_coordinator(time.term, known.coordinator_link().is_some());
                 }
             }
             ControlEvent::Totals { term, totals } => {
-                self.quota.receive_totals(term, &totals, self.began.elapsed());
+                self.quota
+                    .receive_totals(term, &totals, self.began.elapsed());
             }
             ControlEvent::CoordinatorLost => self.quota.unlink(),
             _ => {}
@@ -267,7 +301,10 @@
 
     fn take_items(&mut self) {
         let known = self.known.borrow();
-        let probe = known.snapshot.get(&Key { kind: Kind::Route, name: PROBE.into() });
+        let probe = known.snapshot.get(&Key {
+            kind: Kind::Route,
+            name: PROBE.into(),
+        });
         let version = probe.map_or(0, |i| i.version);
         if version > self.probe {
             self.progress.arrived(self.probe + 1..=version);
@@ -278,7 +315,8 @@
     fn become_ready(&mut self) {
         let goal = self.progress.goal;
         let mut known = self.known.borrow_mut();
-        if self.ready || self.backends < goal.backends || known.snapshot.items().len() < goal.items {
+        if self.ready || self.backends < goal.backends || known.snapshot.items().len() < goal.items
+        {
             return;
         }
         self.ready = true;
@@ -304,8 +342,8 @@
         while self.requests_due >= 1.0 {
             self.requests_due -= 1.0;
             let lot: f64 = self.rng.random();
-            let tenant =
-                ((self.progress.tenants as f64 * lot.powi(3)) as usize).min(self.progress.tenants - 1);
+            let tenant = ((self.progress.tenants as f64 * lot.powi(3)) as usize)
+                .min(self.progress.tenants - 1);
             let name = tenant_name(tenant);
             if self.limited.insert(tenant) {
                 self.quota.limit(&name, TENANT_RATE, SLOT.as_secs_f64());
@@ -317,7 +355,9 @@
         let fresh = self.quota.fresh(now);
         if !fresh.is_empty() {
             let known = self.known.borrow();
-            known.coordinator_link().map(|out| out.send(&Message::CountReport(fresh)));
+            known
+                .coordinator_link()
+                .map(|out| out.send(&Message::CountReport(fresh)));
         }
     }
 }
--- a/crates/hollow/src/report.rs
+++ b/crates/hollow/src/report.rs
@@ -32,14 +32,21 @@
 
 /// Numbers as pages need them.
 fn rounded(n: f64) -> f64 {
-    if n.abs() >= 100.0 { n.round() } else { (n * 10_000.0).round() / 10_000.0 }
+    if n.abs() >= 100.0 {
+        n.round()
+    } else {
+        (n * 10_000.0).round() / 10_000.0
+    }
 }
 
 /// # Errors
 /// Where a file can't be written.
 pub fn write(folder: &Path, outcomes: &[Outcome]) -> Result<(), Error> {
     std::fs::create_dir_all(folder)?;
-    std::fs::write(folder.join("summary.json"), serde_json::to_string_pretty(outcomes)?)?;
+    std::fs::write(
+        folder.join("summary.json"),
+        serde_json::to_string_pretty(outcomes)?,
+    )?;
     write_runs(folder, outcomes)?;
     let mut kinds = csv::Writer::from_path(folder.join("kinds.csv"))?;
     for outcome in outcomes {
@@ -80,19 +87,36 @@
             ("proxy", |f| f.proxy_kb / 1024.0),
         ],
     ),
-    ("a proxy's bytes, kB/s", &[("in", |f| f.proxy_in_s / 1000.0), ("out", |f| f.proxy_out_s / 1000.0)]),
-    ("proxy: processor, part of a core", &[("proxy (counting of bytes included)", |f| f.proxy_core)]),
+    (
+        "a proxy's bytes, kB/s",
+        &[
+            ("in", |f| f.proxy_in_s / 1000.0),
+            ("out", |f| f.proxy_out_s / 1000.0),
+        ],
+    ),
+    (
+        "proxy: processor, part of a core",
+        &[("proxy (counting of bytes included)", |f| f.proxy_core)],
+    ),
 ];
 
 fn draw(path: &Path, outcomes: &[Outcome]) -> Result<(), Error> {
-    let Some(first) = outcomes.first() else { return Ok(()) };
+    let Some(first) = outcomes.first() else {
+        return Ok(());
+    };
     let line = |(name, of): &Figure| {
-        let points = outcomes.iter().filter_map(|o| Some((o.at, of(o.found.as_ref()?))));
-        Line { name: name.to_string(), points: points.collect() }
+        let points = outcomes
+            .iter()
+            .filter_map(|o| Some((o.at, of(o.found.as_ref()?))));
+        Line {
+            name: name.to_string(),
+            points: points.collect(),
+        }
     };
-    let panels = PANELS
-        .iter()
-        .map(|(name, figures)| Panel { name: name.to_string(), lines: figures.iter().map(line).collect() });
+    let panels = PANELS.iter().map(|(name, figures)| Panel {
+        name: name.to_string(),
+        lines: figures.iter().map(line).collect(),
+    });
     let panels: Vec<Panel> = panels.collect();
     let title = format!("The control side along {}", first.axis);
     panels::draw(path, &title, &first.axis, &panels).map_err(|e| e.to_string().into())
@@ -103,7 +127,9 @@
     let mut runs = csv::Writer::from_path(folder.join("runs.csv"))?;
     let mut headed = false;
     for outcome in outcomes {
-        let Some(found) = &outcome.found else { continue };
+        let Some(found) = &outcome.found else {
+            continue;
+        };
         let fields = [fields(&outcome.plan)?, fields(found)?].concat();
         if !headed {
             headed = true;
@@ -121,5 +147,8 @@
     let value = serde_json::to_value(of)?;
     let object = value.as_object().ok_or("not an object")?;
     let text = |v: &serde_json::Value| v.as_f64().map_or(v.to_string(), |n| rounded(n).to_string());
-    Ok(object.iter().map(|(name, v)| (name.clone(), text(v))).collect())
+    Ok(object
+        .iter()
+        .map(|(name, v)| (name.clone(), text(v)))
+        .collect())
 }
--- a/crates/hollow/src/run.rs
+++ b/crates/hollow/src/run.rs
@@ -135,17 +135,33 @@
     let load_average_before = load_average();
     let topology = Topology::of_this_process();
     let platform = Platform::start(plan.backends, plan.services, plan.page)?;
-    let access = PlatformAccess { at: platform.at, calls_per_second: plan.platform_rate };
-    let mut cluster = Cluster::start(plan.machines, topology, &plan.programs, &plan.folder, access)?;
-    let size =
-        Size { routes: plan.routes, tenants: plan.tenants, services: plan.services, batch: plan.batch };
+    let access = PlatformAccess {
+        at: platform.at,
+        calls_per_second: plan.platform_rate,
+    };
+    let mut cluster = Cluster::start(
+        plan.machines,
+        topology,
+        &plan.programs,
+        &plan.folder,
+        access,
+    )?;
+    let size = Size {
+        routes: plan.routes,
+        tenants: plan.tenants,
+        services: plan.services,
+        batch: plan.batch,
+    };
     let load_timeout = Duration::from_secs_f64(plan.load_s);
     let loaded = operator::load(&cluster.control(), &size, load_timeout)?;
     let load_store_bytes = process::store_bytes(&topology)?.between_stores;
 
     let me = std::process::id();
     let memory_before = process::usage(me)?.memory_kb;
-    let goal = Goal { items: size.items(), backends: plan.backends };
+    let goal = Goal {
+        items: size.items(),
+        backends: plan.backends,
+    };
     let mut proxies = HollowProxies::new(plan.threads, goal, plan.requests, plan.tenants.max(1));
     let progress = proxies.progress.clone();
     let before = Reading::now();
@@ -153,25 +169,46 @@
     let settled = progress.ready.load(Ordering::Relaxed);
     let after = Reading::now();
     let each = plan.proxies.max(1) as f64;
-    let settle_heartbeats =
-        after.since(&before, Direction::In, MessageKind::Heartbeat).messages as f64 / each;
+    let settle_heartbeats = after
+        .since(&before, Direction::In, MessageKind::Heartbeat)
+        .messages as f64
+        / each;
     let settle_bytes = after.bytes_since(&before, Direction::In) as f64 / each;
 
     sleep(QUIET);
     let measured = measure(plan, &mut cluster, &platform, &mut proxies, &topology)?;
     let memory = process::usage(me)?.memory_kb;
     let (registry_peak, store_peak) = cluster.peak_memory_kb();
-    let table_read = progress.apply.lock().map_or(Duration::ZERO, |a| a.first().copied().unwrap_or_default());
-    let Measured { seconds, usage, coordinator, flows, stores, changes, failed, .. } = &measured;
+    let table_read = progress
+        .apply
+        .lock()
+        .map_or(Duration::ZERO, |a| a.first().copied().unwrap_or_default());
+    let Measured {
+        seconds,
+        usage,
+        coordinator,
+        flows,
+        stores,
+        changes,
+        failed,
+        ..
+    } = &measured;
     let per_second = |n: u64| n as f64 / seconds;
     let cores = |u: &Usage| u.processor.as_secs_f64() / seconds;
-    let others = usage.registries.iter().enumerate().filter(|(n, _)| Some(*n) != *coordinator);
+    let others = usage
+        .registries
+        .iter()
+        .enumerate()
+        .filter(|(n, _)| Some(*n) != *coordinator);
     let others: Vec<Usage> = others.filter_map(|(_, u)| *u).collect();
-    let mean =
-        |of: &dyn Fn(&Usage) -> f64, all: &[Usage]| all.iter().map(of).sum::<f64>() / all.len().max(1) as f64;
+    let mean = |of: &dyn Fn(&Usage) -> f64, all: &[Usage]| {
+        all.iter().map(of).sum::<f64>() / all.len().max(1) as f64
+    };
     let stores_used: Vec<Usage> = usage.stores.iter().flatten().copied().collect();
     let mb = |u: &Usage| u.memory_kb as f64 / 1024.0;
-    let coordinator_usage = coordinator.and_then(|n| usage.registries[n]).unwrap_or_default();
+    let coordinator_usage = coordinator
+        .and_then(|n| usage.registries[n])
+        .unwrap_or_default();
     let times = change_times(changes, &progress, settled);
     let readings = measured.readings.max(1);
     Ok(Found {
@@ -188,7 +225,12 @@
         seconds: *seconds,
         coordinator_core: cores(&coordinator_usage),
         registry_core: mean(&cores, &others),
-        registry_core_most: usage.registries.iter().flatten().map(cores).fold(0.0, f64::max),
+        registry_core_most: usage
+            .registries
+            .iter()
+            .flatten()
+            .map(cores)
+            .fold(0.0, f64::max),
         store_core_most: stores_used.iter().map(cores).fold(0.0, f64::max),
         proxy_core: measured.own.as_secs_f64() / seconds / each,
         coordinator_mb: mb(&coordinator_usage),
@@ -222,7 +264,11 @@
 }
 
 /// Starts the proxies at the plan's rate and waits until all know all; the time from the first start.
-fn start_proxies(plan: &Plan, cluster: &Cluster, proxies: &mut HollowProxies) -> Result<f64, Error> {
+fn start_proxies(
+    plan: &Plan,
+    cluster: &Cluster,
+    proxies: &mut HollowProxies,
+) -> Result<f64, Error> {
     let began = Instant::now();
     for n in 0..plan.proxies {
         proxies.start(cluster.proxy_settings(n)?);
@@ -230,7 +276,9 @@
         sleep(due.saturating_sub(began.elapsed()));
     }
     let ready = &proxies.progress.ready;
-    while ready.load(Ordering::Relaxed) < plan.proxies && began.elapsed().as_secs_f64() < plan.settle_s {
+    while ready.load(Ordering::Relaxed) < plan.proxies
+        && began.elapsed().as_secs_f64() < plan.settle_s
+    {
         check_memory(cluster)?;
         sleep(STEP);
     }
@@ -239,7 +287,13 @@
 
 fn check_memory(cluster: &Cluster) -> Result<(), Error> {
     let usage = cluster.usage();
-    let all = usage.registries.iter().chain(&usage.stores).flatten().map(|u| u.memory_kb).sum::<u64>();
+    let all = usage
+        .registries
+        .iter()
+        .chain(&usage.stores)
+        .flatten()
+        .map(|u| u.memory_kb)
+        .sum::<u64>();
     let own = process::usage(std::process::id())?.memory_kb;
     if all + own > MAX_MEMORY_KB {
         return Err(format!("the run takes {} MB of memory: given up", (all + own) >> 10).into());
@@ -273,7 +327,10 @@
 impl Due {
     fn at_rate(rate: f64) -> Self {
         let every = (rate > 0.0).then(|| Duration::from_secs_f64(1.0 / rate));
-        Due { every, next: Instant::now() + every.unwrap_or_default() }
+        Due {
+            every,
+            next: Instant::now() + every.unwrap_or_default(),
+        }
     }
 
     fn is_now(&mut self) -> bool {
@@ -298,11 +355,16 @@
     let coordinator = cluster.coordinator();
     let (usage_before, own_before) = (cluster.usage(), process::usage(me)?.processor);
     let (reading_before, stores_before) = (Reading::now(), process::store_bytes(topology)?);
-    let (readings_before, lists_before) =
-        (platform.readings(), proxies.progress.lists.load(Ordering::Relaxed));
+    let (readings_before, lists_before) = (
+        platform.readings(),
+        proxies.progress.lists.load(Ordering::Relaxed),
+    );
     let began = Instant::now();
     let until = began + Duration::from_secs_f64(plan.seconds);
-    let (mut replace, mut restart) = (Due::at_rate(plan.backend_churn), Due::at_rate(plan.restarts));
+    let (mut replace, mut restart) = (
+        Due::at_rate(plan.backend_churn),
+        Due::at_rate(plan.restarts),
+    );
     let control = cluster.control();
     let (rate, end) = (plan.changes, until);
     let writer = std::thread::spawn(move || write_changes(&control, rate, end));
@@ -343,8 +405,12 @@
         bytes_in: reading.bytes_since(&reading_before, Direction::In),
         bytes_out: reading.bytes_since(&reading_before, Direction::Out),
         stores: StoreBytes {
-            between_stores: stores.between_stores.saturating_sub(stores_before.between_stores),
-            with_registries: stores.with_registries.saturating_sub(stores_before.with_registries),
+            between_stores: stores
+                .between_stores
+                .saturating_sub(stores_before.between_stores),
+            with_registries: stores
+                .with_registries
+                .saturating_sub(stores_before.with_registries),
         },
         readings,
         lists,
@@ -358,7 +424,10 @@
         let pairs = now.iter().zip(before);
         let of = |(n, b): (&Option<Usage>, &Option<Usage>)| {
             let (n, b) = ((*n)?, (*b)?);
-            Some(Usage { processor: n.processor.saturating_sub(b.processor), memory_kb: n.memory_kb })
+            Some(Usage {
+                processor: n.processor.saturating_sub(b.processor),
+                memory_kb: n.memory_kb,
+            })
         };
         pairs.map(of).collect()
     };
@@ -369,7 +438,11 @@
 }
 
 /// Changes of the probe's route at a rate; those that were acknowledged, and how many were not.
-fn write_changes(control: &[std::net::SocketAddr], rate: f64, until: Instant) -> (Vec<ChangeTimes>, u64) {
+fn write_changes(
+    control: &[std::net::SocketAddr],
+    rate: f64,
+    until: Instant,
+) -> (Vec<ChangeTimes>, u64) {
     let (mut due, mut done, mut failed, mut version) = (Due::at_rate(rate), Vec::new(), 0, 1);
     while Instant::now() < until && rate > 0.0 {
         if !due.is_now() {
@@ -379,9 +452,17 @@
         version += 1;
         let sent = Instant::now();
         let at = control[version as usize % control.len()];
-        let answer = operator::call(at, "PATCH /-/configuration", &operator::probe_change(version));
+        let answer = operator::call(
+            at,
+            "PATCH /-/configuration",
+            &operator::probe_change(version),
+        );
         if answer.status() == 200 {
-            done.push(ChangeTimes { version, took: sent.elapsed(), acknowledged: Instant::now() });
+            done.push(ChangeTimes {
+                version,
+                took: sent.elapsed(),
+                acknowledged: Instant::now(),
+            });
         } else {
             failed += 1;
         }
@@ -392,7 +473,11 @@
 fn wait_for_changes(changes: &[ChangeTimes], progress: &Progress, proxies: usize) {
     let Some(last) = changes.last() else { return };
     let until = Instant::now() + LAST_CHANGES;
-    while Instant::now() < until && progress.arrival(last.version).is_none_or(|a| a.proxies < proxies) {
+    while Instant::now() < until
+        && progress
+            .arrival(last.version)
+            .is_none_or(|a| a.proxies < proxies)
+    {
         sleep(STEP);
     }
 }
@@ -410,7 +495,9 @@
     let ms = |d: Duration| d.as_secs_f64() * 1000.0;
     let mut acknowledge: Vec<f64> = changes.iter().map(|c| ms(c.took)).collect();
     let arrived = |c: &ChangeTimes| {
-        let arrival = progress.arrival(c.version).filter(|a| a.proxies >= proxies)?;
+        let arrival = progress
+            .arrival(c.version)
+            .filter(|a| a.proxies >= proxies)?;
         Some(ms(arrival.last.saturating_duration_since(c.acknowledged)))
     };
     let mut in_force: Vec<f64> = changes.iter().filter_map(arrived).collect();
@@ -432,7 +519,11 @@
     let some = flows.iter().filter(|(.., flow)| flow.messages > 0);
     let row = |(kind, direction, flow): &(MessageKind, Direction, Flow)| KindRow {
         kind: kind.name(),
-        direction: if *direction == Direction::In { "in" } else { "out" },
+        direction: if *direction == Direction::In {
+            "in"
+        } else {
+            "out"
+        },
         messages_s: flow.messages as f64 / seconds / proxies,
         bytes_s: flow.bytes as f64 / seconds / proxies,
         bytes_each: flow.bytes as f64 / flow.messages as f64,
@@ -443,5 +534,8 @@
 /// The machine's load over the last minute.
 fn load_average() -> f64 {
     let text = std::fs::read_to_string("/proc/loadavg").unwrap_or_default();
-    text.split(' ').next().and_then(|n| n.parse().ok()).unwrap_or(0.0)
+    text.split(' ')
+        .next()
+        .and_then(|n| n.parse().ok())
+        .unwrap_or(0.0)
 }
--- a/crates/hollow/src/topology.rs
+++ b/crates/hollow/src/topology.rs
@@ -23,7 +23,9 @@
 
 impl Topology {
     pub fn of_this_process() -> Self {
-        Topology { street: (std::process::id() % 250) as u8 }
+        Topology {
+            street: (std::process::id() % 250) as u8,
+        }
     }
 
     pub fn zone(n: usize) -> String {
--- a/crates/lab/src/backends.rs
+++ b/crates/lab/src/backends.rs
@@ -74,7 +74,13 @@
 
 impl Backend {
     pub fn set(&self, change: impl FnOnce(&mut Behaviour)) {
-        change(&mut self.state.lock().unwrap_or_else(|e| e.into_inner()).behaviour);
+        change(
+            &mut self
+                .state
+                .lock()
+                .unwrap_or_else(|e| e.into_inner())
+                .behaviour,
+        );
     }
 }
 
@@ -89,7 +95,10 @@
 impl Connections {
     /// Opened so far, and the most that were open at once.
     pub fn counts(&self) -> (usize, usize) {
-        (self.opened.load(Ordering::Relaxed), self.most.load(Ordering::Relaxed))
+        (
+            self.opened.load(Ordering::Relaxed),
+            self.most.load(Ordering::Relaxed),
+        )
     }
 
     fn begin(&self) {
@@ -118,11 +127,24 @@
             let listener = TcpListener::bind("127.0.0.1:0").await?;
             let at = listener.local_addr()?;
             let rng = ChaCha8Rng::seed_from_u64(seed ^ (i as u64).wrapping_mul(0x9e37_79b9));
-            let state = Arc::new(Mutex::new(State { behaviour: behaviour.clone(), rng }));
-            tokio::spawn(accept(listener, i, state.clone(), log.clone(), connections.clone()));
+            let state = Arc::new(Mutex::new(State {
+                behaviour: behaviour.clone(),
+                rng,
+            }));
+            tokio::spawn(accept(
+                listener,
+                i,
+                state.clone(),
+                log.clone(),
+                connections.clone(),
+            ));
             backends.push(Backend { at, state });
         }
-        Ok(Fleet { connections, backends, log })
+        Ok(Fleet {
+            connections,
+            backends,
+            log,
+        })
     }
 
     pub fn received(&self) -> Vec<Received> {
@@ -138,13 +160,18 @@
     connections: Arc<Connections>,
 ) {
     loop {
-        let Ok((socket, _)) = listener.accept().await else { continue };
+        let Ok((socket, _)) = listener.accept().await else {
+            continue;
+        };
         socket.set_nodelay(true).ok();
         let (state, log, connections) = (state.clone(), log.clone(), connections.clone());
         connections.begin();
         tokio::spawn(async move {
             let service = service_fn(move |request| handle(request, i, state.clone(), log.clone()));
-            http1::Builder::new().serve_connection(TokioIo::new(socket), service).await.ok();
+            http1::Builder::new()
+                .serve_connection(TokioIo::new(socket), service)
+                .await
+                .ok();
             connections.end();
         });
     }
@@ -165,9 +192,15 @@
     if b.draining {
         return Fate::TurnAway;
     }
-    let cold = if b.cold_until.is_some_and(|t| Instant::now() < t) { b.cold_factor } else { 1.0 };
+    let cold = if b.cold_until.is_some_and(|t| Instant::now() < t) {
+        b.cold_factor
+    } else {
+        1.0
+    };
     let times = LogNormal::new(b.median.as_secs_f64().max(1e-6).ln(), b.spread.max(0.0));
-    let time = times.map_or(b.median, |d| Duration::from_secs_f64(d.sample(&mut s.rng))).mul_f64(cold);
+    let time = times
+        .map_or(b.median, |d| Duration::from_secs_f64(d.sample(&mut s.rng)))
+        .mul_f64(cold);
     let draw: f64 = s.rng.random();
     if draw < b.reset {
         Fate::Reset
@@ -197,11 +230,19 @@
     state: Arc<Mutex<State>>,
     log: Arc<Mutex<Vec<Received>>>,
 ) -> Result<Response<Full<Bytes>>, Ended> {
-    let id =
-        request.headers().get("x-correlation-id").and_then(|v| v.to_str().ok()).unwrap_or("").to_string();
+    let id = request
+        .headers()
+        .get("x-correlation-id")
+        .and_then(|v| v.to_str().ok())
+        .unwrap_or("")
+        .to_string();
     let path = request.uri().path().to_string();
     let at = Instant::now();
-    let fate = if id.is_empty() { Fate::Serve(Duration::ZERO) } else { fate(&state) };
+    let fate = if id.is_empty() {
+        Fate::Serve(Duration::ZERO)
+    } else {
+        fate(&state)
+    };
     let outcome = match &fate {
         Fate::Serve(_) => "served",
         Fate::Fail(_) => "failed",
@@ -209,13 +250,15 @@
         Fate::Reset => "reset",
         Fate::TurnAway => "turned-away",
     };
-    log.lock().unwrap_or_else(|e| e.into_inner()).push(Received {
-        backend: i,
-        id: id.clone(),
-        path,
-        at,
-        outcome,
-    });
+    log.lock()
+        .unwrap_or_else(|e| e.into_inner())
+        .push(Received {
+            backend: i,
+            id: id.clone(),
+            path,
+            at,
+            outcome,
+        });
     let answer = |status: StatusCode, body: String| {
         let mut r = Response::new(Full::new(Bytes::from(body)));
         *r.status_mut() = status;
@@ -224,7 +267,11 @@
     match fate {
         Fate::Serve(t) => {
             tokio::time::sleep(t).await;
-            let status = if id.is_empty() { StatusCode::NOT_FOUND } else { StatusCode::OK };
+            let status = if id.is_empty() {
+                StatusCode::NOT_FOUND
+            } else {
+                StatusCode::OK
+            };
             Ok(answer(status, id))
         }
         Fate::Fail(t) => {
@@ -238,7 +285,10 @@
         Fate::Reset => Err(Ended),
         Fate::TurnAway => {
             let mut r = answer(StatusCode::SERVICE_UNAVAILABLE, String::new());
-            r.headers_mut().insert("x-unprocessed", hyper::header::HeaderValue::from_static("1"));
+            r.headers_mut().insert(
+                "x-unprocessed",
+                hyper::header::HeaderValue::from_static("1"),
+            );
             Ok(r)
         }
     }
--- a/crates/lab/src/counter.rs
+++ b/crates/lab/src/counter.rs
@@ -35,7 +35,10 @@
     pub fn tally(&mut self, name: &str, add: f64, life: Duration, now: Instant) -> f64 {
         self.names.retain(|_, (_, until)| *until > now);
         let life = life.clamp(Duration::from_millis(1), Duration::from_secs(60));
-        let entry = self.names.entry(name.to_string()).or_insert((0.0, now + life));
+        let entry = self
+            .names
+            .entry(name.to_string())
+            .or_insert((0.0, now + life));
         entry.0 += add;
         entry.0
     }
@@ -85,7 +88,11 @@
             addrs.push(listener.local_addr()?);
             tokio::spawn(accept(listener, front, shared.clone(), changed.subscribe()));
         }
-        Ok(Counter { shared, fronts: addrs, changed })
+        Ok(Counter {
+            shared,
+            fronts: addrs,
+            changed,
+        })
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, Shared> {
@@ -129,7 +136,9 @@
     changed: watch::Receiver<u64>,
 ) {
     loop {
-        let Ok((socket, _)) = listener.accept().await else { continue };
+        let Ok((socket, _)) = listener.accept().await else {
+            continue;
+        };
         let does = shared.lock().unwrap_or_else(|e| e.into_inner()).fronts[front].1;
         if does == Front::Dead {
             drop(socket); // As good as refused: the connection ends before any call.
@@ -182,8 +191,18 @@
                 return "error\r\n".into();
             };
             let mut s = shared.lock().unwrap_or_else(|e| e.into_inner());
-            let total = s.stores[store].tally(name, add, Duration::from_millis(life.max(1)), Instant::now());
-            s.calls.push(Call { front, name: name.to_string(), add, total });
+            let total = s.stores[store].tally(
+                name,
+                add,
+                Duration::from_millis(life.max(1)),
+                Instant::now(),
+            );
+            s.calls.push(Call {
+                front,
+                name: name.to_string(),
+                add,
+                total,
+            });
             format!("ok {total}\r\n")
         }
         _ => "error\r\n".into(),
@@ -199,6 +218,14 @@
         let (mut s, now) = (Store::default(), Instant::now());
         assert_eq!(s.tally("a", 2.0, Duration::from_secs(1), now), 2.0);
         assert_eq!(s.tally("a", -0.5, Duration::from_secs(9), now), 1.5);
-        assert_eq!(s.tally("a", 1.0, Duration::from_secs(1), now + Duration::from_secs(2)), 1.0);
+        assert_eq!(
+            s.tally(
+                "a",
+                1.0,
+                Duration::from_secs(1),
+                now + Duration::from_secs(2)
+            ),
+            1.0
+        );
     }
 }
--- a/crates/lab/src/discovery.rs
+++ b/crates/lab/src/discovery.rs
@@ -35,7 +35,16 @@
 impl Member {
     pub fn active(id: &str, at: SocketAddr) -> Member {
         let (locality, flavor, phase) = ("a".into(), "m".into(), "active".into());
-        Member { id: id.into(), host_port: at, locality, flavor, cell: 0, phase, size: 1.0, up_since_ms: 0 }
+        Member {
+            id: id.into(),
+            host_port: at,
+            locality,
+            flavor,
+            cell: 0,
+            phase,
+            size: 1.0,
+            up_since_ms: 0,
+        }
     }
 }
 
@@ -56,19 +65,28 @@
     pub async fn start(members: Vec<Member>) -> std::io::Result<Discovery> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let at = listener.local_addr()?;
-        let (list, _) = watch::channel(Page { revision: 1, complete: true, members });
+        let (list, _) = watch::channel(Page {
+            revision: 1,
+            complete: true,
+            members,
+        });
         let (pages, calls) = (Arc::new(list.subscribe()), Arc::<AtomicUsize>::default());
         let counted = calls.clone();
         tokio::spawn(async move {
             loop {
-                let Ok((socket, _)) = listener.accept().await else { continue };
+                let Ok((socket, _)) = listener.accept().await else {
+                    continue;
+                };
                 let (pages, counted) = (pages.clone(), counted.clone());
                 tokio::spawn(async move {
                     let service = service_fn(move |r| {
                         counted.fetch_add(1, Ordering::Relaxed);
                         hosts(r, (*pages).clone())
                     });
-                    http1::Builder::new().serve_connection(TokioIo::new(socket), service).await.ok();
+                    http1::Builder::new()
+                        .serve_connection(TokioIo::new(socket), service)
+                        .await
+                        .ok();
                 });
             }
         });
@@ -95,7 +113,9 @@
 ) -> Result<Response<Full<Bytes>>, Infallible> {
     let query = request.uri().query().unwrap_or("");
     let number = |key: &str| {
-        query.split('&').find_map(|kv| kv.strip_prefix(key)?.strip_prefix('=')?.parse::<u64>().ok())
+        query
+            .split('&')
+            .find_map(|kv| kv.strip_prefix(key)?.strip_prefix('=')?.parse::<u64>().ok())
     };
     if let Some(from) = number("from") {
         let hold = Duration::from_millis(number("hold_ms").unwrap_or(20_000).min(60_000));
--- a/crates/lab/src/gateways.rs
+++ b/crates/lab/src/gateways.rs
@@ -54,14 +54,24 @@
 async fn call(at: SocketAddr, method: Method, path: &str) -> bool {
     let asked = async {
         let socket = TcpStream::connect(at).await.ok()?;
-        let (mut send, connection) =
-            hyper::client::conn::http1::handshake(TokioIo::new(socket)).await.ok()?;
+        let (mut send, connection) = hyper::client::conn::http1::handshake(TokioIo::new(socket))
+            .await
+            .ok()?;
         tokio::spawn(connection);
-        let request = Request::builder().method(method).uri(path).header("host", "gateway");
-        let answer = send.send_request(request.body(Empty::<Bytes>::new()).ok()?).await.ok()?;
+        let request = Request::builder()
+            .method(method)
+            .uri(path)
+            .header("host", "gateway");
+        let answer = send
+            .send_request(request.body(Empty::<Bytes>::new()).ok()?)
+            .await
+            .ok()?;
         Some(answer.status() == 200)
     };
-    matches!(tokio::time::timeout(Duration::from_secs(1), asked).await, Ok(Some(true)))
+    matches!(
+        tokio::time::timeout(Duration::from_secs(1), asked).await,
+        Ok(Some(true))
+    )
 }
 
 /// Asks `GET /up`; true on 200.
@@ -73,7 +83,15 @@
 /// handed out twice between tests that run side by side; port 9300, which the socket tests do not use.
 pub fn address(n: usize) -> SocketAddr {
     let process = std::process::id() as usize;
-    SocketAddr::from(([127, 100 + (process % 100) as u8, (process / 100 % 250) as u8, 1 + n as u8], 9300))
+    SocketAddr::from((
+        [
+            127,
+            100 + (process % 100) as u8,
+            (process / 100 % 250) as u8,
+            1 + n as u8,
+        ],
+        9300,
+    ))
 }
 
 /// Where gateway `n` takes datagrams from its peers (UDP, beside its listener).
@@ -101,7 +119,11 @@
     ///
     /// # Errors
     /// Where its address can't be bound, its program not started, or it is not up after 5 s.
-    pub async fn start(n: usize, counter: SocketAddr, common: &Common<'_>) -> Result<Place, String> {
+    pub async fn start(
+        n: usize,
+        counter: SocketAddr,
+        common: &Common<'_>,
+    ) -> Result<Place, String> {
         let (name, at, of) = (format!("g{n}"), address(n), common.of);
         let mut settings = common.settings.clone();
         settings["siblings"] = of.into();
@@ -113,10 +135,14 @@
         if common.witness {
             config["settings"]["ceilings"]["may-tell"] = true.into();
             config["peer_listen"] = peer_address(n).to_string().into();
-            config["peers"] = (0..of).map(|i| peer_address(i).to_string()).collect::<Vec<_>>().into();
+            config["peers"] = (0..of)
+                .map(|i| peer_address(i).to_string())
+                .collect::<Vec<_>>()
+                .into();
             config["witness"] = true.into();
         }
-        let folder = std::env::temp_dir().join(format!("damsonbeam-lab-{}-{n}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("damsonbeam-lab-{}-{n}", std::process::id()));
         std::fs::create_dir_all(&folder).map_err(|e| format!("{}: {e}", folder.display()))?;
         let listener = match common.inherits {
             true => Some(listen(at).map_err(|e| format!("{at}: {e}"))?),
@@ -124,7 +150,17 @@
         };
         let program = common.program.to_owned();
         let (serving, before, started) = (None, Vec::new(), 0);
-        let mut place = Place { name, at, program, config, folder, listener, serving, before, started };
+        let mut place = Place {
+            name,
+            at,
+            program,
+            config,
+            folder,
+            listener,
+            serving,
+            before,
+            started,
+        };
         place.serving = Some(place.launch().await?);
         Ok(place)
     }
@@ -136,12 +172,20 @@
         self.config["admin_addr"] = admin.to_string().into();
         let path = self.write()?;
         let mut command = Command::new(&self.program);
-        command.arg("serve").env("NODE_CONFIG", &path).env("DAMSONBEAM_LOG", "warn").stderr(Stdio::null());
-        command.env("TMPDIR", &self.folder).env_remove("NODE_LISTEN_FD");
+        command
+            .arg("serve")
+            .env("NODE_CONFIG", &path)
+            .env("DAMSONBEAM_LOG", "warn")
+            .stderr(Stdio::null());
+        command
+            .env("TMPDIR", &self.folder)
+            .env_remove("NODE_LISTEN_FD");
         if let Some(listener) = &self.listener {
             command.env("NODE_LISTEN_FD", listener.as_raw_fd().to_string());
         }
-        let child = command.spawn().map_err(|e| format!("{}: {e}", self.program.display()))?;
+        let child = command
+            .spawn()
+            .map_err(|e| format!("{}: {e}", self.program.display()))?;
         let process = Process { child, admin };
         for _ in 0..500 {
             if call(admin, Method::GET, "/api/ready").await {
@@ -154,12 +198,16 @@
 
     fn write(&self) -> Result<PathBuf, String> {
         let path = self.folder.join("config.json");
-        std::fs::write(&path, self.config.to_string()).map_err(|e| format!("{}: {e}", path.display()))?;
+        std::fs::write(&path, self.config.to_string())
+            .map_err(|e| format!("{}: {e}", path.display()))?;
         Ok(path)
     }
 
     fn signal(&self, process: &Process, name: &str) -> Result<(), String> {
-        let done = Command::new("kill").arg(name).arg(process.child.id().to_string()).status();
+        let done = Command::new("kill")
+            .arg(name)
+            .arg(process.child.id().to_string())
+            .status();
         match done {
             Ok(status) if status.success() => Ok(()),
             failed => Err(format!("{}: {name}: {failed:?}", self.name)),
@@ -171,7 +219,9 @@
         let all = self.serving.iter().chain(&self.before);
         let one = |p: &Process| {
             let status = std::fs::read_to_string(format!("/proc/{}/status", p.child.id())).ok()?;
-            let kb = status.lines().find_map(|l| l.strip_prefix("VmRSS:")?.trim().strip_suffix(" kB"));
+            let kb = status
+                .lines()
+                .find_map(|l| l.strip_prefix("VmRSS:")?.trim().strip_suffix(" kB"));
             kb?.parse::<u64>().ok()
         };
         all.filter_map(one).sum()
@@ -202,24 +252,32 @@
             Fault::GatewayRejoin { gateway } if mine(gateway) => self.order("/api/rejoin").await,
             Fault::GatewayReload { gateway, factor } if gateway.is_none_or(|g| g == n) => {
                 let mut config = self.config.clone();
-                for plan in config["settings"]["plans"].as_array_mut().into_iter().flatten() {
+                for plan in config["settings"]["plans"]
+                    .as_array_mut()
+                    .into_iter()
+                    .flatten()
+                {
                     for key in ["quota-rate", "store-size"] {
                         plan[key] = (plan[key].as_f64().unwrap_or(0.0) * factor).into();
                     }
                 }
                 let path = self.folder.join("config.json");
-                std::fs::write(&path, config.to_string()).map_err(|e| format!("{}: {e}", path.display()))?;
+                std::fs::write(&path, config.to_string())
+                    .map_err(|e| format!("{}: {e}", path.display()))?;
                 self.signal(self.serving.as_ref().ok_or_else(none)?, "-HUP")
             }
             Fault::GatewayUpgrade { gateway } if mine(gateway) => {
                 let new = self.launch().await?;
                 let old = self.serving.replace(new).ok_or_else(none)?;
                 self.signal(&old, "-TERM")?;
-                self.before.retain_mut(|p| matches!(p.child.try_wait(), Ok(None)));
+                self.before
+                    .retain_mut(|p| matches!(p.child.try_wait(), Ok(None)));
                 self.before.push(old);
                 Ok(())
             }
-            Fault::GatewayKill { gateway } if mine(gateway) => self.serving.take().map(drop).ok_or_else(none),
+            Fault::GatewayKill { gateway } if mine(gateway) => {
+                self.serving.take().map(drop).ok_or_else(none)
+            }
             Fault::GatewayStart { gateway } if mine(gateway) => {
                 self.serving = Some(self.launch().await?);
                 Ok(())
@@ -241,7 +299,11 @@
 
 /// A listening socket that processes started from here inherit.
 fn listen(at: SocketAddr) -> std::io::Result<socket2::Socket> {
-    let socket = socket2::Socket::new(socket2::Domain::for_address(at), socket2::Type::STREAM, None)?;
+    let socket = socket2::Socket::new(
+        socket2::Domain::for_address(at),
+        socket2::Type::STREAM,
+        None,
+    )?;
     socket.set_reuse_address(true)?;
     socket.bind(&at.into())?;
     socket.listen(1024)?;
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -37,10 +37,17 @@
     ) -> std::io::Result<Lab> {
         let counter = Counter::start(fronts, stores).await?;
         let fleet = Fleet::start(backends, seed, b).await?;
-        let members =
-            fleet.backends.iter().enumerate().map(|(i, b)| Member::active(&format!("s-{i:04}"), b.at));
+        let members = fleet
+            .backends
+            .iter()
+            .enumerate()
+            .map(|(i, b)| Member::active(&format!("s-{i:04}"), b.at));
         let discovery = Discovery::start(members.collect()).await?;
-        Ok(Lab { counter, fleet, discovery })
+        Ok(Lab {
+            counter,
+            fleet,
+            discovery,
+        })
     }
 
     /// Carries a step out at once; those of gateways are their places' ([`Place::apply`]).
@@ -51,7 +58,9 @@
             all.for_each(|i| self.fleet.backends[i].set(change));
         };
         match fault {
-            Fault::CounterKill { front } => fronts(*front).for_each(|f| self.counter.set(f, Front::Dead)),
+            Fault::CounterKill { front } => {
+                fronts(*front).for_each(|f| self.counter.set(f, Front::Dead))
+            }
             Fault::CounterRevive { front, empty } => {
                 for f in fronts(*front) {
                     if *empty {
@@ -74,22 +83,35 @@
             Fault::BackendDrain { backend } => {
                 self.fleet.backends[*backend].set(|b| b.draining = true);
                 let id = format!("s-{backend:04}");
-                self.discovery
-                    .change(|m| m.iter_mut().filter(|m| m.id == id).for_each(|m| m.phase = "leaving".into()));
+                self.discovery.change(|m| {
+                    m.iter_mut()
+                        .filter(|m| m.id == id)
+                        .for_each(|m| m.phase = "leaving".into())
+                });
             }
             Fault::BackendHeal { backend } => {
                 each(*backend, &|b| {
-                    *b = Behaviour { median: b.median, spread: b.spread, ..Behaviour::default() }
+                    *b = Behaviour {
+                        median: b.median,
+                        spread: b.spread,
+                        ..Behaviour::default()
+                    }
                 });
-                self.discovery.change(|m| m.iter_mut().for_each(|m| m.phase = "active".into()));
+                self.discovery
+                    .change(|m| m.iter_mut().for_each(|m| m.phase = "active".into()));
             }
             Fault::BackendSlow { backend, median } => each(*backend, &|b| b.median = *median),
             Fault::BackendFail { backend, share } => each(*backend, &|b| b.fail = *share),
             Fault::BackendLose { backend, share } => each(*backend, &|b| b.lose = *share),
             Fault::BackendReset { backend, share } => each(*backend, &|b| b.reset = *share),
-            Fault::BackendCold { backend, factor, lasting } => {
+            Fault::BackendCold {
+                backend,
+                factor,
+                lasting,
+            } => {
                 let until = std::time::Instant::now() + *lasting;
-                self.fleet.backends[*backend].set(|b| (b.cold_factor, b.cold_until) = (*factor, Some(until)));
+                self.fleet.backends[*backend]
+                    .set(|b| (b.cold_factor, b.cold_until) = (*factor, Some(until)));
             }
             Fault::GatewayDrain { .. }
             | Fault::GatewayRejoin { .. }
@@ -110,7 +132,10 @@
             tokio::time::sleep_until(start + step.at).await;
             self.apply(&step.fault);
             for (n, place) in gateways.iter_mut().enumerate() {
-                place.apply(n, &step.fault).await.map_err(|why| format!("line {}: {why}", step.line))?;
+                place
+                    .apply(n, &step.fault)
+                    .await
+                    .map_err(|why| format!("line {}: {why}", step.line))?;
             }
         }
         Ok(())
--- a/crates/lab/src/plain.rs
+++ b/crates/lab/src/plain.rs
@@ -14,11 +14,18 @@
 
 impl Message {
     pub fn header(&self, name: &str) -> Option<&str> {
-        self.headers.iter().find(|h| h.0.eq_ignore_ascii_case(name)).map(|h| h.1.as_str())
+        self.headers
+            .iter()
+            .find(|h| h.0.eq_ignore_ascii_case(name))
+            .map(|h| h.1.as_str())
     }
 
     pub fn status(&self) -> u16 {
-        self.first.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
+        self.first
+            .split(' ')
+            .nth(1)
+            .and_then(|s| s.parse().ok())
+            .unwrap_or(0)
     }
 
     /// The next one's head; none where the connection ended before its end.
@@ -46,7 +53,9 @@
     pub fn read(from: &mut BufReader<TcpStream>) -> Option<Message> {
         let mut message = Message::head(from)?;
         let chunked = message.header("transfer-encoding").is_some();
-        let mut length = message.header("content-length").map_or(Some(0), |l| l.parse().ok())?;
+        let mut length = message
+            .header("content-length")
+            .map_or(Some(0), |l| l.parse().ok())?;
         loop {
             if chunked {
                 let mut line = String::new();
@@ -67,5 +76,8 @@
 }
 
 pub fn answer(head: &str, body: &str) -> String {
-    format!("HTTP/1.1 {head}\r\nContent-Length: {}\r\n\r\n{body}", body.len())
+    format!(
+        "HTTP/1.1 {head}\r\nContent-Length: {}\r\n\r\n{body}",
+        body.len()
+    )
 }
--- a/crates/lab/src/script.rs
+++ b/crates/lab/src/script.rs
@@ -136,7 +136,8 @@
 
 /// `250ms`, `20s`, `2m`, as `humantime` reads them.
 pub fn duration(key: &str, text: &str) -> Result<Duration, String> {
-    humantime::parse_duration(text).map_err(|e| format!("{key}: `{text}` is no time with its unit: {e}"))
+    humantime::parse_duration(text)
+        .map_err(|e| format!("{key}: `{text}` is no time with its unit: {e}"))
 }
 
 fn share(key: &str, value: Option<f64>) -> Result<f64, String> {
@@ -154,7 +155,9 @@
             f => Ok(f),
         };
         let backend = |b: Option<usize>| match b {
-            Some(b) if b >= backends => Err(format!("backend: {b} is not below the {backends} backends")),
+            Some(b) if b >= backends => {
+                Err(format!("backend: {b} is not below the {backends} backends"))
+            }
             b => Ok(b),
         };
         // Each gateway has a front of the counter.
@@ -164,23 +167,33 @@
             }
             g => g,
         };
-        let needed =
-            |key: &str, v: Option<usize>| v.ok_or_else(|| format!("{key}: missing for `{}`", self.does));
+        let needed = |key: &str, v: Option<usize>| {
+            v.ok_or_else(|| format!("{key}: missing for `{}`", self.does))
+        };
         let time = |key: &str, v: &Option<String>| match v {
             Some(t) => duration(key, t),
             None => Err(format!("{key}: missing for `{}`", self.does)),
         };
         Ok(match self.does.as_str() {
-            "counter-kill" => Fault::CounterKill { front: front(self.front)? },
-            "counter-revive" => {
-                Fault::CounterRevive { front: front(self.front)?, empty: self.empty.unwrap_or(false) }
-            }
-            "counter-slow" => {
-                Fault::CounterSlow { front: front(self.front)?, delay: time("delay", &self.delay)? }
-            }
-            "counter-cut" => Fault::CounterCut { front: needed("front", front(self.front)?)? },
+            "counter-kill" => Fault::CounterKill {
+                front: front(self.front)?,
+            },
+            "counter-revive" => Fault::CounterRevive {
+                front: front(self.front)?,
+                empty: self.empty.unwrap_or(false),
+            },
+            "counter-slow" => Fault::CounterSlow {
+                front: front(self.front)?,
+                delay: time("delay", &self.delay)?,
+            },
+            "counter-cut" => Fault::CounterCut {
+                front: needed("front", front(self.front)?)?,
+            },
             "counter-split" => {
-                let list = self.fronts.clone().ok_or("fronts: missing for `counter-split`")?;
+                let list = self
+                    .fronts
+                    .clone()
+                    .ok_or("fronts: missing for `counter-split`")?;
                 if let Some(f) = list.iter().find(|f| **f >= fronts) {
                     return Err(format!("fronts: {f} is not below the {fronts} fronts"));
                 }
@@ -188,33 +201,54 @@
                 if store >= stores {
                     return Err(format!("store: {store} is not below the {stores} stores"));
                 }
-                Fault::CounterSplit { fronts: list, store }
+                Fault::CounterSplit {
+                    fronts: list,
+                    store,
+                }
             }
             "counter-heal" => Fault::CounterHeal,
-            "backend-drain" => Fault::BackendDrain { backend: needed("backend", backend(self.backend)?)? },
-            "backend-heal" => Fault::BackendHeal { backend: backend(self.backend)? },
-            "backend-slow" => {
-                Fault::BackendSlow { backend: backend(self.backend)?, median: time("median", &self.median)? }
-            }
-            "backend-fail" => {
-                Fault::BackendFail { backend: backend(self.backend)?, share: share("share", self.share)? }
-            }
-            "backend-lose" => {
-                Fault::BackendLose { backend: backend(self.backend)?, share: share("share", self.share)? }
-            }
-            "backend-reset" => {
-                Fault::BackendReset { backend: backend(self.backend)?, share: share("share", self.share)? }
-            }
+            "backend-drain" => Fault::BackendDrain {
+                backend: needed("backend", backend(self.backend)?)?,
+            },
+            "backend-heal" => Fault::BackendHeal {
+                backend: backend(self.backend)?,
+            },
+            "backend-slow" => Fault::BackendSlow {
+                backend: backend(self.backend)?,
+                median: time("median", &self.median)?,
+            },
+            "backend-fail" => Fault::BackendFail {
+                backend: backend(self.backend)?,
+                share: share("share", self.share)?,
+            },
+            "backend-lose" => Fault::BackendLose {
+                backend: backend(self.backend)?,
+                share: share("share", self.share)?,
+            },
+            "backend-reset" => Fault::BackendReset {
+                backend: backend(self.backend)?,
+                share: share("share", self.share)?,
+            },
             "backend-cold" => {
                 let factor = self.factor.ok_or("factor: missing for `backend-cold`")?;
                 if factor < 1.0 || !factor.is_finite() {
-                    return Err(format!("factor: {factor} is below 1; a cold backend is slower, not faster"));
+                    return Err(format!(
+                        "factor: {factor} is below 1; a cold backend is slower, not faster"
+                    ));
                 }
                 let backend = needed("backend", backend(self.backend)?)?;
-                Fault::BackendCold { backend, factor, lasting: time("lasting", &self.lasting)? }
+                Fault::BackendCold {
+                    backend,
+                    factor,
+                    lasting: time("lasting", &self.lasting)?,
+                }
             }
-            "gateway-drain" => Fault::GatewayDrain { gateway: needed("gateway", gateway)? },
-            "gateway-rejoin" => Fault::GatewayRejoin { gateway: needed("gateway", gateway)? },
+            "gateway-drain" => Fault::GatewayDrain {
+                gateway: needed("gateway", gateway)?,
+            },
+            "gateway-rejoin" => Fault::GatewayRejoin {
+                gateway: needed("gateway", gateway)?,
+            },
             "gateway-reload" => {
                 let factor = self.factor.unwrap_or(1.0);
                 if factor <= 0.0 || !factor.is_finite() {
@@ -222,9 +256,15 @@
                 }
                 Fault::GatewayReload { gateway, factor }
             }
-            "gateway-upgrade" => Fault::GatewayUpgrade { gateway: needed("gateway", gateway)? },
-            "gateway-kill" => Fault::GatewayKill { gateway: needed("gateway", gateway)? },
-            "gateway-start" => Fault::GatewayStart { gateway: needed("gateway", gateway)? },
+            "gateway-upgrade" => Fault::GatewayUpgrade {
+                gateway: needed("gateway", gateway)?,
+            },
+            "gateway-kill" => Fault::GatewayKill {
+                gateway: needed("gateway", gateway)?,
+            },
+            "gateway-start" => Fault::GatewayStart {
+                gateway: needed("gateway", gateway)?,
+            },
             other => {
                 return Err(format!(
                     "do: `{other}` is no step; steps are counter-kill, counter-revive, counter-slow, counter-cut, counter-split, counter-heal, backend-drain, backend-heal, backend-slow, backend-fail, backend-lose, backend-reset, backend-cold, gateway-drain, gateway-rejoin, gateway-reload, gateway-upgrade, gateway-kill, gateway-start"
@@ -261,7 +301,12 @@
             )));
         }
         let fault = s.fault(fronts, stores, backends).map_err(at)?;
-        steps.push(Step { at: when, fault, name: s.does.clone(), line });
+        steps.push(Step {
+            at: when,
+            fault,
+            name: s.does.clone(),
+            line,
+        });
     }
     Ok(steps)
 }
@@ -276,7 +321,13 @@
         let steps = parse("s.toml", text, 3, 2, 4).unwrap();
         assert_eq!(steps.len(), 2);
         assert_eq!(steps[1].at, Duration::from_millis(4500));
-        assert_eq!(steps[1].fault, Fault::CounterRevive { front: None, empty: true });
+        assert_eq!(
+            steps[1].fault,
+            Fault::CounterRevive {
+                front: None,
+                empty: true
+            }
+        );
         assert_eq!((steps[0].line, steps[1].line), (1, 5));
     }
 
@@ -295,7 +346,10 @@
                 "[[step]]\nat = \"1s\"\ndo = \"backend-fail\"\nshare = -0.5\n",
                 "s.toml:1: share: -0.5 is not a share",
             ),
-            ("[[step]]\nat = \"10\"\ndo = \"counter-kill\"\n", "s.toml:1: at: `10` is no time with its unit"),
+            (
+                "[[step]]\nat = \"10\"\ndo = \"counter-kill\"\n",
+                "s.toml:1: at: `10` is no time with its unit",
+            ),
             (
                 "[[step]]\nat = \"1s\"\ndo = \"counter-cut\"\nfront = 7\n",
                 "s.toml:1: front: 7 is not below the 3 fronts",
@@ -312,7 +366,10 @@
                 "[[step]]\nat = \"1s\"\ndo = \"gateway-reload\"\nfactor = -1.0\n",
                 "s.toml:1: factor: -1 is no factor of a quota",
             ),
-            ("[[step]]\nat = \"1s\"\ndo = \"counter-kill\"\ncolour = 1\n", "unknown field `colour`"),
+            (
+                "[[step]]\nat = \"1s\"\ndo = \"counter-kill\"\ncolour = 1\n",
+                "unknown field `colour`",
+            ),
         ];
         for (text, says) in cases {
             let said = parse("s.toml", text, 3, 2, 4).unwrap_err();
--- a/crates/load-reports/src/gossip.rs
+++ b/crates/load-reports/src/gossip.rs
@@ -96,15 +96,28 @@
         let mut summaries: Vec<Summary> = own
             .into_iter()
             .take(MAX_OWN_SUMMARIES)
-            .map(|(backend, observation)| Summary { origin, number, backend, age_ms: 0, observation })
+            .map(|(backend, observation)| Summary {
+                origin,
+                number,
+                backend,
+                age_ms: 0,
+                observation,
+            })
             .collect();
         let room = MAX_SUMMARIES - summaries.len();
         summaries.extend(self.table.take_forwards(room, now));
         if summaries.is_empty() {
             return vec![];
         }
-        let bytes = pack(&Datagram { from: self.me, summaries });
-        let mut to: Vec<P> = self.near.choose_multiple(&mut self.rng, NEAR_PARTNERS).cloned().collect();
+        let bytes = pack(&Datagram {
+            from: self.me,
+            summaries,
+        });
+        let mut to: Vec<P> = self
+            .near
+            .choose_multiple(&mut self.rng, NEAR_PARTNERS)
+            .cloned()
+            .collect();
         if self.rounds.is_multiple_of(FAR_EVERY) {
             to.extend(self.far.choose(&mut self.rng).cloned());
         }
@@ -135,7 +148,11 @@
             return false;
         };
         let mut news = false;
-        for summary in datagram.summaries.iter().filter(|s| s.origin != self.me && wanted(s.backend)) {
+        for summary in datagram
+            .summaries
+            .iter()
+            .filter(|s| s.origin != self.me && wanted(s.backend))
+        {
             news |= self.table.merge(summary, now);
         }
         news
--- a/crates/load-reports/src/observation.rs
+++ b/crates/load-reports/src/observation.rs
@@ -61,7 +61,13 @@
 impl RecentDeliveries {
     fn fade(&mut self, now: Duration) {
         let keep = (-now.saturating_sub(self.at).as_secs_f64() / FADE_SPAN_S).exp();
-        for sum in [&mut self.ended, &mut self.full, &mut self.failed, &mut self.answered, &mut self.took] {
+        for sum in [
+            &mut self.ended,
+            &mut self.full,
+            &mut self.failed,
+            &mut self.answered,
+            &mut self.took,
+        ] {
             *sum *= keep;
         }
         self.at = now;
@@ -82,7 +88,9 @@
 
     /// One that `took` so long ended.
     pub fn end(&mut self, backend: BackendKey, end: DeliveryEnd, took: Duration, now: Duration) {
-        let Some(seen) = self.seen.get_mut(&backend) else { return };
+        let Some(seen) = self.seen.get_mut(&backend) else {
+            return;
+        };
         seen.fade(now);
         let began = now.saturating_sub(took);
         let nearest = (0..seen.begun.len()).min_by_key(|n| seen.begun[*n].abs_diff(began));
@@ -101,11 +109,21 @@
 
     /// What there is to say of one now.
     pub fn observe(&mut self, backend: BackendKey, now: Duration) -> Observation {
-        let Some(seen) = self.seen.get_mut(&backend) else { return Observation::default() };
+        let Some(seen) = self.seen.get_mut(&backend) else {
+            return Observation::default();
+        };
         seen.fade(now);
         let part = |n: f64| (n / (seen.ended + PRIOR_ENDS) * 255.0) as u8;
-        let usual = if seen.answered > NEGLIGIBLE { seen.took / seen.answered * 1000.0 } else { 0.0 };
-        let waited = seen.begun.iter().min().map_or(0, |b| now.saturating_sub(*b).as_millis()) as f64;
+        let usual = if seen.answered > NEGLIGIBLE {
+            seen.took / seen.answered * 1000.0
+        } else {
+            0.0
+        };
+        let waited = seen
+            .begun
+            .iter()
+            .min()
+            .map_or(0, |b| now.saturating_sub(*b).as_millis()) as f64;
         let usual = usual.max(waited);
         Observation {
             out: seen.begun.len() as u16,
@@ -118,9 +136,12 @@
     /// All of which there is anything to say; the others are forgotten.
     pub fn all(&mut self, now: Duration) -> Vec<(BackendKey, Observation)> {
         self.seen.values_mut().for_each(|s| s.fade(now));
-        self.seen.retain(|_, s| !s.begun.is_empty() || s.ended > NEGLIGIBLE);
+        self.seen
+            .retain(|_, s| !s.begun.is_empty() || s.ended > NEGLIGIBLE);
         let keys: Vec<BackendKey> = self.seen.keys().copied().collect();
-        keys.into_iter().map(|key| (key, self.observe(key, now))).collect()
+        keys.into_iter()
+            .map(|key| (key, self.observe(key, now)))
+            .collect()
     }
 }
 
@@ -140,6 +161,9 @@
         assert!(seen.failed < 100, "{seen:?}");
         observer.end(1, DeliveryEnd::Answered, at(80), at(90));
         assert_eq!(observer.observe(1, at(90)).usual_ms, 80);
-        assert!(observer.all(at(9000)).is_empty(), "nothing is remembered for ever");
+        assert!(
+            observer.all(at(9000)).is_empty(),
+            "nothing is remembered for ever"
+        );
     }
 }
--- a/crates/load-reports/src/summaries.rs
+++ b/crates/load-reports/src/summaries.rs
@@ -91,12 +91,20 @@
         if age >= EXPIRY || summary.observation.out > MAX_PLAUSIBLE_OUT {
             return false;
         }
-        let (at, number, observation) = (now.saturating_sub(age), summary.number, summary.observation);
+        let (at, number, observation) =
+            (now.saturating_sub(age), summary.number, summary.observation);
         let known = self.all.entry(summary.backend).or_default();
-        let new = Entry { number, at, observation, forwards_left: MAX_FORWARDS };
+        let new = Entry {
+            number,
+            at,
+            observation,
+            forwards_left: MAX_FORWARDS,
+        };
         match known.get_mut(&summary.origin) {
             // Numbers go round after 2^32.
-            Some(k) if k.number != number && number.wrapping_sub(k.number) < u32::MAX / 2 => *k = new,
+            Some(k) if k.number != number && number.wrapping_sub(k.number) < u32::MAX / 2 => {
+                *k = new
+            }
             Some(k) => {
                 if k.number == number {
                     k.at = k.at.min(at);
@@ -106,7 +114,10 @@
             None => drop(known.insert(summary.origin, new)),
         }
         if known.len() > MAX_ORIGINS {
-            let oldest = known.iter().min_by_key(|(origin, k)| (k.at, **origin)).map(|k| *k.0);
+            let oldest = known
+                .iter()
+                .min_by_key(|(origin, k)| (k.at, **origin))
+                .map(|k| *k.0);
             oldest.map(|o| known.remove(&o));
         }
         true
@@ -145,19 +156,30 @@
     pub fn take_forwards(&mut self, most: usize, now: Duration) -> Vec<Summary> {
         let mut fresh: Vec<(Duration, BackendKey, Origin)> = Vec::new();
         for (mark, known) in &self.all {
-            let due = known.iter().filter(|(_, k)| k.forwards_left > 0 && now < k.at + FORWARD_AGE);
+            let due = known
+                .iter()
+                .filter(|(_, k)| k.forwards_left > 0 && now < k.at + FORWARD_AGE);
             fresh.extend(due.map(|(origin, k)| (k.at, *mark, *origin)));
         }
         fresh.sort_unstable_by(|a, b| b.cmp(a));
         fresh.truncate(most);
-        fresh.into_iter().filter_map(|(_, backend, origin)| self.forward(backend, origin, now)).collect()
+        fresh
+            .into_iter()
+            .filter_map(|(_, backend, origin)| self.forward(backend, origin, now))
+            .collect()
     }
 
     fn forward(&mut self, backend: BackendKey, origin: Origin, now: Duration) -> Option<Summary> {
         let k = self.all.get_mut(&backend)?.get_mut(&origin)?;
         k.forwards_left -= 1;
         let age_ms = now.saturating_sub(k.at).as_millis() as u16;
-        Some(Summary { origin, number: k.number, backend, age_ms, observation: k.observation })
+        Some(Summary {
+            origin,
+            number: k.number,
+            backend,
+            age_ms,
+            observation: k.observation,
+        })
     }
 
     pub fn len(&self) -> usize {
@@ -170,7 +192,11 @@
 
     /// What is known, without what is only for passing on: to compare boards by.
     pub fn known(&self) -> BTreeMap<(BackendKey, Origin), (u32, Duration, Observation)> {
-        let row = |m: &BackendKey, (o, k): (&Origin, &Entry)| ((*m, *o), (k.number, k.at, k.observation));
-        self.all.iter().flat_map(|(m, known)| known.iter().map(move |k| row(m, k))).collect()
+        let row =
+            |m: &BackendKey, (o, k): (&Origin, &Entry)| ((*m, *o), (k.number, k.at, k.observation));
+        self.all
+            .iter()
+            .flat_map(|(m, known)| known.iter().map(move |k| row(m, k)))
+            .collect()
     }
 }
--- a/crates/load-reports/src/weight.rs
+++ b/crates/load-reports/src/weight.rs
@@ -38,8 +38,9 @@
     /// The weighted mean of all known usual answer times; 0: nobody knows one.
     fn usual_ms(&self) -> f64 {
         let told = self.told.opinions.iter().filter(|o| o.usual_ms > 0.0);
-        let (sum, weight) =
-            told.fold((0.0, 0.0), |(sum, weight), o| (sum + o.usual_ms * o.weight, weight + o.weight));
+        let (sum, weight) = told.fold((0.0, 0.0), |(sum, weight), o| {
+            (sum + o.usual_ms * o.weight, weight + o.weight)
+        });
         let own = if self.own.usual_ms > 0 { 1.0 } else { 0.0 };
         (sum + f64::from(self.own.usual_ms) * own) / (weight + own).max(1e-9)
     }
@@ -51,7 +52,11 @@
         let opinions: Vec<&Opinion> = self.told.opinions.iter().chain(&own).collect();
         let full = weighted_median(&opinions, |o| o.full);
         let failed = weighted_median(&opinions, |o| o.failed);
-        full + if opinions.len() >= MIN_WITNESSES { failed } else { 0.0 }
+        full + if opinions.len() >= MIN_WITNESSES {
+            failed
+        } else {
+            0.0
+        }
     }
 }
 
@@ -77,7 +82,11 @@
 impl Usual {
     fn of(all: &HashMap<BackendKey, BackendLoad>) -> Self {
         let loads: f64 = all.values().map(BackendLoad::per_slot).sum();
-        let mut times: Vec<f64> = all.values().map(BackendLoad::usual_ms).filter(|ms| *ms > 0.0).collect();
+        let mut times: Vec<f64> = all
+            .values()
+            .map(BackendLoad::usual_ms)
+            .filter(|ms| *ms > 0.0)
+            .collect();
         times.sort_by(f64::total_cmp);
         Usual {
             load_per_slot: loads / all.len().max(1) as f64,
@@ -87,7 +96,8 @@
 
     /// The factor that a backend should have by what is known now.
     fn factor(&self, backend: &BackendLoad) -> f64 {
-        let load = (OVERLOAD_RATIO * (self.load_per_slot + 1.0) / (backend.per_slot() + 1.0)).min(1.0);
+        let load =
+            (OVERLOAD_RATIO * (self.load_per_slot + 1.0) / (backend.per_slot() + 1.0)).min(1.0);
         let slow = match self.answer_ms > 0.0 {
             true => (SLOW_RATIO * self.answer_ms / backend.usual_ms().max(1e-9)).min(1.0),
             false => 1.0,
@@ -115,9 +125,16 @@
         for (key, backend) in all {
             let target = usual.factor(backend);
             let factor = self.current.entry(*key).or_insert(1.0);
-            *factor = if target < *factor { target } else { (*factor + recovered).min(target) };
+            *factor = if target < *factor {
+                target
+            } else {
+                (*factor + recovered).min(target)
+            };
         }
-        let changed = self.current.iter().any(|(key, factor)| self.is_news(*key, *factor));
+        let changed = self
+            .current
+            .iter()
+            .any(|(key, factor)| self.is_news(*key, *factor));
         if changed {
             self.published = self.current.clone();
         }
--- a/crates/load-reports/tests/town.rs
+++ b/crates/load-reports/tests/town.rs
@@ -16,7 +16,10 @@
 
 /// Towns of each scene: a few, and as many as `TOWN` says.
 fn seeds() -> u64 {
-    std::env::var("TOWN").ok().and_then(|n| n.parse().ok()).unwrap_or(5)
+    std::env::var("TOWN")
+        .ok()
+        .and_then(|n| n.parse().ok())
+        .unwrap_or(5)
 }
 
 fn at(ms: u64) -> Duration {
@@ -74,7 +77,11 @@
             region: n % regions,
             up: true,
         };
-        let backend = |_| Backend { work: 100, free: vec![0; slots], sent: vec![] };
+        let backend = |_| Backend {
+            work: 100,
+            free: vec![0; slots],
+            sent: vec![],
+        };
         Town {
             hidden: None,
             slots,
@@ -99,16 +106,25 @@
             match self.by {
                 By::Own => lot * own,
                 By::Summary => lot * own / p.factors.factor(b as BackendKey),
-                By::Least => p.gossip.table.view(b as BackendKey, at(self.now)).out + own + lot * 1e-3,
+                By::Least => {
+                    p.gossip.table.view(b as BackendKey, at(self.now)).out + own + lot * 1e-3
+                }
             }
         };
-        let all: Vec<usize> = (0..self.backends.len()).filter(|b| Some(*b) != self.hidden).collect();
+        let all: Vec<usize> = (0..self.backends.len())
+            .filter(|b| Some(*b) != self.hidden)
+            .collect();
         let all: Vec<_> = all.into_iter().map(|b| (cost(b, rng), b)).collect();
-        all.into_iter().min_by(|a, b| a.0.total_cmp(&b.0)).expect("some").1
+        all.into_iter()
+            .min_by(|a, b| a.0.total_cmp(&b.0))
+            .expect("some")
+            .1
     }
 
     fn request(&mut self) {
-        let up: Vec<usize> = (0..self.proxies.len()).filter(|n| self.proxies[*n].up).collect();
+        let up: Vec<usize> = (0..self.proxies.len())
+            .filter(|n| self.proxies[*n].up)
+            .collect();
         let n = up[self.rng.random_range(0..up.len())];
         let b = self.choose(n);
         let backend = &mut self.backends[b];
@@ -117,7 +133,10 @@
         *slot = (*slot).max(self.now) + backend.work;
         let done = *slot;
         self.proxies[n].out[b] += 1;
-        self.proxies[n].gossip.observer.begin(b as BackendKey, at(self.now));
+        self.proxies[n]
+            .gossip
+            .observer
+            .begin(b as BackendKey, at(self.now));
         self.jobs.entry(done).or_default().push((n, b, self.now));
     }
 
@@ -128,7 +147,12 @@
             for (n, b, sent) in done.remove() {
                 self.proxies[n].out[b] -= 1;
                 let (took, now) = (at(self.now - sent), at(self.now));
-                self.proxies[n].gossip.observer.end(b as BackendKey, DeliveryEnd::Answered, took, now);
+                self.proxies[n].gossip.observer.end(
+                    b as BackendKey,
+                    DeliveryEnd::Answered,
+                    took,
+                    now,
+                );
             }
         }
         let (due, rest): (Vec<_>, Vec<_>) = self.net.drain(..).partition(|m| m.0 <= self.now);
@@ -181,8 +205,9 @@
             own: p.gossip.observer.observe(b as BackendKey, now),
             told: p.gossip.table.view(b as BackendKey, now),
         };
-        let all: HashMap<BackendKey, BackendLoad> =
-            (0..self.backends.len()).map(|b| (b as BackendKey, both(b, p))).collect();
+        let all: HashMap<BackendKey, BackendLoad> = (0..self.backends.len())
+            .map(|b| (b as BackendKey, both(b, p)))
+            .collect();
         p.factors.update(&all, now);
     }
 
@@ -195,11 +220,17 @@
     /// The most in any 100 ms at a backend since then, over its fair part.
     fn rush(&self, backend: usize, from: u64) -> f64 {
         let sent = &self.backends[backend].sent;
-        let all: usize = self.backends.iter().map(|b| b.sent.iter().filter(|s| **s >= from).count()).sum();
+        let all: usize = self
+            .backends
+            .iter()
+            .map(|b| b.sent.iter().filter(|s| **s >= from).count())
+            .sum();
         let fair = all as f64 / self.backends.len() as f64 * 100.0 / (self.now - from) as f64;
         let most = sent.iter().filter(|s| **s >= from);
-        let most =
-            most.map(|s| sent.iter().filter(|t| (*s..s + 100).contains(*t)).count()).max().unwrap_or(0);
+        let most = most
+            .map(|s| sent.iter().filter(|t| (*s..s + 100).contains(*t)).count())
+            .max()
+            .unwrap_or(0);
         most as f64 / fair.max(1.0)
     }
 }
@@ -214,21 +245,32 @@
         while t.now < 12_000 {
             if !told {
                 t.net.clear();
-                t.proxies.iter_mut().for_each(|p| p.gossip.table = SummaryTable::default());
+                t.proxies
+                    .iter_mut()
+                    .for_each(|p| p.gossip.table = SummaryTable::default());
             }
             t.step(8);
             if t.proxies.iter().all(|p| p.factors.factor(7) < 0.6) {
                 break;
             }
         }
-        (t.now - 3000, t.bytes as f64 / 24.0 / (t.now as f64 / 1000.0))
+        (
+            t.now - 3000,
+            t.bytes as f64 / 24.0 / (t.now as f64 / 1000.0),
+        )
     };
     let mut told: Vec<u64> = (0..seeds()).map(|s| steer(true, s).0).collect();
     let mut alone: Vec<u64> = (0..seeds()).map(|s| steer(false, s).0).collect();
     told.sort_unstable();
     alone.sort_unstable();
-    println!("filling: told {told:?} ms, alone {alone:?} ms; {:.0} bytes a second a proxy", steer(true, 1).1);
-    assert!(told[told.len() / 2] * 2 <= alone[alone.len() / 2], "told {told:?}, alone {alone:?}");
+    println!(
+        "filling: told {told:?} ms, alone {alone:?} ms; {:.0} bytes a second a proxy",
+        steer(true, 1).1
+    );
+    assert!(
+        told[told.len() / 2] * 2 <= alone[alone.len() / 2],
+        "told {told:?}, alone {alone:?}"
+    );
     assert!(*told.last().expect("some") <= 3000, "{told:?}");
 }
 
@@ -263,9 +305,14 @@
         t.proxies[lost].up = false;
         t.run(5000, 4);
         let blind = |t: &Town, n: usize| {
-            (0..24).filter(|b| t.proxies[n].gossip.table.view(*b, at(t.now)).origins == 0).count()
+            (0..24)
+                .filter(|b| t.proxies[n].gossip.table.view(*b, at(t.now)).origins == 0)
+                .count()
         };
-        assert!((0..12).filter(|n| *n != lost).all(|n| blind(&t, n) <= 2), "without {lost}");
+        assert!(
+            (0..12).filter(|n| *n != lost).all(|n| blind(&t, n) <= 2),
+            "without {lost}"
+        );
         // Another takes its place, and knows nothing.
         t.proxies[lost] = Proxy {
             gossip: Gossip::new(99, 99),
@@ -275,26 +322,50 @@
             up: true,
         };
         t.run(7000, 4);
-        assert!(blind(&t, lost) <= 2, "{lost} is blind after 2 s: {}", blind(&t, lost));
+        assert!(
+            blind(&t, lost) <= 2,
+            "{lost} is blind after 2 s: {}",
+            blind(&t, lost)
+        );
     }
     let mut t = Town::new(12, 24, 4, By::Summary, 6);
     t.run(3000, 4);
     t.cut = true;
     t.backends[5].work = 2000;
     t.run(13_000, 4);
-    let origins =
-        |t: &Town, n: usize| t.proxies[n].gossip.table.known().keys().map(|k| k.1).collect::<HashSet<_>>();
-    let others = |t: &Town| (0..12).all(|n| origins(t, n).iter().all(|o| (*o as usize - 1) % 3 == n % 3));
+    let origins = |t: &Town, n: usize| {
+        t.proxies[n]
+            .gossip
+            .table
+            .known()
+            .keys()
+            .map(|k| k.1)
+            .collect::<HashSet<_>>()
+    };
+    let others =
+        |t: &Town| (0..12).all(|n| origins(t, n).iter().all(|o| (*o as usize - 1) % 3 == n % 3));
     assert!(others(&t), "something of the other side is kept for ever");
     t.cut = false;
     t.backends[5].work = 100;
     t.run(23_000, 4);
     assert!(!others(&t), "the cut does not heal");
-    assert!(t.proxies.iter().all(|p| p.factors.factor(5) > 0.7), "it is held against it for ever");
+    assert!(
+        t.proxies.iter().all(|p| p.factors.factor(5) > 0.7),
+        "it is held against it for ever"
+    );
 }
 
 fn told(origin: u32, number: u32, backend: BackendKey, age_ms: u16, out: u16) -> Summary {
-    Summary { origin, number, backend, age_ms, observation: Observation { out, ..Observation::default() } }
+    Summary {
+        origin,
+        number,
+        backend,
+        age_ms,
+        observation: Observation {
+            out,
+            ..Observation::default()
+        },
+    }
 }
 
 #[test]
@@ -302,21 +373,36 @@
     let all = &|_: BackendKey| true;
     let mut r: Gossip<u8> = Gossip::new(1, 1);
     let datagram = |summaries: Vec<Summary>| pack(&Datagram { from: 2, summaries });
-    assert!(!r.receive(2, &datagram(vec![told(2, 1, 7, 3500, 4)]), all, at(0)), "too old");
-    assert!(!r.receive(2, &datagram(vec![told(2, 1, 7, 0, 60_000)]), all, at(0)), "nonsense");
-    assert!(!r.receive(2, &datagram(vec![told(1, 9, 7, 0, 4)]), all, at(0)), "of itself");
+    assert!(
+        !r.receive(2, &datagram(vec![told(2, 1, 7, 3500, 4)]), all, at(0)),
+        "too old"
+    );
+    assert!(
+        !r.receive(2, &datagram(vec![told(2, 1, 7, 0, 60_000)]), all, at(0)),
+        "nonsense"
+    );
+    assert!(
+        !r.receive(2, &datagram(vec![told(1, 9, 7, 0, 4)]), all, at(0)),
+        "of itself"
+    );
     assert!(
         !r.receive(2, &datagram(vec![told(2, 1, 8, 0, 4)]), &|m| m == 7, at(0)),
         "of a backend that is gone"
     );
-    let newer: Vec<u8> =
-        [2].into_iter().chain(datagram(vec![told(2, 1, 7, 0, 4)]).into_iter().skip(1)).collect();
+    let newer: Vec<u8> = [2]
+        .into_iter()
+        .chain(datagram(vec![told(2, 1, 7, 0, 4)]).into_iter().skip(1))
+        .collect();
     assert!(!r.receive(2, &newer, all, at(0)), "another version");
     assert!(!r.receive(2, &[1, 255, 255, 255], all, at(0)) && !r.receive(2, &[], all, at(0)));
     assert!(r.receive(2, &datagram(vec![told(2, 1, 7, 0, 4)]), all, at(0)));
-    assert!(!r.receive(2, &datagram(vec![told(2, 1, 7, 0, 4)]), all, at(0)), "said twice");
-    let heard =
-        (0..1000).filter(|n| r.receive(2, &datagram(vec![told(2, n + 2, 7, 0, 4)]), all, at(1100))).count();
+    assert!(
+        !r.receive(2, &datagram(vec![told(2, 1, 7, 0, 4)]), all, at(0)),
+        "said twice"
+    );
+    let heard = (0..1000)
+        .filter(|n| r.receive(2, &datagram(vec![told(2, n + 2, 7, 0, 4)]), all, at(1100)))
+        .count();
     assert!(heard < 50, "a flood is taken: {heard}");
     // It fades, and goes no further when it is old.
     assert_eq!(r.table.view(7, at(1100)).origins, 1);
@@ -331,7 +417,13 @@
 impl Arbitrary for Any {
     fn arbitrary(g: &mut Gen) -> Self {
         let few = |g: &mut Gen, n: u32| u32::arbitrary(g) % n;
-        Any(told(few(g, 4), few(g, 5), few(g, 3), few(g, 3500) as u16, few(g, 9) as u16))
+        Any(told(
+            few(g, 4),
+            few(g, 5),
+            few(g, 3),
+            few(g, 3500) as u16,
+            few(g, 9) as u16,
+        ))
     }
 }
 
--- a/crates/load/src/clients.rs
+++ b/crates/load/src/clients.rs
@@ -65,7 +65,10 @@
 
     /// Whether it is an answer at all: a connection that broke gave none.
     pub fn is_whole(self) -> bool {
-        matches!(self, Answer::Succeeded | Answer::Throttled | Answer::Errored)
+        matches!(
+            self,
+            Answer::Succeeded | Answer::Throttled | Answer::Errored
+        )
     }
 
     /// Whether the gateway may have had it and gave no whole answer.
@@ -81,16 +84,25 @@
 }
 
 impl AsyncRead for Counted {
-    fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context, buf: &mut ReadBuf) -> Poll<io::Result<()>> {
+    fn poll_read(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context,
+        buf: &mut ReadBuf,
+    ) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
         ready!(Pin::new(&mut self.socket).poll_read(cx, buf))?;
-        self.read.fetch_add((buf.filled().len() - before) as u64, Ordering::Relaxed);
+        self.read
+            .fetch_add((buf.filled().len() - before) as u64, Ordering::Relaxed);
         Poll::Ready(Ok(()))
     }
 }
 
 impl AsyncWrite for Counted {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context, bytes: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context,
+        bytes: &[u8],
+    ) -> Poll<io::Result<usize>> {
         Pin::new(&mut self.socket).poll_write(cx, bytes)
     }
 
@@ -114,7 +126,10 @@
         let socket = TcpStream::connect(at).await.ok()?;
         socket.set_nodelay(true).ok();
         let read = Arc::<AtomicU64>::default();
-        let counted = Counted { socket, read: read.clone() };
+        let counted = Counted {
+            socket,
+            read: read.clone(),
+        };
         let (send, connection) = handshake(TokioIo::new(counted)).await.ok()?;
         tokio::spawn(connection);
         Some(Line { send, read })
@@ -143,7 +158,11 @@
 impl Client {
     pub fn new(kind: &Kind) -> Client {
         Client {
-            places: Semaphore::new(kind.connections.filter(|n| *n > 0).unwrap_or(Semaphore::MAX_PERMITS)),
+            places: Semaphore::new(
+                kind.connections
+                    .filter(|n| *n > 0)
+                    .unwrap_or(Semaphore::MAX_PERMITS),
+            ),
             kind: kind.clone(),
             idle: Mutex::default(),
             budget: Mutex::new(SAVED),
@@ -180,8 +199,13 @@
     /// One try: waits for a place, asks, reads the answer to its end. A kept connection that the gateway
     /// closed as the request was written is no answer lost: it goes out once more on a new one.
     pub async fn ask(&self, at: SocketAddr, request: impl Fn() -> Request<Empty<Bytes>>) -> Tried {
-        let none = |answer| Tried { answer, retry_after: None };
-        let Ok(_place) = self.places.acquire().await else { return none(Answer::NotTaken) };
+        let none = |answer| Tried {
+            answer,
+            retry_after: None,
+        };
+        let Ok(_place) = self.places.acquire().await else {
+            return none(Answer::NotTaken);
+        };
         let pooled = self.kind.connections != Some(0);
         let mut kept = self.kept(at).filter(|_| pooled);
         loop {
@@ -199,12 +223,17 @@
             let before = line.read.load(Ordering::Relaxed);
             let response = match line.send.send_request(request()).await {
                 Ok(response) => response,
-                Err(_) if line.read.load(Ordering::Relaxed) > before => return none(Answer::BrokenHead),
+                Err(_) if line.read.load(Ordering::Relaxed) > before => {
+                    return none(Answer::BrokenHead);
+                }
                 Err(_) if again => continue,
                 Err(_) => return none(Answer::BrokenBefore),
             };
             let (head, body) = response.into_parts();
-            let retry_after = head.headers.get("retry-after").and_then(|v| v.to_str().ok()?.parse().ok());
+            let retry_after = head
+                .headers
+                .get("retry-after")
+                .and_then(|v| v.to_str().ok()?.parse().ok());
             if body.collect().await.is_err() {
                 return none(Answer::BrokenBody);
             }
@@ -213,12 +242,23 @@
                 429 | 503 => Answer::Throttled,
                 _ => Answer::Errored,
             };
-            let ends = head.headers.get("connection").is_some_and(|v| v.as_bytes() == b"close");
+            let ends = head
+                .headers
+                .get("connection")
+                .is_some_and(|v| v.as_bytes() == b"close");
             if pooled && !ends && line.send.ready().await.is_ok() {
-                self.idle.lock().unwrap_or_else(|e| e.into_inner()).entry(at).or_default().push(line);
+                self.idle
+                    .lock()
+                    .unwrap_or_else(|e| e.into_inner())
+                    .entry(at)
+                    .or_default()
+                    .push(line);
             }
             let retry_after = retry_after.and_then(|s| Duration::try_from_secs_f64(s).ok());
-            return Tried { answer, retry_after };
+            return Tried {
+                answer,
+                retry_after,
+            };
         }
     }
 }
--- a/crates/load/src/experiment.rs
+++ b/crates/load/src/experiment.rs
@@ -86,7 +86,9 @@
     let text = read(path)?;
     let file = path.display().to_string();
     let e: Experiment = toml::from_str(&text).map_err(|e| {
-        let line = e.span().map_or(1, |s| damsonbeam_lab::script::line_of(&text, s.start));
+        let line = e
+            .span()
+            .map_or(1, |s| damsonbeam_lab::script::line_of(&text, s.start));
         format!("{file}:{line}: {}", e.message())
     })?;
     if e.gateways == 0 || e.gateways > 200 || e.backends == 0 {
@@ -112,7 +114,9 @@
         None => Vec::new(),
     };
     let base = match &e.settings {
-        Some(s) => serde_json::from_str(&read(&beside(s))?).map_err(|x| format!("{}: {x}", s.display()))?,
+        Some(s) => {
+            serde_json::from_str(&read(&beside(s))?).map_err(|x| format!("{}: {x}", s.display()))?
+        }
         None => base_settings(),
     };
     let settings = settings(base, &profile);
@@ -158,8 +162,12 @@
 pub fn found(path: &Path, program: &Path) -> Result<Found, String> {
     let name = path.file_stem().unwrap_or_default().to_string_lossy();
     let out = std::env::temp_dir().join(format!("damsonbeam-{name}-{}", std::process::id()));
-    let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build();
-    let found = runtime.map_err(|e| format!("runtime: {e}"))?.block_on(run(path, program, &out));
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .enable_all()
+        .build();
+    let found = runtime
+        .map_err(|e| format!("runtime: {e}"))?
+        .block_on(run(path, program, &out));
     std::fs::remove_dir_all(&out).ok();
     found
 }
@@ -168,11 +176,22 @@
 ///
 /// # Errors
 /// What could not be started or written.
-pub async fn play(path: &Path, loaded: Loaded, program: &Path, out: &Path) -> Result<Found, String> {
+pub async fn play(
+    path: &Path,
+    loaded: Loaded,
+    program: &Path,
+    out: &Path,
+) -> Result<Found, String> {
     let (e, profile, steps, settings) = loaded;
-    let lab = Lab::start(e.gateways, e.stores, e.backends, profile.seed, Behaviour::default())
-        .await
-        .map_err(|x| format!("lab: {x}"))?;
+    let lab = Lab::start(
+        e.gateways,
+        e.stores,
+        e.backends,
+        profile.seed,
+        Behaviour::default(),
+    )
+    .await
+    .map_err(|x| format!("lab: {x}"))?;
     let common = gateways::Common {
         program,
         of: e.gateways,
@@ -180,15 +199,19 @@
         settings: &settings,
         witness: e.witness,
         sockets: e.sockets,
-        inherits: steps.iter().any(|s| matches!(s.fault, Fault::GatewayUpgrade { .. })),
+        inherits: steps
+            .iter()
+            .any(|s| matches!(s.fault, Fault::GatewayUpgrade { .. })),
     };
     let mut started = Vec::new();
     for n in 0..e.gateways {
         started.push(Place::start(n, lab.counter.fronts[n], &common).await?);
     }
     let addresses: Vec<_> = started.iter().map(|g| g.at).collect();
-    let ((records, reached), played) =
-        tokio::join!(run::measured(&profile, &addresses), lab.play(&steps, &mut started));
+    let ((records, reached), played) = tokio::join!(
+        run::measured(&profile, &addresses),
+        lab.play(&steps, &mut started)
+    );
     played.map_err(|why| format!("{}: {why}", e.faults.as_deref().unwrap_or(path).display()))?;
     let received = lab.fleet.received();
     let calls = lab.counter.calls().len();
@@ -206,13 +229,22 @@
     let named: Vec<_> = steps.iter().map(|s| (s.at, s.name.clone())).collect();
     report::write_times(out, &e.title, &profile, &records, &named)?;
     summary.push_str(&report::reached(&reached));
-    let worst: Vec<f64> =
-        (0..profile.firms.len()).map(|f| report::worst_minute(&profile, &records, f)).collect();
+    let worst: Vec<f64> = (0..profile.firms.len())
+        .map(|f| report::worst_minute(&profile, &records, f))
+        .collect();
     let unanswered = records.iter().filter(|r| r.answer.is_lost()).count();
     summary.push_str(&format!(
         "\nGateways {}, backends {}, counter stores {}, witness {}; {} requests reached backends, {} calls the counter; {} steps of faults.\n",
         e.gateways, e.backends, e.stores, if e.witness { "on" } else { "off" }, received.len(), calls, steps.len()
     ));
-    std::fs::write(out.join("summary.md"), &summary).map_err(|x| format!("{}: {x}", out.display()))?;
-    Ok(Found { costs, reached, summary, records, worst, unanswered })
+    std::fs::write(out.join("summary.md"), &summary)
+        .map_err(|x| format!("{}: {x}", out.display()))?;
+    Ok(Found {
+        costs,
+        reached,
+        summary,
+        records,
+        worst,
+        unanswered,
+    })
 }
--- a/crates/load/src/panels.rs
+++ b/crates/load/src/panels.rs
@@ -36,8 +36,15 @@
     let rows = panels.len().div_ceil(ACROSS);
     let root = SVGBackend::new(path, (WIDTH, PANEL_HEIGHT * rows as u32)).into_drawing_area();
     root.fill(&WHITE)?;
-    let areas = root.titled(title, ("sans-serif", 18))?.split_evenly((rows, ACROSS));
-    let most = panels.iter().flat_map(Panel::points).map(|p| p.0).fold(0.0, f64::max) * 1.05;
+    let areas = root
+        .titled(title, ("sans-serif", 18))?
+        .split_evenly((rows, ACROSS));
+    let most = panels
+        .iter()
+        .flat_map(Panel::points)
+        .map(|p| p.0)
+        .fold(0.0, f64::max)
+        * 1.05;
     for (area, panel) in areas.iter().zip(panels) {
         let top = panel.points().map(|p| p.1).fold(0.0, f64::max).max(1e-3) * 1.15;
         let mut chart = ChartBuilder::on(area)
@@ -46,15 +53,23 @@
             .x_label_area_size(32)
             .y_label_area_size(52)
             .build_cartesian_2d(0f64..most, 0f64..top)?;
-        chart.configure_mesh().x_labels(6).y_labels(6).x_desc(along).draw()?;
+        chart
+            .configure_mesh()
+            .x_labels(6)
+            .y_labels(6)
+            .x_desc(along)
+            .draw()?;
         for (n, line) in panel.lines.iter().enumerate() {
             let colour = Palette99::pick(n).to_rgba();
             chart
                 .draw_series(
-                    LineSeries::new(line.points.iter().copied(), colour.stroke_width(2)).point_size(3),
+                    LineSeries::new(line.points.iter().copied(), colour.stroke_width(2))
+                        .point_size(3),
                 )?
                 .label(&line.name)
-                .legend(move |(x, y)| PathElement::new([(x, y), (x + 18, y)], colour.stroke_width(2)));
+                .legend(move |(x, y)| {
+                    PathElement::new([(x, y), (x + 18, y)], colour.stroke_width(2))
+                });
         }
         chart
             .configure_series_labels()
--- a/crates/load/src/profile.rs
+++ b/crates/load/src/profile.rs
@@ -108,11 +108,20 @@
     /// Invocations a second of a firm at a time from the start.
     pub fn rate(&self, firm: &Firm, at: Duration) -> f64 {
         let on = |s: &&Surge| s.plan == firm.plan && at >= s.at && at < s.at + s.lasting;
-        let surges = self.surges.iter().filter(on).map(|s| s.factor).product::<f64>();
-        let ramped = self.ramps.iter().filter(|r| at >= r.at && at < r.at + r.lasting).map(|r| {
-            let part = (at - r.at).as_secs_f64() / r.lasting.as_secs_f64().max(1e-9);
-            r.from + (r.to - r.from) * part
-        });
+        let surges = self
+            .surges
+            .iter()
+            .filter(on)
+            .map(|s| s.factor)
+            .product::<f64>();
+        let ramped = self
+            .ramps
+            .iter()
+            .filter(|r| at >= r.at && at < r.at + r.lasting)
+            .map(|r| {
+                let part = (at - r.at).as_secs_f64() / r.lasting.as_secs_f64().max(1e-9);
+                r.from + (r.to - r.from) * part
+            });
         firm.rate * surges * ramped.product::<f64>()
     }
 }
@@ -155,7 +164,8 @@
 }
 
 fn kind(r: RawClient) -> Result<Kind, String> {
-    let some = |key: &str, text: Option<String>| text.map_or(Ok(Duration::ZERO), |t| duration(key, &t));
+    let some =
+        |key: &str, text: Option<String>| text.map_or(Ok(Duration::ZERO), |t| duration(key, &t));
     let kind = Kind {
         clients: r.clients.unwrap_or(1),
         connections: r.connections,
@@ -206,7 +216,11 @@
 }
 
 fn positive(key: &str, v: f64) -> Result<f64, String> {
-    if v.is_finite() && v >= 0.0 { Ok(v) } else { Err(format!("{key}: {v} is negative or no number")) }
+    if v.is_finite() && v >= 0.0 {
+        Ok(v)
+    } else {
+        Err(format!("{key}: {v} is negative or no number"))
+    }
 }
 
 /// Reads a profile; errors are `FILE:LINE: reason`.
@@ -220,7 +234,8 @@
         move |why: String| format!("{file}:{line}: {why}")
     };
     let lasting = duration("lasting", &raw.lasting).map_err(at(0..0))?;
-    let patience = duration("patience", raw.patience.as_deref().unwrap_or("7.5s")).map_err(at(0..0))?;
+    let patience =
+        duration("patience", raw.patience.as_deref().unwrap_or("7.5s")).map_err(at(0..0))?;
     let mut plans: Vec<Plan> = Vec::new();
     for p in &raw.plan {
         let (w, r) = (at(p.span()), p.get_ref());
@@ -245,7 +260,10 @@
         if r.id >= 1 << 33 {
             return Err(w(format!("id: {} is not below 2^33", r.id)));
         }
-        let (units, operation) = (r.units.unwrap_or(1), r.operation.clone().unwrap_or_else(|| "tile".into()));
+        let (units, operation) = (
+            r.units.unwrap_or(1),
+            r.operation.clone().unwrap_or_else(|| "tile".into()),
+        );
         firms.push(Firm {
             id: r.id,
             plan: plan(&r.plan).map_err(&w)?,
@@ -257,10 +275,15 @@
     let mut surges = Vec::new();
     for s in &raw.surge {
         let (w, r) = (at(s.span()), s.get_ref());
-        let (start, lasting) =
-            (duration("at", &r.at).map_err(&w)?, duration("lasting", &r.lasting).map_err(&w)?);
+        let (start, lasting) = (
+            duration("at", &r.at).map_err(&w)?,
+            duration("lasting", &r.lasting).map_err(&w)?,
+        );
         if start + lasting > lasting_total(&raw.lasting) {
-            return Err(w(format!("at: the surge ends after the run's {}", raw.lasting)));
+            return Err(w(format!(
+                "at: the surge ends after the run's {}",
+                raw.lasting
+            )));
         }
         surges.push(Surge {
             plan: plan(&r.plan).map_err(&w)?,
@@ -282,9 +305,21 @@
     }
     let kind = match &raw.client {
         Some(c) => kind(c.get_ref().clone()).map_err(at(c.span()))?,
-        None => Kind { clients: 1, ..Kind::default() },
+        None => Kind {
+            clients: 1,
+            ..Kind::default()
+        },
     };
-    Ok(Profile { ramps, kind, seed: raw.seed, lasting, patience, plans, firms, surges })
+    Ok(Profile {
+        ramps,
+        kind,
+        seed: raw.seed,
+        lasting,
+        patience,
+        plans,
+        firms,
+        surges,
+    })
 }
 
 fn lasting_total(text: &str) -> Duration {
@@ -304,27 +339,50 @@
         assert_eq!(p.patience, Duration::from_millis(7500));
         assert_eq!(p.rate(&p.firms[0], Duration::from_secs(5)), 8.0);
         assert_eq!(p.rate(&p.firms[0], Duration::from_secs(25)), 32.0);
-        let ramp =
-            "[[ramp]]\nat = \"0s\"\nlasting = \"10s\"\nfrom = 1.0\nto = 3.0\n[client]\nconnections = 4\n";
+        let ramp = "[[ramp]]\nat = \"0s\"\nlasting = \"10s\"\nfrom = 1.0\nto = 3.0\n[client]\nconnections = 4\n";
         let p = parse("p.toml", &format!("{GOOD}{ramp}")).unwrap();
         assert_eq!(p.rate(&p.firms[0], Duration::from_secs(5)), 16.0);
         assert_eq!(p.rate(&p.firms[0], Duration::from_secs(10)), 8.0);
-        assert_eq!((p.kind.connections, p.kind.clients, p.kind.retries), (Some(4), 1, 0));
+        assert_eq!(
+            (p.kind.connections, p.kind.clients, p.kind.retries),
+            (Some(4), 1, 0)
+        );
     }
 
     #[test]
     fn bad_profiles_are_refused_with_file_line_and_reason() {
         let cases = [
-            (GOOD.replace("rate = 8.0", "rate = -8.0"), "p.toml:7: rate: -8 is negative"),
             (
-                GOOD.replace("plan = \"basic\"\nrate = 8.0", "plan = \"gold\"\nrate = 8.0"),
+                GOOD.replace("rate = 8.0", "rate = -8.0"),
+                "p.toml:7: rate: -8 is negative",
+            ),
+            (
+                GOOD.replace(
+                    "plan = \"basic\"\nrate = 8.0",
+                    "plan = \"gold\"\nrate = 8.0",
+                ),
                 "p.toml:7: plan: `gold` is no plan",
             ),
-            (GOOD.replace("at = \"20s\"", "at = \"50s\""), "p.toml:11: at: the surge ends after"),
-            (GOOD.replace("factor = 4.0", "factor = 4.0\nspeed = 1"), "unknown field `speed`"),
-            (GOOD.replace("lasting = \"15s\"", "lasting = \"15\""), "p.toml:11: lasting: `15` is no time"),
-            (format!("{GOOD}[client]\nthink = \"5ms\"\n"), "p.toml:16: think: only with users"),
-            (format!("{GOOD}[client]\nretry = 5\n"), "unknown field `retry`"),
+            (
+                GOOD.replace("at = \"20s\"", "at = \"50s\""),
+                "p.toml:11: at: the surge ends after",
+            ),
+            (
+                GOOD.replace("factor = 4.0", "factor = 4.0\nspeed = 1"),
+                "unknown field `speed`",
+            ),
+            (
+                GOOD.replace("lasting = \"15s\"", "lasting = \"15\""),
+                "p.toml:11: lasting: `15` is no time",
+            ),
+            (
+                format!("{GOOD}[client]\nthink = \"5ms\"\n"),
+                "p.toml:16: think: only with users",
+            ),
+            (
+                format!("{GOOD}[client]\nretry = 5\n"),
+                "unknown field `retry`",
+            ),
             (
                 format!("{GOOD}[[ramp]]\nat = \"1s\"\nlasting = \"2s\"\nto = -1.0\n"),
                 "p.toml:16: to: -1 is negative",
--- a/crates/load/src/report.rs
+++ b/crates/load/src/report.rs
@@ -18,19 +18,27 @@
     let plan = &profile.plans[profile.firms[firm].plan];
     let seconds = profile.lasting.as_secs() as usize + 1;
     let mut by_second = vec![0.0; seconds];
-    for r in records.iter().filter(|r| r.firm == firm && r.answer == Answer::Succeeded) {
+    for r in records
+        .iter()
+        .filter(|r| r.firm == firm && r.answer == Answer::Succeeded)
+    {
         by_second[(r.sent.as_secs() as usize).min(seconds - 1)] += f64::from(r.units);
     }
     let window = 60.min(seconds);
     let allowed = plan.rate * window as f64 + plan.burst;
-    let most = by_second.windows(window).map(|w| w.iter().sum::<f64>()).fold(0.0, f64::max);
+    let most = by_second
+        .windows(window)
+        .map(|w| w.iter().sum::<f64>())
+        .fold(0.0, f64::max);
     ((most - allowed) / (plan.rate * window as f64).max(1e-9)).max(0.0)
 }
 
 /// Counts of each answer.
 pub fn tally(records: &[Record]) -> BTreeMap<&'static str, usize> {
     let mut counts = BTreeMap::new();
-    records.iter().for_each(|r| *counts.entry(r.answer.name()).or_insert(0) += 1);
+    records
+        .iter()
+        .for_each(|r| *counts.entry(r.answer.name()).or_insert(0) += 1);
     counts
 }
 
@@ -48,7 +56,12 @@
 }
 
 /// Writes `table.csv`, `chart.svg` and `summary.md` into `folder`; returns the summary.
-pub fn write(folder: &Path, title: &str, profile: &Profile, records: &[Record]) -> Result<String, String> {
+pub fn write(
+    folder: &Path,
+    title: &str,
+    profile: &Profile,
+    records: &[Record],
+) -> Result<String, String> {
     let err = |e: &dyn std::fmt::Display| format!("{}: {e}", folder.display());
     std::fs::create_dir_all(folder).map_err(|e| err(&e))?;
     // The table: second, firm, and the answers of what was sent in that second.
@@ -58,7 +71,9 @@
         rows.entry((r.sent.as_secs(), r.firm)).or_default()[i] += 1;
     }
     let mut csv = csv::Writer::from_path(folder.join("table.csv")).map_err(|e| err(&e))?;
-    let names = ["second", "firm"].into_iter().chain(Answer::ALL.map(Answer::name));
+    let names = ["second", "firm"]
+        .into_iter()
+        .chain(Answer::ALL.map(Answer::name));
     csv.write_record(names).map_err(|e| err(&e))?;
     for ((second, firm), c) in &rows {
         let mut row = vec![second.to_string(), profile.firms[*firm].id.to_string()];
@@ -68,9 +83,12 @@
     csv.flush().map_err(|e| err(&e))?;
     chart(&folder.join("chart.svg"), title, profile, &rows).map_err(|e| err(&e))?;
     let mut latency = Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).map_err(|e| err(&e))?;
-    records.iter().filter(|r| r.answer.is_whole()).for_each(|r| {
-        latency.saturating_record(r.took.as_micros().max(1) as u64);
-    });
+    records
+        .iter()
+        .filter(|r| r.answer.is_whole())
+        .for_each(|r| {
+            latency.saturating_record(r.took.as_micros().max(1) as u64);
+        });
     let mut s = String::new();
     let counts = tally(records);
     writeln!(s, "# {title}\n").ok();
@@ -83,7 +101,9 @@
     )
     .ok();
     writeln!(s, "| answer | invocations |\n| --- | --- |").ok();
-    counts.iter().for_each(|(k, v)| writeln!(s, "| {k} | {v} |").unwrap_or(()));
+    counts
+        .iter()
+        .for_each(|(k, v)| writeln!(s, "| {k} | {v} |").unwrap_or(()));
     writeln!(
         s,
         "\nLatency of answers: p50 {:?}, p99 {:?}, p99.9 {:?}, most {:?}.\n",
@@ -100,7 +120,11 @@
     .ok();
     for (f, firm) in profile.firms.iter().enumerate() {
         let mine = records.iter().filter(|r| r.firm == f);
-        let units: u32 = mine.clone().filter(|r| r.answer == Answer::Succeeded).map(|r| r.units).sum();
+        let units: u32 = mine
+            .clone()
+            .filter(|r| r.answer == Answer::Succeeded)
+            .map(|r| r.units)
+            .sum();
         let over = worst_minute(profile, records, f);
         writeln!(
             s,
@@ -129,7 +153,9 @@
     let seconds = profile.lasting.as_secs() as usize + 1;
     let mut rows = Vec::new();
     for second in 0..seconds {
-        let sent = records.iter().filter(|r| r.sent.as_secs() as usize == second);
+        let sent = records
+            .iter()
+            .filter(|r| r.sent.as_secs() as usize == second);
         let mut times = Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).map_err(|e| err(&e))?;
         let (mut answered, mut cut) = (0usize, 0usize);
         for r in sent {
@@ -145,9 +171,18 @@
         rows.push((second, answered, ms(0.5), ms(0.99), ms(1.0), cut));
     }
     let mut csv = csv::Writer::from_path(folder.join("times.csv")).map_err(|e| err(&e))?;
-    csv.write_record(["second", "answered", "p50_ms", "p99_ms", "most_ms", "ended_at_the_door"])
+    csv.write_record([
+        "second",
+        "answered",
+        "p50_ms",
+        "p99_ms",
+        "most_ms",
+        "ended_at_the_door",
+    ])
+    .map_err(|e| err(&e))?;
+    rows.iter()
+        .try_for_each(|row| csv.serialize(row))
         .map_err(|e| err(&e))?;
-    rows.iter().try_for_each(|row| csv.serialize(row)).map_err(|e| err(&e))?;
     csv.flush().map_err(|e| err(&e))?;
     times_chart(&folder.join("times.svg"), title, &rows, steps).map_err(|e| err(&e))
 }
@@ -172,7 +207,11 @@
         .x_label_area_size(30)
         .y_label_area_size(50)
         .build_cartesian_2d(0f64..rows.len() as f64, 0f64..most)?;
-    chart.configure_mesh().x_desc("second").y_desc("answer time, ms (ended at the door: red)").draw()?;
+    chart
+        .configure_mesh()
+        .x_desc("second")
+        .y_desc("answer time, ms (ended at the door: red)")
+        .draw()?;
     for (n, (at, what)) in steps.iter().enumerate() {
         let x = at.as_secs_f64();
         chart.draw_series(LineSeries::new([(x, 0.0), (x, most)], BLACK.mix(0.25)))?;
@@ -180,8 +219,11 @@
         chart.draw_series([Text::new(what.clone(), (x, y), ("sans-serif", 11))])?;
     }
     // A second with no answer has no answer time.
-    let line =
-        |value: fn(&Times) -> f64| rows.iter().filter(|r| r.1 > 0).map(move |r| (r.0 as f64 + 0.5, value(r)));
+    let line = |value: fn(&Times) -> f64| {
+        rows.iter()
+            .filter(|r| r.1 > 0)
+            .map(move |r| (r.0 as f64 + 0.5, value(r)))
+    };
     let quantiles: [Quantile; 2] = [("p50", BLUE, |r| r.2), ("p99", MAGENTA, |r| r.3)];
     for (name, colour, value) in quantiles {
         chart
@@ -190,15 +232,26 @@
             .legend(move |(x, y)| PathElement::new([(x, y), (x + 18, y)], colour.stroke_width(2)));
     }
     let cut = rows.iter().filter(|r| r.5 > 0);
-    chart.draw_series(cut.map(|r| Circle::new((r.0 as f64 + 0.5, 0.0), 3 + r.5 as i32, RED.filled())))?;
-    chart.configure_series_labels().background_style(WHITE.mix(0.8)).border_style(BLACK).draw()?;
+    chart.draw_series(
+        cut.map(|r| Circle::new((r.0 as f64 + 0.5, 0.0), 3 + r.5 as i32, RED.filled())),
+    )?;
+    chart
+        .configure_series_labels()
+        .background_style(WHITE.mix(0.8))
+        .border_style(BLACK)
+        .draw()?;
     root.present()?;
     Ok(())
 }
 
 type Rows = BTreeMap<(u64, usize), [usize; Answer::ALL.len()]>;
 
-fn chart(path: &Path, title: &str, profile: &Profile, rows: &Rows) -> Result<(), Box<dyn std::error::Error>> {
+fn chart(
+    path: &Path,
+    title: &str,
+    profile: &Profile,
+    rows: &Rows,
+) -> Result<(), Box<dyn std::error::Error>> {
     let root = SVGBackend::new(path, (900, 480)).into_drawing_area();
     root.fill(&WHITE)?;
     let seconds = profile.lasting.as_secs();
@@ -209,7 +262,11 @@
         .x_label_area_size(30)
         .y_label_area_size(50)
         .build_cartesian_2d(0u64..seconds, 0f64..most.max(1.0))?;
-    chart.configure_mesh().x_desc("second").y_desc("invocations sent in that second").draw()?;
+    chart
+        .configure_mesh()
+        .x_desc("second")
+        .y_desc("invocations sent in that second")
+        .draw()?;
     for (f, firm) in profile.firms.iter().enumerate() {
         let colour = Palette99::pick(f).to_rgba();
         let line = |i: usize| {
@@ -220,12 +277,20 @@
         chart
             .draw_series(LineSeries::new(line(0), colour.stroke_width(2)))?
             .label(format!("{} succeeded", firm.id));
-        chart.draw_series(LineSeries::new(line(1), colour.mix(0.4)))?.label(format!("{} throttled", firm.id));
-        let quota = profile.plans[firm.plan].rate / f64::from(firm.units.max(1));
         chart
-            .draw_series(LineSeries::new([(0, quota), (seconds, quota)], colour.mix(0.8).stroke_width(1)))?;
+            .draw_series(LineSeries::new(line(1), colour.mix(0.4)))?
+            .label(format!("{} throttled", firm.id));
+        let quota = profile.plans[firm.plan].rate / f64::from(firm.units.max(1));
+        chart.draw_series(LineSeries::new(
+            [(0, quota), (seconds, quota)],
+            colour.mix(0.8).stroke_width(1),
+        ))?;
     }
-    chart.configure_series_labels().background_style(WHITE.mix(0.8)).border_style(BLACK).draw()?;
+    chart
+        .configure_series_labels()
+        .background_style(WHITE.mix(0.8))
+        .border_style(BLACK)
+        .draw()?;
     root.present()?;
     Ok(())
 }
