--- a/crates/load/src/run.rs
+++ b/crates/load/src/run.rs
@@ -88,8 +88,9 @@
     });
     let (mut firms, mut all_clients) = (Vec::new(), Vec::new());
     for f in 0..n {
-        let clients: Vec<_> =
-            (0..profile.kind.clients.max(1)).map(|_| Arc::new(Client::new(&profile.kind))).collect();
+        let clients: Vec<_> = (0..profile.kind.clients.max(1))
+            .map(|_| Arc::new(Client::new(&profile.kind)))
+            .collect();
         all_clients.extend(clients.iter().cloned());
         let shared = shared.clone();
         firms.push(tokio::spawn(async move {
@@ -106,7 +107,8 @@
     let mut lags = Histogram::<u64>::new_with_max(60_000_000, 3).expect("sound bounds");
     for (records, lag) in shared.records.iter().zip(&shared.lags) {
         all.append(&mut records.lock().unwrap_or_else(|e| e.into_inner()));
-        lags.add(&*lag.lock().unwrap_or_else(|e| e.into_inner())).ok();
+        lags.add(&*lag.lock().unwrap_or_else(|e| e.into_inner()))
+            .ok();
     }
     all.sort_by_key(|r| r.sent);
     let seconds = profile.lasting.as_secs_f64().max(1e-9);
@@ -116,7 +118,10 @@
         begun: in_time as f64 / seconds,
         lag: Duration::from_micros(lags.value_at_quantile(0.99)),
         lag_most: Duration::from_micros(lags.max()),
-        connections: all_clients.iter().map(|c| c.opened.load(Ordering::Relaxed)).sum(),
+        connections: all_clients
+            .iter()
+            .map(|c| c.opened.load(Ordering::Relaxed))
+            .sum(),
     };
     (all, reached)
 }
@@ -127,7 +132,8 @@
 
 async fn open(shared: Arc<Shared>, f: usize, clients: Vec<Arc<Client>>) {
     let (profile, firm) = (&shared.profile, &shared.profile.firms[f]);
-    let (mut rng, mut at, mut count, mut calls) = (source(profile, f), Duration::ZERO, 0u64, Vec::new());
+    let (mut rng, mut at, mut count, mut calls) =
+        (source(profile, f), Duration::ZERO, 0u64, Vec::new());
     loop {
         let rate = profile.rate(firm, at);
         let Some(gaps) = (rate > 0.0).then(|| Exp::new(rate).ok()).flatten() else {
@@ -143,9 +149,14 @@
         }
         tokio::time::sleep_until(shared.start + at).await;
         count += 1;
-        let (shared, client, seed) =
-            (shared.clone(), clients[count as usize % clients.len()].clone(), rng.random());
-        calls.push(tokio::spawn(async move { invoke(&shared, f, &client, count, at, seed).await }));
+        let (shared, client, seed) = (
+            shared.clone(),
+            clients[count as usize % clients.len()].clone(),
+            rng.random(),
+        );
+        calls.push(tokio::spawn(async move {
+            invoke(&shared, f, &client, count, at, seed).await
+        }));
     }
     for call in calls {
         call.await.ok();
@@ -155,7 +166,11 @@
 async fn closed(shared: Arc<Shared>, f: usize, clients: Vec<Arc<Client>>, users: usize) {
     let (mut all, count) = (Vec::new(), Arc::<AtomicU64>::default());
     for user in 0..users {
-        let (shared, client, count) = (shared.clone(), clients[user % clients.len()].clone(), count.clone());
+        let (shared, client, count) = (
+            shared.clone(),
+            clients[user % clients.len()].clone(),
+            count.clone(),
+        );
         let mut rng = source(&shared.profile, f * 100_003 + user);
         all.push(tokio::spawn(async move {
             let think = shared.profile.kind.think;
@@ -181,14 +196,18 @@
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let due = shared.start + at;
     let lag = due.elapsed().as_micros() as u64;
-    shared.lags[f].lock().unwrap_or_else(|e| e.into_inner()).saturating_record(lag.max(1));
+    shared.lags[f]
+        .lock()
+        .unwrap_or_else(|e| e.into_inner())
+        .saturating_record(lag.max(1));
     let inv = format!("{:08x}{:08x}", f as u32 + 1, count as u32);
     let until = due + profile.patience;
     let mut tries = 0;
     let (mut gateway, mut answer);
     client.pays();
     loop {
-        gateway = (firm.id as usize + rng.random_range(0..shared.gateways.len())) % shared.gateways.len();
+        gateway =
+            (firm.id as usize + rng.random_range(0..shared.gateways.len())) % shared.gateways.len();
         let (at, again, sent) = (shared.gateways[gateway], tries > 0, AtomicBool::new(false));
         tries += 1;
         // What it waited in its client's queue its client does not wait any more.
@@ -198,22 +217,45 @@
             request(shared, firm, at, &inv, left, again)
         };
         let Ok(tried) = tokio::time::timeout_at(until, client.ask(at, asks)).await else {
-            answer = if sent.load(Ordering::Relaxed) { Answer::None } else { Answer::NotTaken };
+            answer = if sent.load(Ordering::Relaxed) {
+                Answer::None
+            } else {
+                Answer::NotTaken
+            };
             break;
         };
         answer = tried.answer;
         // Full jitter on a doubled wait; the gateway's own word where the client follows it.
-        let wait = profile.kind.backoff.mul_f64(2f64.powi(tries as i32 - 1) * rng.random::<f64>());
-        let wait = wait.max(tried.retry_after.filter(|_| profile.kind.follows).unwrap_or_default());
+        let wait = profile
+            .kind
+            .backoff
+            .mul_f64(2f64.powi(tries as i32 - 1) * rng.random::<f64>());
+        let wait = wait.max(
+            tried
+                .retry_after
+                .filter(|_| profile.kind.follows)
+                .unwrap_or_default(),
+        );
         let over = answer == Answer::Succeeded || tries > profile.kind.retries;
         if over || Instant::now() + wait >= until || !client.may_retry() {
             break;
         }
         tokio::time::sleep(wait).await;
     }
-    let record =
-        Record { inv, firm: f, gateway, units: firm.units, sent: at, took: due.elapsed(), answer, tries };
-    shared.records[f].lock().unwrap_or_else(|e| e.into_inner()).push(record);
+    let record = Record {
+        inv,
+        firm: f,
+        gateway,
+        units: firm.units,
+        sent: at,
+        took: due.elapsed(),
+        answer,
+        tries,
+    };
+    shared.records[f]
+        .lock()
+        .unwrap_or_else(|e| e.into_inner())
+        .push(record);
 }
 
 fn request(
@@ -231,7 +273,14 @@
         .header("x-tariff", &shared.profile.plans[firm.plan].name)
         .header("x-subscriber", format!("{:016x}", firm.id))
         .header("x-time-left-ms", left.as_millis().to_string())
-        .header("x-weight", format!("units={},spread={n},first={}", firm.units, firm.id as usize % n));
+        .header(
+            "x-weight",
+            format!(
+                "units={},spread={n},first={}",
+                firm.units,
+                firm.id as usize % n
+            ),
+        );
     if again {
         request = request.header("x-repeat", "1");
     }
--- a/crates/migrate/src/command.rs
+++ b/crates/migrate/src/command.rs
@@ -27,7 +27,10 @@
 
 /// Whole or not at all.
 fn write(to: &Path, text: &str, force: bool) -> std::io::Result<()> {
-    let folder = to.parent().filter(|p| !p.as_os_str().is_empty()).unwrap_or(Path::new("."));
+    let folder = to
+        .parent()
+        .filter(|p| !p.as_os_str().is_empty())
+        .unwrap_or(Path::new("."));
     let mut file = tempfile::NamedTempFile::new_in(folder)?;
     file.write_all(text.as_bytes())?;
     file.as_file().sync_all()?;
@@ -41,22 +44,39 @@
 
 /// Carries the command out; what goes wrong comes back as one line that names the file.
 pub fn run(args: &Args) -> Result<(), String> {
-    let read = |path: &Path| std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()));
+    let read =
+        |path: &Path| std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()));
     let (old, shape) = (read(&args.old)?, read(&args.shape)?);
     let named = |e: String| match e.split_once(": ") {
         Some(("OLD", what)) => format!("{}: {what}", args.old.display()),
         Some(("SHAPE", what)) => format!("{}: {what}", args.shape.display()),
-        Some(("NEW", what)) => format!("{} with {}: {what}", args.old.display(), args.shape.display()),
+        Some(("NEW", what)) => format!(
+            "{} with {}: {what}",
+            args.old.display(),
+            args.shape.display()
+        ),
         _ => e,
     };
     let done = migrate(&old, &shape).map_err(named)?;
     if !args.force && args.out.exists() {
-        return Err(format!("{}: is there already; --force writes over it", args.out.display()));
+        return Err(format!(
+            "{}: is there already; --force writes over it",
+            args.out.display()
+        ));
     }
     if !args.dry_run {
-        write(&args.out, &done.text, args.force).map_err(|e| format!("{}: {e}", args.out.display()))?;
+        write(&args.out, &done.text, args.force)
+            .map_err(|e| format!("{}: {e}", args.out.display()))?;
     }
     done.notes.iter().for_each(|note| println!("{note}"));
-    println!("{}: {}", args.out.display(), if args.dry_run { "not written, dry run" } else { "written" });
+    println!(
+        "{}: {}",
+        args.out.display(),
+        if args.dry_run {
+            "not written, dry run"
+        } else {
+            "written"
+        }
+    );
     Ok(())
 }
--- a/crates/migrate/src/lib.rs
+++ b/crates/migrate/src/lib.rs
@@ -13,8 +13,16 @@
 }
 
 /// The process's own keys, in whatever shape its deployment is.
-const OWN: [&str; 8] =
-    ["name", "listen", "discovery", "counter", "seed", "limits", "peer_listen", "peers_all"];
+const OWN: [&str; 8] = [
+    "name",
+    "listen",
+    "discovery",
+    "counter",
+    "seed",
+    "limits",
+    "peer_listen",
+    "peers_all",
+];
 
 fn object(what: &str, text: &str) -> Result<Map<String, Value>, String> {
     match serde_json::from_str(text).map_err(|e| format!("{what}: {e}"))? {
@@ -30,8 +38,15 @@
 
 /// The gateway's own check. What a file leaves to the environment is checked where it starts.
 fn check(what: &str, text: &str) -> Result<Config, String> {
-    let env = |key: &str| Some(if key == "NODE_NAME" { "-".into() } else { "127.0.0.1:1".into() });
-    Config::parse(text, env).map_err(|e| format!("{what}: {}", e.trim_start_matches("NODE_CONFIG: ")))
+    let env = |key: &str| {
+        Some(if key == "NODE_NAME" {
+            "-".into()
+        } else {
+            "127.0.0.1:1".into()
+        })
+    };
+    Config::parse(text, env)
+        .map_err(|e| format!("{what}: {}", e.trim_start_matches("NODE_CONFIG: ")))
 }
 
 /// Keys of `old`, down to single values, that `new` lacks or has otherwise.
@@ -39,10 +54,15 @@
     match (old, new) {
         (old, Some(new)) if old == new => {}
         (Value::Object(old), Some(Value::Object(new))) => {
-            old.iter().for_each(|(k, v)| lost(&format!("{path}.{k}"), v, new.get(k), notes));
+            old.iter()
+                .for_each(|(k, v)| lost(&format!("{path}.{k}"), v, new.get(k), notes));
         }
-        (_, None) => notes.push(format!("not carried over: {path}: the new shape has no such key")),
-        _ => notes.push(format!("not carried over: {path}: the new shape says otherwise")),
+        (_, None) => notes.push(format!(
+            "not carried over: {path}: the new shape has no such key"
+        )),
+        _ => notes.push(format!(
+            "not carried over: {path}: the new shape says otherwise"
+        )),
     }
 }
 
@@ -50,9 +70,12 @@
 fn gained(path: &str, new: &Value, old: Option<&Value>, notes: &mut Vec<String>) {
     match (new, old) {
         (Value::Object(new), Some(Value::Object(old))) => {
-            new.iter().for_each(|(k, v)| gained(&format!("{path}.{k}"), v, old.get(k), notes));
+            new.iter()
+                .for_each(|(k, v)| gained(&format!("{path}.{k}"), v, old.get(k), notes));
         }
-        (_, None) => notes.push(format!("from the shape: {path}: the old file has no such key")),
+        (_, None) => notes.push(format!(
+            "from the shape: {path}: the old file has no such key"
+        )),
         _ => {}
     }
 }
@@ -75,9 +98,13 @@
     }
     let zone = before.facts.dcs.get(before.facts.locality as usize);
     let zones = set.get("dcs").and_then(Value::as_array);
-    match zones.and_then(|z| z.iter().position(|n| n.as_str() == zone.map(String::as_str))) {
+    match zones.and_then(|z| {
+        z.iter()
+            .position(|n| n.as_str() == zone.map(String::as_str))
+    }) {
         Some(n) => drop(set.insert("locality".into(), n.into())),
-        None => notes.push("not carried over: settings.locality: no zone of that name; see to it".into()),
+        None => notes
+            .push("not carried over: settings.locality: no zone of that name; see to it".into()),
     }
     let mut new = Map::new();
     for key in OWN.into_iter().chain(["peers"]) {
@@ -85,7 +112,9 @@
             new.insert(key.into(), value.clone());
         } else if let Some(value) = form.get(key).filter(|_| key == "counter") {
             new.insert(key.into(), value.clone());
-            notes.push(format!("from the shape: {key}: the old file has no such key"));
+            notes.push(format!(
+                "from the shape: {key}: the old file has no such key"
+            ));
         }
     }
     let same = had == set;
@@ -98,11 +127,23 @@
         } else if key == "known" {
             notes.push("not carried over: known: its backends are the old deployment's".into());
         } else {
-            notes.push(format!("not carried over: {key}: the gateway has no such key"));
+            notes.push(format!(
+                "not carried over: {key}: the gateway has no such key"
+            ));
         }
     }
-    lost("settings", &Value::Object(had.clone()), Some(&Value::Object(set.clone())), &mut notes);
-    gained("settings", &Value::Object(set.clone()), Some(&Value::Object(had)), &mut notes);
+    lost(
+        "settings",
+        &Value::Object(had.clone()),
+        Some(&Value::Object(set.clone())),
+        &mut notes,
+    );
+    gained(
+        "settings",
+        &Value::Object(set.clone()),
+        Some(&Value::Object(had)),
+        &mut notes,
+    );
     new.insert("settings".into(), Value::Object(set));
     let text = if new == was {
         old.to_string()
--- a/crates/mirror/src/budget.rs
+++ b/crates/mirror/src/budget.rs
@@ -93,12 +93,15 @@
         let part = 1.0 / f64::from(proxies.max(1));
         let (requests_per_s, bytes_per_s) = (rule.requests_per_s * part, rule.bytes_per_s * part);
         let bucket = self.buckets.entry(rule.name.clone()).or_default();
-        let since = bucket.at.map_or(BURST_S, |at| now.saturating_sub(at).as_secs_f64());
+        let since = bucket
+            .at
+            .map_or(BURST_S, |at| now.saturating_sub(at).as_secs_f64());
         bucket.at = Some(now);
         // One at least may be saved up, or many proxies would never copy anything.
-        bucket.requests = (bucket.requests + requests_per_s * since).min((requests_per_s * BURST_S).max(1.0));
-        bucket.bytes =
-            (bucket.bytes + bytes_per_s * since).min((bytes_per_s * BURST_S).max(MAX_BODY_BYTES as f64));
+        bucket.requests =
+            (bucket.requests + requests_per_s * since).min((requests_per_s * BURST_S).max(1.0));
+        bucket.bytes = (bucket.bytes + bytes_per_s * since)
+            .min((bytes_per_s * BURST_S).max(MAX_BODY_BYTES as f64));
         if rule.requests_per_s > 0.0 && bucket.requests < 1.0
             || rule.bytes_per_s > 0.0 && bucket.bytes < bytes as f64
         {
--- a/crates/mirror/src/selection.rs
+++ b/crates/mirror/src/selection.rs
@@ -39,10 +39,14 @@
 impl ActiveRules {
     /// The rules as they stand; what is gone is gone at once.
     pub fn update(&mut self, rules: Vec<Rule>, common_ms: u64) {
-        self.rules.retain(|name, _| rules.iter().any(|r| r.name == *name));
+        self.rules
+            .retain(|name, _| rules.iter().any(|r| r.name == *name));
         for rule in rules {
             let (now, next) = self.rules.entry(rule.name.clone()).or_default();
-            let known = [&*now, &*next].into_iter().flatten().any(|k| k.version >= rule.version);
+            let known = [&*now, &*next]
+                .into_iter()
+                .flatten()
+                .any(|k| k.version >= rule.version);
             if !known {
                 if next.as_ref().is_some_and(|n| n.from_ms <= common_ms) {
                     *now = next.take();
--- a/crates/mirror/src/sessions.rs
+++ b/crates/mirror/src/sessions.rs
@@ -86,12 +86,16 @@
     pub fn show(&self) -> String {
         let mut out = String::from("{\"copies\":[");
         for (n, ((name, version), s)) in self.rules.iter().enumerate() {
-            let dropped: Vec<String> =
-                s.dropped.iter().map(|(w, n)| format!("\"{}\":{n}", w.name())).collect();
+            let dropped: Vec<String> = s
+                .dropped
+                .iter()
+                .map(|(w, n)| format!("\"{}\":{n}", w.name()))
+                .collect();
             let mut callers: Vec<_> = s.callers.iter().collect();
             callers.sort();
-            let row =
-                |(c, (copies, broken)): (&Caller, &(u64, bool))| format!("[\"{c:016x}\",{copies},{broken}]");
+            let row = |(c, (copies, broken)): (&Caller, &(u64, bool))| {
+                format!("[\"{c:016x}\",{copies},{broken}]")
+            };
             let callers: Vec<String> = callers.into_iter().map(row).collect();
             let mean = |sum: f64| sum * 1000.0 / (s.compared as f64).max(1.0);
             write!(
--- a/crates/mirror/tests/budget.rs
+++ b/crates/mirror/tests/budget.rs
@@ -23,11 +23,22 @@
     assert!((200..=310).contains(&sent), "{sent} in 5 s of 50 a second");
     let mut b = Budget::default();
     let open = rule(1, 1.0, "");
-    assert_eq!(b.admit(&open, MAX_BODY_BYTES + 1, 1, Duration::ZERO), Err(DropReason::Body));
-    let taken = (0..1000).filter(|_| b.admit(&open, 1000, 1, Duration::ZERO).is_ok()).count();
-    assert_eq!(taken, MAX_IN_FLIGHT, "a trial service that never answers holds no more");
+    assert_eq!(
+        b.admit(&open, MAX_BODY_BYTES + 1, 1, Duration::ZERO),
+        Err(DropReason::Body)
+    );
+    let taken = (0..1000)
+        .filter(|_| b.admit(&open, 1000, 1, Duration::ZERO).is_ok())
+        .count();
+    assert_eq!(
+        taken, MAX_IN_FLIGHT,
+        "a trial service that never answers holds no more"
+    );
     b.done(1000);
     b.timer_fired(Duration::from_millis(40), Duration::from_secs(1));
-    assert_eq!(b.admit(&open, 10, 1, Duration::from_millis(1200)), Err(DropReason::Pressed));
+    assert_eq!(
+        b.admit(&open, 10, 1, Duration::from_millis(1200)),
+        Err(DropReason::Pressed)
+    );
     assert_eq!(b.admit(&open, 10, 1, Duration::from_millis(1600)), Ok(()));
 }
--- a/crates/proxy/src/config_transfer.rs
+++ b/crates/proxy/src/config_transfer.rs
@@ -34,7 +34,12 @@
     }
 
     /// The message by which a round with a registry begins; none while another round goes on.
-    pub fn begin(&mut self, from: Ip, snapshot: &ConfigSnapshot, now: Duration) -> Option<TransferMessage> {
+    pub fn begin(
+        &mut self,
+        from: Ip,
+        snapshot: &ConfigSnapshot,
+        now: Duration,
+    ) -> Option<TransferMessage> {
         if !self.receiver.is_idle() && !self.receiver.is_stalled(now) {
             return None;
         }
@@ -69,7 +74,10 @@
             self.has_first_snapshot = true;
             self.changed = false;
         }
-        Progress { requests: self.receiver.requests(snapshot), changed }
+        Progress {
+            requests: self.receiver.requests(snapshot),
+            changed,
+        }
     }
 }
 
@@ -82,7 +90,12 @@
 
 impl BackendPages {
     /// Takes a page in; returns the servers of the list once the last is there. Pages of an older list are dropped.
-    pub fn add(&mut self, page: BackendSnapshot, number: usize, count: usize) -> Option<Vec<Server>> {
+    pub fn add(
+        &mut self,
+        page: BackendSnapshot,
+        number: usize,
+        count: usize,
+    ) -> Option<Vec<Server>> {
         let list = (page.term, page.reading);
         if list < self.list || number >= count {
             return None;
@@ -95,6 +108,12 @@
         if self.pages.iter().any(Option::is_none) {
             return None;
         }
-        Some(std::mem::take(&mut self.pages).into_iter().flatten().flatten().collect())
+        Some(
+            std::mem::take(&mut self.pages)
+                .into_iter()
+                .flatten()
+                .flatten()
+                .collect(),
+        )
     }
 }
--- a/crates/proxy/src/control_client.rs
+++ b/crates/proxy/src/control_client.rs
@@ -9,7 +9,9 @@
 
 use damsonbeam_control::items::{ConfigSnapshot, Item};
 use damsonbeam_control::link::{self, Out};
-use damsonbeam_control::messages::{Heartbeat, Ip, Message, NamedCount, ProxyStatus, Server, addr, ip};
+use damsonbeam_control::messages::{
+    Heartbeat, Ip, Message, NamedCount, ProxyStatus, Server, addr, ip,
+};
 use damsonbeam_control::settings::{Port, Settings};
 use tokio::sync::mpsc;
 use tokio::time::{Instant, interval, sleep};
@@ -103,7 +105,10 @@
     /// To all registries, or to those of this region and the coordinator alone.
     pub fn tell(&self, all: bool) {
         let time_ms = self.coordinator.time().map(|t| t.now_ms());
-        let note = Message::Status { status: self.status.clone(), time_ms };
+        let note = Message::Status {
+            status: self.status.clone(),
+            time_ms,
+        };
         let bytes = damsonbeam_control::messages::pack(&note);
         for (ip, out) in &self.links {
             if all || self.home.contains(ip) || self.coordinator.ip() == Some(*ip) {
@@ -135,7 +140,8 @@
         let registries: Vec<Ip> = {
             let mut k = known.borrow_mut();
             let seeds = k.seeds.clone();
-            k.registries.retain(|w, at| seeds.contains(w) || at.elapsed() < NAMED);
+            k.registries
+                .retain(|w, at| seeds.contains(w) || at.elapsed() < NAMED);
             k.tell(turn.is_multiple_of(FAR_STATUSES));
             k.registries.keys().copied().collect()
         };
@@ -157,7 +163,10 @@
             {
                 let mut k = known.borrow_mut();
                 let time_ms = k.coordinator.time().map(|t| t.now_ms());
-                out.send(&Message::Status { status: k.status.clone(), time_ms });
+                out.send(&Message::Status {
+                    status: k.status.clone(),
+                    time_ms,
+                });
                 if k.summaries {
                     out.send(&Message::PullPartners);
                 }
@@ -168,7 +177,13 @@
                     k.home.remove(&registry);
                 }
             }
-            let mut here = Here { registry, out, differs: None, pulled: None, compared: false };
+            let mut here = Here {
+                registry,
+                out,
+                differs: None,
+                pulled: None,
+                compared: false,
+            };
             while let Ok(note) = from.next::<Message>(link::SILENT).await {
                 if let Some(word) = here.heard(&known, note)
                     && to.send(word).await.is_err()
@@ -213,7 +228,10 @@
                 let is_coordinators = k.coordinator.observe(self.registry, &heartbeat, now);
                 k.status.term = k.coordinator.term();
                 if k.coordinator.ip() != before {
-                    log::info!("news: the coordinator is {:?}.", k.coordinator.ip().map(addr));
+                    log::info!(
+                        "news: the coordinator is {:?}.",
+                        k.coordinator.ip().map(addr)
+                    );
                 }
                 // What was pushed may be a part: only a round shows that it is all.
                 let unsure = !k.config_transfer.has_first_snapshot();
@@ -222,7 +240,8 @@
                 let behind = heartbeat.list > k.list;
                 let has_items = !unsure && !has_other_items && !k.snapshot.items().is_empty();
                 let has_list = !behind && k.list.0 > 0;
-                k.freshness.observe(heartbeat.in_contact, has_items, has_list);
+                k.freshness
+                    .observe(heartbeat.in_contact, has_items, has_list);
                 self.compare(&mut k, differs, behind, now);
                 Some(if is_coordinators {
                     ControlEvent::Heartbeat(heartbeat)
@@ -240,14 +259,25 @@
                 None
             }
             Message::Transfer(message) => {
-                let ControlState { config_transfer, snapshot, start, .. } = &mut *k;
-                let progress = config_transfer.receive(self.registry, snapshot, message, start.elapsed());
+                let ControlState {
+                    config_transfer,
+                    snapshot,
+                    start,
+                    ..
+                } = &mut *k;
+                let progress =
+                    config_transfer.receive(self.registry, snapshot, message, start.elapsed());
                 for request in progress.requests {
                     self.out.send(&Message::Transfer(request));
                 }
                 progress.changed.then_some(ControlEvent::Items)
             }
-            Message::BackendUpdate { no, list, page, pages } => {
+            Message::BackendUpdate {
+                no,
+                list,
+                page,
+                pages,
+            } => {
                 self.out.send(&Message::Ack { no });
                 let at = (list.term, list.reading);
                 if at <= k.list {
@@ -265,7 +295,12 @@
 
     /// Begins to catch up with this registry, unless that goes on with another.
     fn catch_up(&self, k: &mut ControlState) {
-        let ControlState { config_transfer, snapshot, start, .. } = k;
+        let ControlState {
+            config_transfer,
+            snapshot,
+            start,
+            ..
+        } = k;
         if let Some(message) = config_transfer.begin(self.registry, snapshot, start.elapsed()) {
             self.out.send(&Message::Transfer(message));
         }
--- a/crates/proxy/src/coordinator.rs
+++ b/crates/proxy/src/coordinator.rs
@@ -43,13 +43,19 @@
 
     /// A heartbeat of a registry; tells whether it is the coordinator's own.
     pub fn observe(&mut self, from: Ip, heartbeat: &Heartbeat, now: Instant) -> bool {
-        let Some((ip, term)) = heartbeat.coordinator else { return false };
+        let Some((ip, term)) = heartbeat.coordinator else {
+            return false;
+        };
         if term > self.term() {
             self.holder = Some((ip, term));
         }
         let is_own = ip == from && self.holder == Some((ip, term));
         if is_own && heartbeat.time_ms > 0 && self.time.is_none_or(|t| t.term < term) {
-            self.time = Some(CommonTime { told_at: now, time_ms: heartbeat.time_ms, term });
+            self.time = Some(CommonTime {
+                told_at: now,
+                time_ms: heartbeat.time_ms,
+                term,
+            });
         }
         is_own
     }
--- a/crates/proxy/src/dispatch.rs
+++ b/crates/proxy/src/dispatch.rs
@@ -91,7 +91,14 @@
         if let Some(load_reports) = backend_pool.load_reports.as_mut().filter(|_| go) {
             load_reports.sent(tgt, now);
         }
-        Sent { go, entry: if cold { backend_pool.closed(tgt, now) } else { None } }
+        Sent {
+            go,
+            entry: if cold {
+                backend_pool.closed(tgt, now)
+            } else {
+                None
+            },
+        }
     }
 
     fn ended(&mut self, tgt: TgtId, outcome: Outcome, took: Duration, now: Duration) {
@@ -146,7 +153,11 @@
         self.retry_budget.borrow_mut().earn(&service);
         let attempts = route.attempts.max(1);
         let list = homes.as_ref().map(|h| h.iter().cloned().collect());
-        let key = Key { service, homes: list, attempts };
+        let key = Key {
+            service,
+            homes: list,
+            attempts,
+        };
         if !self.all.contains_key(&key) {
             let dispatcher = self.open(&key, homes.clone());
             self.all.insert(key.clone(), dispatcher);
@@ -158,7 +169,10 @@
             dispatcher.settings.operations.push(operation(route));
             dispatcher.settings.in_force.operations.push(op);
             dispatcher.operations.insert(row, op);
-            dispatcher.to.try_send(ToModule::Settings(Box::new(dispatcher.settings.clone()))).ok();
+            dispatcher
+                .to
+                .try_send(ToModule::Settings(Box::new(dispatcher.settings.clone())))
+                .ok();
             op
         });
         Some((dispatcher.to.clone(), op))
@@ -167,12 +181,24 @@
     fn open(&self, key: &Key, homes: Homes) -> Dispatcher {
         let (to, mailbox) = mpsc::channel(ROOM);
         let gateways = self.backend_pool.borrow().gateways(&key.service, self.near);
-        let settings = settings(gateways, key.attempts, self.fleet.connect_timeout, self.plans.clone());
+        let settings = settings(
+            gateways,
+            key.attempts,
+            self.fleet.connect_timeout,
+            self.plans.clone(),
+        );
         let (to_counter, mut calls) = mpsc::channel(ROOM);
         let (quota, back) = (self.quota.clone(), to.clone());
         tokio::task::spawn_local(async move {
             while let Some(call) = calls.recv().await {
-                if quota.send(Counted { call, to: back.clone() }).await.is_err() {
+                if quota
+                    .send(Counted {
+                        call,
+                        to: back.clone(),
+                    })
+                    .await
+                    .is_err()
+                {
                     return;
                 }
             }
@@ -202,10 +228,19 @@
             carry: None,
         };
         tokio::task::spawn_local(module.run());
-        let dispatcher =
-            Dispatcher { service: key.service.clone(), homes, to, settings, operations: HashMap::new() };
+        let dispatcher = Dispatcher {
+            service: key.service.clone(),
+            homes,
+            to,
+            settings,
+            operations: HashMap::new(),
+        };
         self.tell(&dispatcher);
-        let lines = self.backend_pool.borrow().lines(&key.service, &dispatcher.homes, self.clock.now()).len();
+        let lines = self
+            .backend_pool
+            .borrow()
+            .lines(&key.service, &dispatcher.homes, self.clock.now())
+            .len();
         log::info!(
             "dispatcher: {} for homes {:?}, {} attempts, {lines} backends.",
             key.service,
@@ -217,12 +252,20 @@
 
     /// The backends as they stand.
     fn tell(&self, dispatcher: &Dispatcher) {
-        let lines =
-            self.backend_pool.borrow().lines(&dispatcher.service, &dispatcher.homes, self.clock.now());
+        let lines = self.backend_pool.borrow().lines(
+            &dispatcher.service,
+            &dispatcher.homes,
+            self.clock.now(),
+        );
         let addrs = lines.iter().map(|l| l.at).collect();
         let names = lines.iter().map(|l| l.name.clone()).collect();
         let entries = lines.into_iter().map(|l| l.entry).collect();
-        let listed = Listed { form: ListForm::Replace, entries, addrs, names };
+        let listed = Listed {
+            form: ListForm::Replace,
+            entries,
+            addrs,
+            names,
+        };
         if dispatcher.to.try_send(ToModule::Listed(listed)).is_err() {
             log::warn!("dispatcher: no room for a new list.");
         }
@@ -246,7 +289,12 @@
 
     /// Which plan a tenant has.
     pub fn plan(&self, tenant: &str) -> PlanId {
-        PlanId(self.plans.iter().position(|p| &*p.name == tenant).unwrap_or(usize::MAX))
+        PlanId(
+            self.plans
+                .iter()
+                .position(|p| &*p.name == tenant)
+                .unwrap_or(usize::MAX),
+        )
     }
 
     /// A new configuration: rows stay where they are, for what is under way goes by them.
@@ -275,7 +323,9 @@
     pub fn slots(&self) -> Vec<(String, f64, f64)> {
         let limited = self.plans.iter().filter(|p| p.rate > 0.0);
         let slot = |p: &Plan| (p.burst / p.rate / SLOTS).clamp(TICK.as_secs_f64(), SLOT_MOST);
-        limited.map(|p| (p.name.to_string(), p.rate, slot(p))).collect()
+        limited
+            .map(|p| (p.name.to_string(), p.rate, slot(p)))
+            .collect()
     }
 
     /// So many proxies are near, and this one's place among them; whether that changed.
@@ -296,7 +346,10 @@
                 dispatcher.settings.gateways = gateways;
                 dispatcher.settings.plans = self.plans.clone();
                 dispatcher.settings.in_force.plans = (0..self.plans.len()).map(PlanId).collect();
-                dispatcher.to.try_send(ToModule::Settings(Box::new(dispatcher.settings.clone()))).ok();
+                dispatcher
+                    .to
+                    .try_send(ToModule::Settings(Box::new(dispatcher.settings.clone())))
+                    .ok();
             }
         }
     }
@@ -324,7 +377,10 @@
 }
 
 fn settings(gateways: u32, attempts: u32, connect_timeout: Duration, plans: Vec<Plan>) -> Settings {
-    let in_force = InForce { operations: vec![], plans: (0..plans.len()).map(PlanId).collect() };
+    let in_force = InForce {
+        operations: vec![],
+        plans: (0..plans.len()).map(PlanId).collect(),
+    };
     Settings {
         gateways,
         tick: TICK,
@@ -340,7 +396,10 @@
             open: usize::MAX,
             connect_timeout,
         },
-        counter: Some(Counter { timeout: COUNT, price: 0.0 }),
+        counter: Some(Counter {
+            timeout: COUNT,
+            price: 0.0,
+        }),
         most_units: 1.0,
         cold_share: 1.0,
         overload_factor: 1.0,
--- a/crates/proxy/src/load_reports.rs
+++ b/crates/proxy/src/load_reports.rs
@@ -37,15 +37,24 @@
 
     /// A new list: what is known of backends that are gone goes.
     pub fn take(&mut self, servers: &[Server], ids: &HashMap<String, TgtId>) {
-        self.keys = ids.iter().map(|(id, tgt)| (*tgt, backend_key(id))).collect();
+        self.keys = ids
+            .iter()
+            .map(|(id, tgt)| (*tgt, backend_key(id)))
+            .collect();
         self.services.clear();
         for s in servers {
             let row = (s.id.clone(), f64::from(s.slots));
-            self.services.entry(s.service.clone()).or_default().insert(backend_key(&s.id), row);
+            self.services
+                .entry(s.service.clone())
+                .or_default()
+                .insert(backend_key(&s.id), row);
         }
-        self.factors.retain(|service, _| self.services.contains_key(service));
+        self.factors
+            .retain(|service, _| self.services.contains_key(service));
         let services = &self.services;
-        self.gossip.table.retain(&|m| services.values().any(|s| s.contains_key(&m)));
+        self.gossip
+            .table
+            .retain(&|m| services.values().any(|s| s.contains_key(&m)));
     }
 
     pub fn sent(&mut self, tgt: TgtId, now: Duration) {
@@ -71,11 +80,20 @@
 
     pub fn heard(&mut self, from: Ip, bytes: &[u8], now: Duration) {
         let services = &self.services;
-        self.gossip.receive(from, bytes, &|m| services.values().any(|s| s.contains_key(&m)), now);
+        self.gossip.receive(
+            from,
+            bytes,
+            &|m| services.values().any(|s| s.contains_key(&m)),
+            now,
+        );
     }
 
     fn load(&mut self, m: BackendKey, slots: f64, now: Duration) -> BackendLoad {
-        BackendLoad { slots, own: self.gossip.observer.observe(m, now), told: self.gossip.table.view(m, now) }
+        BackendLoad {
+            slots,
+            own: self.gossip.observer.observe(m, now),
+            told: self.gossip.table.view(m, now),
+        }
     }
 
     /// What is told, looked at anew now and then; whether the modules have to hear of it.
@@ -87,15 +105,24 @@
         let services = std::mem::take(&mut self.services);
         let mut changed = false;
         for (service, backends) in &services {
-            let all = backends.iter().map(|(m, (_, slots))| (*m, self.load(*m, *slots, now))).collect();
-            changed |= self.factors.entry(service.clone()).or_default().update(&all, now);
+            let all = backends
+                .iter()
+                .map(|(m, (_, slots))| (*m, self.load(*m, *slots, now)))
+                .collect();
+            changed |= self
+                .factors
+                .entry(service.clone())
+                .or_default()
+                .update(&all, now);
         }
         self.services = services;
         changed
     }
 
     pub fn factor(&self, service: &str, id: &str) -> f64 {
-        self.factors.get(service).map_or(1.0, |e| e.factor(backend_key(id)))
+        self.factors
+            .get(service)
+            .map_or(1.0, |e| e.factor(backend_key(id)))
     }
 
     /// As JSON, for staff: what is known of each backend, from how many, how old.
@@ -164,12 +191,20 @@
             }
         }
         for t in (1000..3000).step_by(100) {
-            a.gossip.tick(at(t)).into_iter().for_each(|(_, bytes)| b.heard([10, 1, 0, 1], &bytes, at(t + 1)));
+            a.gossip
+                .tick(at(t))
+                .into_iter()
+                .for_each(|(_, bytes)| b.heard([10, 1, 0, 1], &bytes, at(t + 1)));
             b.look(at(t + 2));
         }
-        assert!(b.factor("s", "i-0") < 0.5 && b.factor("s", "i-1") == 1.0, "{}", b.show(at(3000)));
         assert!(
-            b.show(at(3000)).contains("\"id\":\"i-0\",\"service\":\"s\",\"own_out\":0"),
+            b.factor("s", "i-0") < 0.5 && b.factor("s", "i-1") == 1.0,
+            "{}",
+            b.show(at(3000))
+        );
+        assert!(
+            b.show(at(3000))
+                .contains("\"id\":\"i-0\",\"service\":\"s\",\"own_out\":0"),
             "{}",
             b.show(at(3000))
         );
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -62,11 +62,18 @@
 
 impl Counts {
     fn call(&mut self, Counted { call, to }: Counted) {
-        let ToCounter::Call(Call { name, add, at, .. }) = call else { return };
+        let ToCounter::Call(Call { name, add, at, .. }) = call else {
+            return;
+        };
         let now = self.clock.now();
         let total = self.quota.count(&name, add, now);
         let latency = now.saturating_sub(at);
-        let total = ToModule::Total { name, outcome: Outcome::Ok, total, latency };
+        let total = ToModule::Total {
+            name,
+            outcome: Outcome::Ok,
+            total,
+            latency,
+        };
         if let Err(mpsc::error::TrySendError::Full(total)) = to.try_send(total) {
             tokio::task::spawn_local(async move { to.send(total).await.ok() });
         }
@@ -104,8 +111,12 @@
     fn ask(&self, uri: &Uri) -> Option<String> {
         match uri.path() {
             "/-/loads" => {
-                let known =
-                    self.backend_pool.borrow_mut().load_reports.as_mut().map(|c| c.show(self.clock.now()));
+                let known = self
+                    .backend_pool
+                    .borrow_mut()
+                    .load_reports
+                    .as_mut()
+                    .map(|c| c.show(self.clock.now()));
                 Some(known.unwrap_or_else(|| "{\"backends\":null}\n".into()))
             }
             "/-/copies" => Some(self.copies.show()),
@@ -138,8 +149,8 @@
                 }
                 async move { Ok::<_, Infallible>(answer) }
             });
-            let http =
-                hyper::server::conn::http1::Builder::new().serve_connection(TokioIo::new(stream), service);
+            let http = hyper::server::conn::http1::Builder::new()
+                .serve_connection(TokioIo::new(stream), service);
             timeout(Duration::from_secs(30), http).await.ok();
         });
     }
@@ -197,9 +208,15 @@
     let mut terminate = signal(SignalKind::terminate()).map_err(|e| e.to_string())?;
     let mut reload = signal(SignalKind::hangup()).map_err(|e| e.to_string())?;
     let now = Now::default();
-    let (unserved, ahead) = (Rc::new(RefCell::new(UnservedLog::default())), Rc::new(Cell::new(0.0)));
-    let backend_pool =
-        Rc::new(RefCell::new(BackendPool::new(&settings.zone, &settings.region, settings.zones.clone())));
+    let (unserved, ahead) = (
+        Rc::new(RefCell::new(UnservedLog::default())),
+        Rc::new(Cell::new(0.0)),
+    );
+    let backend_pool = Rc::new(RefCell::new(BackendPool::new(
+        &settings.zone,
+        &settings.region,
+        settings.zones.clone(),
+    )));
     let clock = Clock::start();
     let copies = Copies::new(clock, ahead.clone());
     let figures = Figures::new().map_err(|e| format!("figures: {e}"))?;
@@ -211,7 +228,11 @@
         clock,
         ahead: ahead.clone(),
     };
-    tokio::task::spawn_local(readiness(listen(settings.listens("readiness")?)?, now.clone(), staff));
+    tokio::task::spawn_local(readiness(
+        listen(settings.listens("readiness")?)?,
+        now.clone(),
+        staff,
+    ));
     let front = settings.listens("front")?;
     let status = ProxyStatus {
         node: node.clone(),
@@ -221,16 +242,28 @@
         ready: false,
         term: 0,
     };
-    let known = Rc::new(RefCell::new(ControlState::new(&settings, status, summaries)));
+    let known = Rc::new(RefCell::new(ControlState::new(
+        &settings, status, summaries,
+    )));
     let (to, mut words) = mpsc::channel(4096);
     tokio::task::spawn_local(control_client::run(settings.clone(), known.clone(), to));
 
-    let places = (settings.descriptors as usize).saturating_sub(RESERVE).max(64);
+    let places = (settings.descriptors as usize)
+        .saturating_sub(RESERVE)
+        .max(64);
     let (most_clients, most_backends) = (places * 3 / 5, places * 2 / 5);
     let memory = (settings.memory_mb as usize) << 20;
     let most_clients = most_clients.min(memory / 4 / CONNECTION);
     let bodies = memory / 6;
-    let fleet = Fleet::new(CONNECT, IDLE, vec![], Box::new(Backends), most_backends, bodies, &figures);
+    let fleet = Fleet::new(
+        CONNECT,
+        IDLE,
+        vec![],
+        Box::new(Backends),
+        most_backends,
+        bodies,
+        &figures,
+    );
     if summaries {
         backend_pool.borrow_mut().load_reports =
             Some(LoadReports::new(known.borrow().status.life, rand::random()));
@@ -263,7 +296,8 @@
     }
     let routing_table = Rc::new(RefCell::new(Rc::new(RoutingTable::default())));
     let idle_s = Rc::new(Cell::new(0));
-    let (for_requests, by_routing_table, idle) = (dispatchers.clone(), routing_table.clone(), idle_s.clone());
+    let (for_requests, by_routing_table, idle) =
+        (dispatchers.clone(), routing_table.clone(), idle_s.clone());
     let requests = Requests {
         dispatchers: for_requests,
         routing_table: by_routing_table,
@@ -272,9 +306,19 @@
         copies: copies.clone(),
         clock,
     };
-    let clients =
-        Rc::new(Clients::new(Rc::new(requests), most_clients, bodies, clock, now.clone(), &figures));
-    let mut counts = Counts { quota: QuotaCounter::new(rand::random()), clock, known: known.clone() };
+    let clients = Rc::new(Clients::new(
+        Rc::new(requests),
+        most_clients,
+        bodies,
+        clock,
+        now.clone(),
+        &figures,
+    ));
+    let mut counts = Counts {
+        quota: QuotaCounter::new(rand::random()),
+        clock,
+        known: known.clone(),
+    };
     // So many proxies share what all of them together may use.
     let share = |proxies: u32| {
         copies.proxies.set(proxies);
@@ -375,10 +419,16 @@
                 if let Some(limits) = &new.limits {
                     let idle = Duration::from_millis(limits.idle_ms);
                     idle_s.set((limits.idle_ms / 1000).saturating_sub(2));
-                    let whole = Duration::from_millis(limits.header_ms).max(Duration::from_millis(200));
-                    clients.wait(Patience { whole, quiet: idle.max(CLOSE_LATER) });
+                    let whole =
+                        Duration::from_millis(limits.header_ms).max(Duration::from_millis(200));
+                    clients.wait(Patience {
+                        whole,
+                        quiet: idle.max(CLOSE_LATER),
+                    });
                 }
-                backend_pool.borrow_mut().evacuate(&new, clock.now(), &mut lot);
+                backend_pool
+                    .borrow_mut()
+                    .evacuate(&new, clock.now(), &mut lot);
                 *routing_table.borrow_mut() = new.clone();
                 dispatchers.borrow_mut().follow(&new);
                 copies.follow(new.copies.clone());
@@ -390,7 +440,9 @@
             Some(ControlEvent::List(servers)) => {
                 let routing_table = routing_table.borrow().clone();
                 unserved.borrow_mut().list = known.borrow().list();
-                backend_pool.borrow_mut().take(servers, &routing_table, clock.now(), &mut lot);
+                backend_pool
+                    .borrow_mut()
+                    .take(servers, &routing_table, clock.now(), &mut lot);
                 dispatchers.borrow_mut().settle();
                 dispatchers.borrow().tell_all();
             }
@@ -408,7 +460,9 @@
                     ahead.set(common.as_secs_f64() - clock.now().as_secs_f64());
                     counts.quota.clock(ahead.get());
                     unserved.borrow_mut().term = time.term;
-                    counts.quota.link_coordinator(time.term, k.coordinator_link().is_some());
+                    counts
+                        .quota
+                        .link_coordinator(time.term, k.coordinator_link().is_some());
                 }
             }
             // The coordinator's word is the better one, but at a start there is none.
@@ -429,7 +483,10 @@
             Some(ControlEvent::CoordinatorLost) => counts.quota.unlink(),
         }
         let is_complete = !routing_table.borrow().is_empty() && !backend_pool.borrow().is_empty();
-        let basis = known.borrow_mut().freshness.may_serve(is_complete, clock.now());
+        let basis = known
+            .borrow_mut()
+            .freshness
+            .may_serve(is_complete, clock.now());
         if let Some(basis) = basis.filter(|_| accepting.is_none() && ending.is_none()) {
             if basis == Basis::PossiblyOld {
                 log::warn!(
--- a/crates/proxy/src/mirroring.rs
+++ b/crates/proxy/src/mirroring.rs
@@ -12,7 +12,9 @@
 use damsonbeam_gateway::clock::Clock;
 use damsonbeam_gateway::mail::Ask;
 use damsonbeam_mirror::budget::{Budget, DropReason, MAX_BODY_BYTES};
-use damsonbeam_mirror::selection::{ActiveRules, COPY_TIMEOUT, Caller, caller, instance, is_chosen};
+use damsonbeam_mirror::selection::{
+    ActiveRules, COPY_TIMEOUT, Caller, caller, instance, is_chosen,
+};
 use damsonbeam_mirror::sessions::{Answer, Sessions, digest};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Bytes;
@@ -63,9 +65,17 @@
 impl Ticket {
     /// The real answer, as it goes to the client.
     pub fn real(&self, answer: &Response<Given>, now: Duration) {
-        let body = if let Given::Whole(Some(bytes)) = answer.body() { Some(digest(bytes)) } else { None };
+        let body = if let Given::Whole(Some(bytes)) = answer.body() {
+            Some(digest(bytes))
+        } else {
+            None
+        };
         let took = now.saturating_sub(self.began);
-        self.pair.borrow_mut().real = Some(Answer { status: answer.status().as_u16(), digest: body, took });
+        self.pair.borrow_mut().real = Some(Answer {
+            status: answer.status().as_u16(),
+            digest: body,
+            took,
+        });
     }
 }
 
@@ -120,7 +130,10 @@
     /// A timer fired so much late.
     pub fn late(&self, by: Duration) {
         if self.on.get() {
-            self.inner.borrow_mut().budget.timer_fired(by, self.clock.now());
+            self.inner
+                .borrow_mut()
+                .budget
+                .timer_fired(by, self.clock.now());
         }
     }
 
@@ -141,11 +154,17 @@
         }
         let now = self.common_ms();
         let mut inner = self.inner.borrow_mut();
-        let rules =
-            inner.active_rules.rules_for(service, now).into_iter().filter(|r| r.kinds.contains(&kind));
+        let rules = inner
+            .active_rules
+            .rules_for(service, now)
+            .into_iter()
+            .filter(|r| r.kinds.contains(&kind));
         let chosen = rules.filter_map(|r| {
             let caller = caller(r, tenant, key);
-            is_chosen(r, caller).then(|| Chosen { rule: Rc::new(r.clone()), caller })
+            is_chosen(r, caller).then(|| Chosen {
+                rule: Rc::new(r.clone()),
+                caller,
+            })
         });
         chosen.collect()
     }
@@ -163,10 +182,15 @@
         for Chosen { rule, caller } in chosen {
             let name = (rule.name.clone(), rule.version);
             let sent = || {
-                let Load::Whole(body) = &ask.body else { return Err(DropReason::Body) };
+                let Load::Whole(body) = &ask.body else {
+                    return Err(DropReason::Body);
+                };
                 let may = |region: &str| homes.as_ref().is_none_or(|h| h.contains(region));
                 let (to, at) = instance(&rule, caller, &may, is_real).ok_or(DropReason::Nowhere)?;
-                self.inner.borrow_mut().budget.admit(&rule, body.len(), self.proxies.get(), now)?;
+                self.inner
+                    .borrow_mut()
+                    .budget
+                    .admit(&rule, body.len(), self.proxies.get(), now)?;
                 Ok((to.id.clone(), at, body.clone()))
             };
             let sent = sent();
@@ -180,9 +204,16 @@
                     let request = request(ask, body, &id, &name);
                     let (copies, of, rule) = (self.clone(), pair.clone(), name.clone());
                     tokio::task::spawn_local(async move {
-                        copies.send(at, (request, size), rule, caller, of, now).await
+                        copies
+                            .send(at, (request, size), rule, caller, of, now)
+                            .await
+                    });
+                    tickets.push(Ticket {
+                        pair,
+                        rule: name,
+                        began: now,
+                        copies: self.clone(),
                     });
-                    tickets.push(Ticket { pair, rule: name, began: now, copies: self.clone() });
                 }
             }
         }
@@ -199,18 +230,27 @@
         began: Duration,
     ) {
         let answer = match request {
-            Some(request) => timeout(COPY_TIMEOUT, self.ask(at, request)).await.ok().flatten(),
+            Some(request) => timeout(COPY_TIMEOUT, self.ask(at, request))
+                .await
+                .ok()
+                .flatten(),
             None => None,
         };
         {
             let mut inner = self.inner.borrow_mut();
             inner.budget.done(size);
             if answer.is_none() {
-                inner.sessions.dropped((&rule.0, rule.1), caller, DropReason::Unanswered);
+                inner
+                    .sessions
+                    .dropped((&rule.0, rule.1), caller, DropReason::Unanswered);
             }
         }
         let took = self.clock.now().saturating_sub(began);
-        pair.borrow_mut().trial = answer.map(|(status, digest)| Answer { status, digest, took });
+        pair.borrow_mut().trial = answer.map(|(status, digest)| Answer {
+            status,
+            digest,
+            took,
+        });
         self.settle(&rule, &pair);
     }
 
@@ -220,14 +260,26 @@
         if pair.real.is_some() || pair.over {
             let real = pair.real;
             if let Some(trial) = pair.trial.take() {
-                self.inner.borrow_mut().sessions.answered((&rule.0, rule.1), real, trial);
+                self.inner
+                    .borrow_mut()
+                    .sessions
+                    .answered((&rule.0, rule.1), real, trial);
             }
         }
     }
 
     /// Status, and the digest of a body that is not too large.
-    async fn ask(&self, at: SocketAddr, request: Request<Full<Bytes>>) -> Option<(u16, Option<u64>)> {
-        let known = self.links.borrow_mut().get_mut(&at).and_then(Vec::pop).filter(|l| !l.is_closed());
+    async fn ask(
+        &self,
+        at: SocketAddr,
+        request: Request<Full<Bytes>>,
+    ) -> Option<(u16, Option<u64>)> {
+        let known = self
+            .links
+            .borrow_mut()
+            .get_mut(&at)
+            .and_then(Vec::pop)
+            .filter(|l| !l.is_closed());
         let mut link = match known {
             Some(link) => link,
             None => {
@@ -242,7 +294,10 @@
         let answer = link.send_request(request).await.ok()?;
         let status = answer.status().as_u16();
         // Of an answer without end no more is read than is compared; its connection ends with it.
-        let Ok(body) = Limited::new(answer.into_body(), MAX_BODY_BYTES).collect().await else {
+        let Ok(body) = Limited::new(answer.into_body(), MAX_BODY_BYTES)
+            .collect()
+            .await
+        else {
             return Some((status, None));
         };
         let digest = digest(&body.to_bytes());
@@ -256,17 +311,28 @@
 }
 
 /// The copy: the same but for its name, which is its own, and the marks by which everybody can tell it.
-fn request(ask: &Ask, body: Bytes, instance: &str, rule: &(String, u64)) -> Option<Request<Full<Bytes>>> {
+fn request(
+    ask: &Ask,
+    body: Bytes,
+    instance: &str,
+    rule: &(String, u64),
+) -> Option<Request<Full<Bytes>>> {
     let value = |text: &str| HeaderValue::from_str(text).ok();
     let mut request = Request::new(Full::new(body));
     (*request.method_mut(), *request.uri_mut()) = (ask.method.clone(), ask.uri.clone());
     let mut headers = ask.headers.clone();
-    if let Some(of) = headers.insert(&ID, value(&format!("copy-{:016x}", rand::rng().random::<u64>()))?) {
+    if let Some(of) = headers.insert(
+        &ID,
+        value(&format!("copy-{:016x}", rand::rng().random::<u64>()))?,
+    ) {
         headers.insert(&OF, of);
     }
     headers.insert(&RULE, value(&format!("{} r{}", rule.0, rule.1))?);
     headers.insert(&INSTANCE, value(instance)?);
-    headers.insert(&DEADLINE, HeaderValue::from(COPY_TIMEOUT.as_millis() as u64));
+    headers.insert(
+        &DEADLINE,
+        HeaderValue::from(COPY_TIMEOUT.as_millis() as u64),
+    );
     *request.headers_mut() = headers;
     Some(request)
 }
--- a/crates/proxy/src/protocol.rs
+++ b/crates/proxy/src/protocol.rs
@@ -61,8 +61,14 @@
 
 impl Requests {
     fn note(&self, name: &str, cause: Cause, ran: bool, subject: &Subject) {
-        self.unserved.borrow_mut().note(name, cause, ran, subject, self.clock.now());
-        let ran = if ran { "it may have run" } else { "it has not run" };
+        self.unserved
+            .borrow_mut()
+            .note(name, cause, ran, subject, self.clock.now());
+        let ran = if ran {
+            "it may have run"
+        } else {
+            "it has not run"
+        };
         log::debug!("request: {name} is not served ({}), {ran}.", cause.name());
     }
 }
@@ -83,20 +89,27 @@
         if head.uri.scheme().is_some() || head.uri.authority().is_some() {
             return Err(bad());
         }
-        let name =
-            one(headers, ID.as_str()).filter(|n| !n.is_empty() && n.len() <= ID_MOST).ok_or_else(bad)?;
+        let name = one(headers, ID.as_str())
+            .filter(|n| !n.is_empty() && n.len() <= ID_MOST)
+            .ok_or_else(bad)?;
         let host = one(headers, HOST.as_str()).ok_or_else(bad)?;
         let key = one(headers, AUTHORIZATION.as_str()).and_then(|a| a.strip_prefix("Bearer "));
         let left = match headers.get(&DEADLINE) {
-            Some(_) => one(headers, DEADLINE.as_str()).and_then(|d| d.parse::<u64>().ok()).ok_or_else(bad)?,
+            Some(_) => one(headers, DEADLINE.as_str())
+                .and_then(|d| d.parse::<u64>().ok())
+                .ok_or_else(bad)?,
             None => WAIT,
         };
         if routing_table.is_empty() {
             // No configuration yet: whoever asks is told to come back, not that there is no such route.
-            return Err(Box::new(later(StatusCode::SERVICE_UNAVAILABLE, Some(Duration::from_millis(500)))));
+            return Err(Box::new(later(
+                StatusCode::SERVICE_UNAVAILABLE,
+                Some(Duration::from_millis(500)),
+            )));
         }
-        let (route, tenant) =
-            routing_table.find(host, head.uri.path(), key.map(str::trim)).map_err(|stop| {
+        let (route, tenant) = routing_table
+            .find(host, head.uri.path(), key.map(str::trim))
+            .map_err(|stop| {
                 let (cause, status) = match stop {
                     Stop::NoRoute => (Cause::NoRoute, StatusCode::NOT_FOUND),
                     Stop::NoKey => (Cause::NoKey, StatusCode::UNAUTHORIZED),
@@ -104,16 +117,24 @@
                 self.note(name, cause, false, &Subject::default());
                 rejection(status)
             })?;
-        let subject = Subject { route: Some(route.clone()), tenant: tenant.cloned() };
+        let subject = Subject {
+            route: Some(route.clone()),
+            tenant: tenant.cloned(),
+        };
         let homes = RoutingTable::homes(route, tenant.map(|t| &**t));
         let service = RoutingTable::service(route, rand::rng().random()).to_owned();
         let whose = tenant.map_or("", |t| &t.name);
-        let chosen = self.copies.choose(&service, route.kind, whose, key.unwrap_or_default());
+        let chosen = self
+            .copies
+            .choose(&service, route.kind, whose, key.unwrap_or_default());
         let mut dispatchers = self.dispatchers.borrow_mut();
         let Some((to, op)) = dispatchers.dispatcher(route, service, &homes) else {
             // Nowhere may it be served: homes that have nothing in common, or a service without backends.
             self.note(name, Cause::Nowhere, false, &subject);
-            return Err(Box::new(later(StatusCode::SERVICE_UNAVAILABLE, Some(Duration::from_secs(1)))));
+            return Err(Box::new(later(
+                StatusCode::SERVICE_UNAVAILABLE,
+                Some(Duration::from_secs(1)),
+            )));
         };
         let plan = tenant.map_or(PlanId(usize::MAX), |t| dispatchers.plan(&t.name));
         let customer = CustomerId(tenant.map_or("", |t| &t.name).into());
@@ -136,27 +157,54 @@
             out.insert(&TENANT, value);
         }
         let left = Duration::from_millis(left.min(route.timeout_ms));
-        let kept = Kept { subject, chosen, tickets: vec![] };
+        let kept = Kept {
+            subject,
+            chosen,
+            tickets: vec![],
+        };
         let repeatable = Repeatable::by(repeat(route.kind));
         let (name, about) = (name.to_owned(), Some(Box::new(kept) as Box<dyn Any>));
-        Ok(Decoded { told, repeatable, name, about, left, headers: out, to })
+        Ok(Decoded {
+            told,
+            repeatable,
+            name,
+            about,
+            left,
+            headers: out,
+            to,
+        })
     }
 
     fn taken(&self, ask: &Ask, about: &mut About) {
-        let Some(kept) = about.as_mut().and_then(|a| a.downcast_mut::<Kept>()) else { return };
-        if let Some(route) = kept.subject.route.as_ref().filter(|_| !kept.chosen.is_empty()) {
+        let Some(kept) = about.as_mut().and_then(|a| a.downcast_mut::<Kept>()) else {
+            return;
+        };
+        if let Some(route) = kept
+            .subject
+            .route
+            .as_ref()
+            .filter(|_| !kept.chosen.is_empty())
+        {
             let homes = RoutingTable::homes(route, kept.subject.tenant.as_deref());
             let backend_pool = self.dispatchers.borrow().backend_pool.clone();
             let is_real = |at| backend_pool.borrow().is_real(at);
-            kept.tickets = self.copies.take(std::mem::take(&mut kept.chosen), ask, &homes, &is_real);
+            kept.tickets =
+                self.copies
+                    .take(std::mem::take(&mut kept.chosen), ask, &homes, &is_real);
         }
     }
 
     fn encode(&self, name: &str, about: About, answer: Answer) -> ClientResponse {
-        let Kept { subject, tickets, .. } =
-            about.and_then(|a| a.downcast::<Kept>().ok()).map(|k| *k).unwrap_or_default();
+        let Kept {
+            subject, tickets, ..
+        } = about
+            .and_then(|a| a.downcast::<Kept>().ok())
+            .map(|k| *k)
+            .unwrap_or_default();
         match &answer {
-            Answer::Throttled { why, clean, .. } => self.note(name, Cause::away(*why), !clean, &subject),
+            Answer::Throttled { why, clean, .. } => {
+                self.note(name, Cause::away(*why), !clean, &subject)
+            }
             Answer::Errored => self.note(name, Cause::Failed, true, &subject),
             Answer::Succeeded(_) => {}
         }
@@ -168,11 +216,19 @@
                 answer
             }
             // A promise that it has not run and never will.
-            Answer::Throttled { after, why: Why::Quota | Why::Full, clean: true } => {
-                later(StatusCode::TOO_MANY_REQUESTS, after)
-            }
-            Answer::Throttled { after, clean: true, .. } => later(StatusCode::SERVICE_UNAVAILABLE, after),
-            Answer::Throttled { clean: false, why: Why::Time, .. } => plain(StatusCode::GATEWAY_TIMEOUT),
+            Answer::Throttled {
+                after,
+                why: Why::Quota | Why::Full,
+                clean: true,
+            } => later(StatusCode::TOO_MANY_REQUESTS, after),
+            Answer::Throttled {
+                after, clean: true, ..
+            } => later(StatusCode::SERVICE_UNAVAILABLE, after),
+            Answer::Throttled {
+                clean: false,
+                why: Why::Time,
+                ..
+            } => plain(StatusCode::GATEWAY_TIMEOUT),
             Answer::Throttled { .. } | Answer::Errored => plain(StatusCode::BAD_GATEWAY),
         };
         tickets.iter().for_each(|t| t.real(&out, self.clock.now()));
@@ -188,7 +244,9 @@
 
 fn later(status: StatusCode, after: Option<Duration>) -> Response<Given> {
     let mut answer = plain(status);
-    if let Some(value) = after.and_then(|a| HeaderValue::from_str(&format!("{:.3}", a.as_secs_f64())).ok()) {
+    if let Some(value) =
+        after.and_then(|a| HeaderValue::from_str(&format!("{:.3}", a.as_secs_f64())).ok())
+    {
         answer.headers_mut().insert(RETRY_AFTER, value);
     }
     answer
@@ -211,7 +269,9 @@
             Some(id) if Some(id) != asked.get(&ID) => Verdict::Misplaced,
             // Without an id it may be what is left of an earlier answer: it proves nothing.
             None => Verdict::Failed,
-            Some(_) if status == StatusCode::MISDIRECTED_REQUEST => Verdict::Declined(Refusal::WrongBackend),
+            Some(_) if status == StatusCode::MISDIRECTED_REQUEST => {
+                Verdict::Declined(Refusal::WrongBackend)
+            }
             Some(_) if headers.contains_key(&NOT_RUN) => Verdict::Declined(Refusal::Full),
             Some(_) if status.is_success() && headers.contains_key(&SEAL) => Verdict::Succeeded,
             Some(_) => Verdict::Failed,
@@ -234,7 +294,10 @@
 
     fn keep(&self, headers: &HeaderMap) -> Option<Duration> {
         let said = headers.get(&KEEP_ALIVE)?.to_str().ok()?;
-        let fields: BTreeMap<&str, &str> = said.split(',').filter_map(|f| f.trim().split_once('=')).collect();
+        let fields: BTreeMap<&str, &str> = said
+            .split(',')
+            .filter_map(|f| f.trim().split_once('='))
+            .collect();
         fields.get("timeout")?.parse().ok().map(Duration::from_secs)
     }
 }
--- a/crates/proxy/src/quota.rs
+++ b/crates/proxy/src/quota.rs
@@ -87,7 +87,12 @@
 
     /// Units since then.
     fn since(&self, from: Duration) -> f64 {
-        let before = self.seen.iter().rev().find(|s| s.0 <= from).or(self.seen.front());
+        let before = self
+            .seen
+            .iter()
+            .rev()
+            .find(|s| s.0 <= from)
+            .or(self.seen.front());
         before.map_or(0.0, |b| self.sum - b.1)
     }
 
@@ -222,15 +227,23 @@
 
     /// The name by which all proxies know what the module here calls so.
     fn common(&self, name: &str) -> String {
-        let Some((slot, tenant)) = parts(name) else { return name.to_owned() };
+        let Some((slot, tenant)) = parts(name) else {
+            return name.to_owned();
+        };
         let len = self.tenants.get(tenant).map_or(0.0, |t| t.slot);
-        let shift = if len > 0.0 { (self.ahead / len).round() as i64 } else { 0 };
+        let shift = if len > 0.0 {
+            (self.ahead / len).round() as i64
+        } else {
+            0
+        };
         format!("{}/{tenant}", slot.saturating_add_signed(shift))
     }
 
     /// When a name's slot ends, by the module's time.
     fn ends(&self, name: &str) -> Duration {
-        let Some((slot, tenant)) = parts(name) else { return Duration::ZERO };
+        let Some((slot, tenant)) = parts(name) else {
+            return Duration::ZERO;
+        };
         let len = self.tenants.get(tenant).map_or(0.0, |t| t.slot);
         Duration::from_secs_f64(((slot + 1) as f64 * len - self.ahead).max(0.0))
     }
@@ -248,16 +261,33 @@
         let name = self.common(name);
         let tenant = parts(&name).map_or("", |p| p.1).to_owned();
         if add > 0.0 {
-            self.tenants.entry(tenant.clone()).or_default().asked.add(add, now);
+            self.tenants
+                .entry(tenant.clone())
+                .or_default()
+                .asked
+                .add(add, now);
         }
         let ends = self.ends(&name);
         let whose = tenant.clone();
-        let fresh = || Name { tenant: whose, first: now, ends, ..Name::default() };
-        self.tenants.entry(tenant.clone()).or_default().own.add(add, now);
+        let fresh = || Name {
+            tenant: whose,
+            first: now,
+            ends,
+            ..Name::default()
+        };
+        self.tenants
+            .entry(tenant.clone())
+            .or_default()
+            .own
+            .add(add, now);
         let n = self.names.entry(name.clone()).or_insert_with(fresh);
         (n.own, n.asked, n.last) = ((n.own + add).max(0.0), n.asked + add.max(0.0), now);
         let proxies = self.proxies;
-        if let Some(t) = self.tenants.get_mut(&self.names[&name].tenant).filter(|t| t.rate > 0.0) {
+        if let Some(t) = self
+            .tenants
+            .get_mut(&self.names[&name].tenant)
+            .filter(|t| t.rate > 0.0)
+        {
             let (pace, asked) = (t.others.of(now), t.asked.of(now));
             if (pace + asked).max(EVEN * asked * proxies) > NEAR * t.rate {
                 t.near_until = now + STAYS;
@@ -266,7 +296,11 @@
         let total = self.total(&self.names[&name], now);
         // The module undoes what it refuses, and gets the true total with that.
         let tenant = self.names[&name].tenant.clone();
-        if add > 0.0 && self.is_left_out(&tenant, now) { total + NEVER } else { total }
+        if add > 0.0 && self.is_left_out(&tenant, now) {
+            total + NEVER
+        } else {
+            total
+        }
     }
 
     /// Whether a request is left out by lot. Of many proxies each is asked for a small tenant too seldom to tell a surge by
@@ -274,7 +308,10 @@
     /// each lets in the part that the quota is of what all are asked for.
     fn is_left_out(&mut self, tenant: &str, now: Duration) -> bool {
         let (proxies, silent) = (self.proxies, self.silent(now));
-        let Some(t) = self.tenants.get(tenant).filter(|t| t.rate > 0.0 && now < t.near_until && !silent)
+        let Some(t) = self
+            .tenants
+            .get(tenant)
+            .filter(|t| t.rate > 0.0 && now < t.near_until && !silent)
         else {
             return false;
         };
@@ -289,12 +326,23 @@
             return n.own + n.others.max(n.own * others);
         }
         let absent = (self.proxies / self.attached.max(1.0)).max(1.0);
-        let Some(t) = self.tenants.get(&n.tenant) else { return (n.own + n.others) * absent };
+        let Some(t) = self.tenants.get(&n.tenant) else {
+            return (n.own + n.others) * absent;
+        };
         let pace = t.others.of(now);
-        let parts = if now < t.near_until { t.rate * others / self.proxies } else { 0.0 };
+        let parts = if now < t.near_until {
+            t.rate * others / self.proxies
+        } else {
+            0.0
+        };
         // A slot that is over gains nothing any more.
-        let from = n.told.map_or(n.first, |told| told.saturating_sub(STALE).max(n.first));
-        let since = now.min(n.ends.max(n.first)).saturating_sub(from).as_secs_f64();
+        let from = n
+            .told
+            .map_or(n.first, |told| told.saturating_sub(STALE).max(n.first));
+        let since = now
+            .min(n.ends.max(n.first))
+            .saturating_sub(from)
+            .as_secs_f64();
         // Each other one may do what this one does: a surge that all let in at once is seen by none in time.
         let alike = (t.own.since(from) - SPARE).max(0.0) * others;
         let alike = if since > 0.0 { alike } else { 0.0 };
@@ -310,16 +358,20 @@
         let tenants = &self.tenants;
         // Far from its quota a tenant's counts can wait for company; the others reckon with its pace meanwhile.
         let waits = |n: &Name| calm && tenants.get(&n.tenant).is_none_or(|t| now >= t.near_until);
-        let over = |n: &Name| !n.last_asked && n.own > 0.0 && !n.ends.is_zero() && now >= n.ends + STALE;
-        let changed = self
-            .names
-            .iter_mut()
-            .filter(|(_, n)| (n.sent.unwrap_or_default() != (n.own, n.asked) || over(n)) && !waits(n));
+        let over =
+            |n: &Name| !n.last_asked && n.own > 0.0 && !n.ends.is_zero() && now >= n.ends + STALE;
+        let changed = self.names.iter_mut().filter(|(_, n)| {
+            (n.sent.unwrap_or_default() != (n.own, n.asked) || over(n)) && !waits(n)
+        });
         let out: Vec<NamedCount> = changed
             .map(|(name, n)| {
                 n.sent = Some((n.own, n.asked));
                 n.last_asked |= over(n);
-                NamedCount { name: name.clone(), held: n.own, asked: n.asked }
+                NamedCount {
+                    name: name.clone(),
+                    held: n.own,
+                    asked: n.asked,
+                }
             })
             .collect();
         if !calm {
@@ -341,17 +393,31 @@
         self.unanswered = None;
         for NamedCount { name, held, asked } in totals {
             if !self.names.contains_key(name) {
-                let Some((_, tenant)) = parts(name) else { continue };
+                let Some((_, tenant)) = parts(name) else {
+                    continue;
+                };
                 let (tenant, ends) = (tenant.to_owned(), self.ends(name));
                 self.tenants.entry(tenant.clone()).or_default().near_until = now + STAYS;
                 let sent = Some((0.0, 0.0));
-                let new = Name { tenant, first: now, last: now, ends, sent, ..Name::default() };
+                let new = Name {
+                    tenant,
+                    first: now,
+                    last: now,
+                    ends,
+                    sent,
+                    ..Name::default()
+                };
                 self.names.insert(name.clone(), new);
             }
-            let Some(n) = self.names.get_mut(name) else { continue };
+            let Some(n) = self.names.get_mut(name) else {
+                continue;
+            };
             // What was told of the others stays true, whoever is the coordinator.
             let sent = n.sent.unwrap_or_default();
-            let (others, asked) = ((held - sent.0).max(n.others), (asked - sent.1).max(n.others_asked));
+            let (others, asked) = (
+                (held - sent.0).max(n.others),
+                (asked - sent.1).max(n.others_asked),
+            );
             let (more, demand) = (others - n.others, asked - n.others_asked);
             (n.others, n.others_asked, n.told) = (others, asked, Some(now));
             let t = self.tenants.entry(n.tenant.clone()).or_default();
--- a/crates/proxy/src/retry_budget.rs
+++ b/crates/proxy/src/retry_budget.rs
@@ -17,7 +17,12 @@
 
 impl RetryBudget {
     pub fn new(ratio: f64, slack: f64) -> Self {
-        RetryBudget { ratio: ratio * PART, slack: slack * PART, proxies: 1.0, saved: HashMap::new() }
+        RetryBudget {
+            ratio: ratio * PART,
+            slack: slack * PART,
+            proxies: 1.0,
+            saved: HashMap::new(),
+        }
     }
 
     /// So many proxies share the slack.
@@ -39,7 +44,9 @@
 
     /// A repeat for that service, if it is within this one's part.
     pub fn spend(&mut self, service: &str) -> bool {
-        let Some(saved) = self.saved.get_mut(service).filter(|s| **s >= 1.0) else { return false };
+        let Some(saved) = self.saved.get_mut(service).filter(|s| **s >= 1.0) else {
+            return false;
+        };
         *saved -= 1.0;
         true
     }
@@ -65,7 +72,13 @@
         // Saved up in quiet times, then all fails: in no window more than the ratio of its requests and the slack.
         assert_eq!((0..1000).map(|_| round(&mut all, false)).sum::<u32>(), 0);
         let repeats: u32 = (0..300).map(|_| round(&mut all, true)).sum();
-        assert!(f64::from(repeats) <= ratio * 3000.0 + slack, "{repeats} repeats");
-        assert!(f64::from(repeats) >= 0.6 * ratio * 3000.0, "{repeats} repeats are too few");
+        assert!(
+            f64::from(repeats) <= ratio * 3000.0 + slack,
+            "{repeats} repeats"
+        );
+        assert!(
+            f64::from(repeats) >= 0.6 * ratio * 3000.0,
+            "{repeats} repeats are too few"
+        );
     }
 }
--- a/crates/proxy/src/routing_table.rs
+++ b/crates/proxy/src/routing_table.rs
@@ -30,23 +30,46 @@
     /// Items that can't be read are left out: what was decided has been checked.
     pub fn read(snapshot: &ConfigSnapshot) -> Self {
         let mut routing_table = RoutingTable::default();
-        for route in snapshot.standing(Kind::Route).filter_map(|i| Route::read(i).ok()) {
-            routing_table.routes.entry(route.host.clone()).or_default().push(Rc::new(route));
+        for route in snapshot
+            .standing(Kind::Route)
+            .filter_map(|i| Route::read(i).ok())
+        {
+            routing_table
+                .routes
+                .entry(route.host.clone())
+                .or_default()
+                .push(Rc::new(route));
         }
         for all in routing_table.routes.values_mut() {
             all.sort_by_key(|r| std::cmp::Reverse(r.prefix.len()));
         }
-        for tenant in snapshot.standing(Kind::Tenant).filter_map(|i| Tenant::read(i).ok()) {
+        for tenant in snapshot
+            .standing(Kind::Tenant)
+            .filter_map(|i| Tenant::read(i).ok())
+        {
             let tenant = Rc::new(tenant);
-            routing_table.keys.extend(tenant.keys.iter().map(|k| (k.clone(), tenant.clone())));
+            routing_table
+                .keys
+                .extend(tenant.keys.iter().map(|k| (k.clone(), tenant.clone())));
             routing_table.tenants.push(tenant);
         }
-        let services = snapshot.standing(Kind::Service).filter_map(|i| Service::read(i).ok());
+        let services = snapshot
+            .standing(Kind::Service)
+            .filter_map(|i| Service::read(i).ok());
         routing_table.services = services.map(|s| (s.name.clone(), s)).collect();
-        routing_table.evacuated = snapshot.standing(Kind::Evacuation).map(|i| i.key.name.clone()).collect();
-        routing_table.limits = snapshot.standing(Kind::Limits).find_map(|i| Limits::read(i).ok());
-        let copies = snapshot.standing(Kind::Copy).filter_map(|i| Rule::read(i).ok());
-        routing_table.copies = copies.filter(|c| !routing_table.services.contains_key(&c.trial)).collect();
+        routing_table.evacuated = snapshot
+            .standing(Kind::Evacuation)
+            .map(|i| i.key.name.clone())
+            .collect();
+        routing_table.limits = snapshot
+            .standing(Kind::Limits)
+            .find_map(|i| Limits::read(i).ok());
+        let copies = snapshot
+            .standing(Kind::Copy)
+            .filter_map(|i| Rule::read(i).ok());
+        routing_table.copies = copies
+            .filter(|c| !routing_table.services.contains_key(&c.trial))
+            .collect();
         routing_table
     }
 
@@ -68,8 +91,14 @@
             .rsplit_once(':')
             .filter(|(_, p)| p.bytes().all(|b| b.is_ascii_digit()))
             .map_or(host, |h| h.0);
-        let all = self.routes.get(&host.to_ascii_lowercase()).ok_or(Stop::NoRoute)?;
-        let route = all.iter().find(|r| path.starts_with(&r.prefix)).ok_or(Stop::NoRoute)?;
+        let all = self
+            .routes
+            .get(&host.to_ascii_lowercase())
+            .ok_or(Stop::NoRoute)?;
+        let route = all
+            .iter()
+            .find(|r| path.starts_with(&r.prefix))
+            .ok_or(Stop::NoRoute)?;
         let tenant = key.and_then(|k| self.keys.get(k));
         if route.open || self.tenants.is_empty() {
             return Ok((route, tenant.filter(|_| !route.open)));
@@ -95,7 +124,10 @@
             left -= t.1;
             left < 0.0
         });
-        &drawn.or(route.to.iter().rfind(|t| t.1 > 0.0)).unwrap_or(&route.to[0]).0
+        &drawn
+            .or(route.to.iter().rfind(|t| t.1 > 0.0))
+            .unwrap_or(&route.to[0])
+            .0
     }
 }
 
@@ -125,20 +157,31 @@
         };
         let (one, two) = (
             route("one", "/x/", ""),
-            route("two", "/x/y/", r#","public_access":true,"serving_regions":["p","q"]"#),
+            route(
+                "two",
+                "/x/y/",
+                r#","public_access":true,"serving_regions":["p","q"]"#,
+            ),
         );
         let c = routing_table(&format!(
             r#"{{"upserts":{{"route_list":[{one},{two}],"tenant_list":[{{"name":"t","api_keys":["k"],"rate_per_s":5,"burst":5,"serving_regions":["q"],"config_version":"r1"}}]}}}}"#
         ));
         let name = |path, key| {
-            c.find("A.example:80", path, key).map(|f| (f.0.name.clone(), f.1.map(|t| t.name.clone())))
+            c.find("A.example:80", path, key)
+                .map(|f| (f.0.name.clone(), f.1.map(|t| t.name.clone())))
         };
-        assert_eq!(name("/x/z", Some("k")), Ok(("one".into(), Some("t".into()))));
+        assert_eq!(
+            name("/x/z", Some("k")),
+            Ok(("one".into(), Some("t".into())))
+        );
         assert_eq!(name("/x/y/z", None), Ok(("two".into(), None)));
         assert_eq!(name("/x/z", Some("other")), Err(Stop::NoKey));
         assert_eq!(name("/xy", Some("k")), Err(Stop::NoRoute));
         let two = c.find("a.example", "/x/y/", None).expect("there").0.clone();
-        assert_eq!(RoutingTable::homes(&two, Some(&c.tenants[0])), Some(["q".to_string()].into()));
+        assert_eq!(
+            RoutingTable::homes(&two, Some(&c.tenants[0])),
+            Some(["q".to_string()].into())
+        );
     }
 
     #[test]
--- a/crates/proxy/src/slow_start.rs
+++ b/crates/proxy/src/slow_start.rs
@@ -31,7 +31,10 @@
 
 impl Default for SlowStart {
     fn default() -> Self {
-        SlowStart { proxies: f64::from(UNTOLD), cold: HashMap::new() }
+        SlowStart {
+            proxies: f64::from(UNTOLD),
+            cold: HashMap::new(),
+        }
     }
 }
 
@@ -50,7 +53,11 @@
             return;
         }
         let (until, first) = (now + left + LATE, now + self.apart(rate).mul_f64(lot));
-        let c = self.cold.entry(tgt).or_insert(Cold { until, rate, next: first });
+        let c = self.cold.entry(tgt).or_insert(Cold {
+            until,
+            rate,
+            next: first,
+        });
         (c.until, c.rate) = (c.until.max(until), rate);
     }
 
@@ -64,12 +71,21 @@
 
     /// Whether a request may go to it now.
     pub fn open(&self, tgt: TgtId, now: Duration) -> bool {
-        self.cold.get(&tgt).is_none_or(|c| now >= c.until || now >= c.next)
+        self.cold
+            .get(&tgt)
+            .is_none_or(|c| now >= c.until || now >= c.next)
     }
 
     /// One goes to it, if it may.
     pub fn send(&mut self, tgt: TgtId, now: Duration) -> bool {
-        let Some(rate) = self.cold.get(&tgt).filter(|c| now < c.until).map(|c| c.rate) else { return true };
+        let Some(rate) = self
+            .cold
+            .get(&tgt)
+            .filter(|c| now < c.until)
+            .map(|c| c.rate)
+        else {
+            return true;
+        };
         let apart = self.apart(rate);
         let c = self.cold.get_mut(&tgt).expect("seen above");
         if now < c.next {
@@ -81,7 +97,9 @@
 
     /// Cold ones, and whether each may be sent to.
     pub fn all(&self, now: Duration) -> impl Iterator<Item = (TgtId, bool)> + '_ {
-        self.cold.keys().map(move |tgt| (*tgt, self.open(*tgt, now)))
+        self.cold
+            .keys()
+            .map(move |tgt| (*tgt, self.open(*tgt, now)))
     }
 }
 
@@ -99,7 +117,13 @@
             .map(|_| {
                 let mut t = SlowStart::default();
                 t.share(proxies);
-                t.learn(tgt, Duration::from_secs(3), rate, rng.random(), Duration::ZERO);
+                t.learn(
+                    tgt,
+                    Duration::from_secs(3),
+                    rate,
+                    rng.random(),
+                    Duration::ZERO,
+                );
                 t
             })
             .collect();
@@ -112,7 +136,11 @@
             }
         }
         sent.iter()
-            .map(|from| sent.iter().filter(|ms| (*from..from + 1000).contains(*ms)).count())
+            .map(|from| {
+                sent.iter()
+                    .filter(|ms| (*from..from + 1000).contains(*ms))
+                    .count()
+            })
             .max()
             .unwrap_or(0)
     }
--- a/crates/proxy/src/stop.rs
+++ b/crates/proxy/src/stop.rs
@@ -42,7 +42,12 @@
     }
 
     pub fn new(grace: Duration) -> Self {
-        Stop { grace, refused: None, closed: None, answered_all: false }
+        Stop {
+            grace,
+            refused: None,
+            closed: None,
+            answered_all: false,
+        }
     }
 
     /// The next thing to do, so long after SIGTERM, with that many answers owed to clients.
--- a/crates/proxy/src/unserved.rs
+++ b/crates/proxy/src/unserved.rs
@@ -58,14 +58,26 @@
 
 impl Subject {
     fn names(&self) -> (Option<String>, Option<String>) {
-        let route = self.route.as_ref().map(|r| format!("{} r{}", r.name, r.version));
-        (route, self.tenant.as_ref().map(|t| format!("{} r{}", t.name, t.version)))
+        let route = self
+            .route
+            .as_ref()
+            .map(|r| format!("{} r{}", r.name, r.version));
+        (
+            route,
+            self.tenant
+                .as_ref()
+                .map(|t| format!("{} r{}", t.name, t.version)),
+        )
     }
 
     /// What a cause is told of.
     fn of(&self, cause: Cause) -> String {
         let (route, tenant) = self.names();
-        let first = if cause.is_tenants() { tenant.clone().or(route) } else { route.or(tenant) };
+        let first = if cause.is_tenants() {
+            tenant.clone().or(route)
+        } else {
+            route.or(tenant)
+        };
         first.unwrap_or_default()
     }
 }
@@ -96,7 +108,14 @@
 }
 
 impl UnservedLog {
-    pub fn note(&mut self, request: &str, cause: Cause, ran: bool, subject: &Subject, now: Duration) {
+    pub fn note(
+        &mut self,
+        request: &str,
+        cause: Cause,
+        ran: bool,
+        subject: &Subject,
+        now: Duration,
+    ) {
         *self.sums.entry(cause).or_default() += 1;
         *self.fresh.entry((cause, subject.of(cause))).or_default() += 1;
         if self.events.len() == MOST {
@@ -125,12 +144,20 @@
         let mut rows: Vec<_> = fresh.into_iter().collect();
         rows.sort_by_key(|r| std::cmp::Reverse(r.1));
         let named = rows.iter().take(NAMED).map(|((cause, of), n)| {
-            let of = if of.is_empty() { String::new() } else { format!(" {of}") };
+            let of = if of.is_empty() {
+                String::new()
+            } else {
+                format!(" {of}")
+            };
             format!("{n} {}{of}", cause.name())
         });
         let named: Vec<String> = named.collect();
         let rest: u32 = rows.iter().skip(NAMED).map(|r| r.1).sum();
-        let rest = if rest > 0 { format!(", {rest} others") } else { String::new() };
+        let rest = if rest > 0 {
+            format!(", {rest} others")
+        } else {
+            String::new()
+        };
         let (secs, list) = (EVERY.as_secs(), self.list);
         (all > 0).then(|| {
             format!(
@@ -146,9 +173,16 @@
     /// As JSON: sums since the start, and the last events, or those of one request. `ahead`: the common time less this
     /// process's, so that those of several proxies can be put in order.
     pub fn show(&self, request: Option<&str>, ahead: Duration) -> String {
-        let sums: Vec<String> = self.sums.iter().map(|(c, n)| format!("\"{}\":{n}", c.name())).collect();
+        let sums: Vec<String> = self
+            .sums
+            .iter()
+            .map(|(c, n)| format!("\"{}\":{n}", c.name()))
+            .collect();
         let mut out = format!("{{\"not_served\":{{{}}},\"last\":[", sums.join(","));
-        let events = self.events.iter().filter(|e| request.is_none_or(|r| r == e.request));
+        let events = self
+            .events
+            .iter()
+            .filter(|e| request.is_none_or(|r| r == e.request));
         for (n, e) in events.enumerate() {
             let (route, tenant) = e.subject.names();
             let text = |name: Option<String>| name.map_or("null".into(), |n| quoted(&n));
@@ -203,14 +237,27 @@
             open: false,
             homes: vec![],
         };
-        let tenant =
-            Tenant { name: "house".into(), version: 3, keys: vec![], rate: 1.0, burst: 1.0, homes: vec![] };
-        Subject { route: Some(Rc::new(route)), tenant: Some(Rc::new(tenant)) }
+        let tenant = Tenant {
+            name: "house".into(),
+            version: 3,
+            keys: vec![],
+            rate: 1.0,
+            burst: 1.0,
+            homes: vec![],
+        };
+        Subject {
+            route: Some(Rc::new(route)),
+            tenant: Some(Rc::new(tenant)),
+        }
     }
 
     #[test]
     fn a_request_is_explained_by_cause_and_versions_and_a_surge_is_one_line() {
-        let mut l = UnservedLog { term: 4, list: (4, 9), ..UnservedLog::default() };
+        let mut l = UnservedLog {
+            term: 4,
+            list: (4, 9),
+            ..UnservedLog::default()
+        };
         let at = Duration::from_secs;
         l.note("q\"1", Cause::away(Why::Quota), false, &subject(), at(1));
         l.note("q2", Cause::away(Why::Line), false, &subject(), at(2));
@@ -228,7 +275,11 @@
             line,
             "5004 not served in 5 s: 5001 quota house r3, 1 no_route, 1 line r-1 r7, 1 others; coordinator's term 4, list 4.9."
         );
-        assert_eq!((l.line(at(6)), l.line(at(10))), (None, None), "nothing since");
+        assert_eq!(
+            (l.line(at(6)), l.line(at(10))),
+            (None, None),
+            "nothing since"
+        );
         assert!(l.events.len() == MOST, "it grows without end");
     }
 }
--- a/crates/proxy/tests/config_transfer.rs
+++ b/crates/proxy/tests/config_transfer.rs
@@ -12,8 +12,16 @@
 const SECOND: Ip = [10, 1, 0, 2];
 
 fn item(number: u32, version: u64) -> Item {
-    let key = Key { kind: Kind::Tenant, name: format!("tenant-{number}") };
-    Item { key, version, ballot: Ballot::default(), body: Some(vec![b'x'; 400]) }
+    let key = Key {
+        kind: Kind::Tenant,
+        name: format!("tenant-{number}"),
+    };
+    Item {
+        key,
+        version,
+        ballot: Ballot::default(),
+        body: Some(vec![b'x'; 400]),
+    }
 }
 
 /// Plays a round with a registry for so many answers at most; returns bytes of items received and the last progress.
@@ -26,7 +34,9 @@
     let mut to_registry = Vec::from_iter(transfer.begin(registry, held, NOW));
     let (mut bytes, mut progress) = (0, Progress::default());
     for _ in 0..answers {
-        let Some(message) = to_registry.pop() else { break };
+        let Some(message) = to_registry.pop() else {
+            break;
+        };
         let reply = answer(snapshot, &message).expect("an answer");
         if let TransferMessage::Chunk { items, .. } = &reply {
             bytes += items.iter().map(Item::wire_bytes).sum::<usize>();
@@ -45,12 +55,21 @@
     let (mut transfer, mut held) = (ConfigTransfer::default(), ConfigSnapshot::default());
 
     let (first, progress) = play(&mut transfer, &mut held, (FIRST, &snapshot), 12);
-    assert!(first > all / 3 && first < all, "{first} bytes of {all} from the first");
+    assert!(
+        first > all / 3 && first < all,
+        "{first} bytes of {all} from the first"
+    );
     assert!(!progress.changed && !transfer.has_first_snapshot());
-    assert!(transfer.begin(SECOND, &held, NOW).is_none(), "one round at a time");
+    assert!(
+        transfer.begin(SECOND, &held, NOW).is_none(),
+        "one round at a time"
+    );
 
     transfer.lost(SECOND);
-    assert!(transfer.begin(SECOND, &held, NOW).is_none(), "another's loss does not end the round");
+    assert!(
+        transfer.begin(SECOND, &held, NOW).is_none(),
+        "another's loss does not end the round"
+    );
     transfer.lost(FIRST);
     let (second, progress) = play(&mut transfer, &mut held, (SECOND, &snapshot), usize::MAX);
     assert!(progress.changed && transfer.has_first_snapshot());
@@ -58,9 +77,15 @@
     assert_eq!(first + second, all, "nothing comes twice");
 
     snapshot.set(item(1, 2));
-    let late = answer(&snapshot, &transfer.begin(SECOND, &held, NOW).expect("a round"));
+    let late = answer(
+        &snapshot,
+        &transfer.begin(SECOND, &held, NOW).expect("a round"),
+    );
     let progress = transfer.receive(FIRST, &mut held, late.expect("an answer"), NOW);
-    assert!(!progress.changed && progress.requests.is_empty(), "not of the present source");
+    assert!(
+        !progress.changed && progress.requests.is_empty(),
+        "not of the present source"
+    );
 }
 
 #[test]
@@ -74,11 +99,18 @@
         draining: false,
         cold_ms: 0,
     };
-    let page = |reading, id| BackendSnapshot { term: 1, reading, servers: vec![server(id)] };
+    let page = |reading, id| BackendSnapshot {
+        term: 1,
+        reading,
+        servers: vec![server(id)],
+    };
     let mut pages = BackendPages::default();
     assert_eq!(pages.add(page(1, "a"), 0, 2), None);
     assert_eq!(pages.add(page(2, "b"), 1, 2), None, "of another reading");
     assert_eq!(pages.add(page(1, "c"), 1, 2), None, "of an older reading");
     assert_eq!(pages.add(page(2, "d"), 9, 2), None, "no such page");
-    assert_eq!(pages.add(page(2, "d"), 0, 2), Some(vec![server("d"), server("b")]));
+    assert_eq!(
+        pages.add(page(2, "d"), 0, 2),
+        Some(vec![server("d"), server("b")])
+    );
 }
--- a/crates/proxy/tests/coordinator.rs
+++ b/crates/proxy/tests/coordinator.rs
@@ -8,7 +8,11 @@
 const NEW: Ip = [10, 0, 0, 2];
 
 fn heartbeat(coordinator: (Ip, u64), time_ms: u64) -> Heartbeat {
-    Heartbeat { coordinator: Some(coordinator), time_ms, ..Heartbeat::default() }
+    Heartbeat {
+        coordinator: Some(coordinator),
+        time_ms,
+        ..Heartbeat::default()
+    }
 }
 
 #[test]
--- a/crates/proxy/tests/data_plane.rs
+++ b/crates/proxy/tests/data_plane.rs
@@ -125,9 +125,12 @@
 
 /// An address where no connection comes up, for its backlog is full.
 fn unheard() -> (Vec<socket2::Socket>, SocketAddr) {
-    let socket = || socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
+    let socket =
+        || socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     let listener = socket();
-    listener.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
+    listener
+        .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
+        .unwrap();
     listener.listen(0).unwrap();
     let at = listener.local_addr().unwrap();
     let mut open = vec![listener];
@@ -177,7 +180,15 @@
     tokio::task::spawn_local(async move { while calls.recv().await.is_some() {} });
     let connect = Duration::from_millis(350);
     let protocol = Box::new(Backends);
-    let fleet = Fleet::new(connect, Duration::from_secs(4), vec![], protocol, 256, 1 << 24, &figures);
+    let fleet = Fleet::new(
+        connect,
+        Duration::from_secs(4),
+        vec![],
+        protocol,
+        256,
+        1 << 24,
+        &figures,
+    );
     let dispatchers = Rc::new(RefCell::new(Dispatchers::new(
         Rc::new(RefCell::new(backend_pool)),
         Rc::new(RefCell::new(RetryBudget::new(retries, retries * 100.0))),
@@ -195,19 +206,36 @@
         copies: Copies::new(clock, Rc::default()),
         clock,
     };
-    let clients = Clients::new(Rc::new(requests), 256, 1 << 24, clock, stage.clone(), &figures);
+    let clients = Clients::new(
+        Rc::new(requests),
+        256,
+        1 << 24,
+        clock,
+        stage.clone(),
+        &figures,
+    );
     let clients = Rc::new(clients);
     let listener = Rc::new(TcpListener::bind("127.0.0.1:0").await.unwrap());
     let at = listener.local_addr().unwrap();
     tokio::task::spawn_local(clients.clone().accept(listener));
-    Proxy { at, stage, dispatchers, clients, clock }
+    Proxy {
+        at,
+        stage,
+        dispatchers,
+        clients,
+        clock,
+    }
 }
 
 impl Proxy {
     /// Sends a request on a connection of its own.
     async fn send(&self, path: &str, id: &str, deadline_ms: u64) -> TcpStream {
         let mut socket = TcpStream::connect(self.at).await.unwrap();
-        let method = if path.starts_with("/fields") { "POST" } else { "GET" };
+        let method = if path.starts_with("/fields") {
+            "POST"
+        } else {
+            "GET"
+        };
         let text = format!(
             "{method} {path} HTTP/1.1\r\nHost: a.example\r\nX-Request-Id: {id}\r\nX-Deadline-Ms: {deadline_ms}\r\n\r\n"
         );
@@ -234,7 +262,9 @@
 
 /// A whole answer's status and body; none where the connection ends without one.
 async fn read_answer(socket: &mut TcpStream) -> Option<(u16, String)> {
-    let head = timeout(LONG, read_head(socket)).await.expect("an answer or an end")?;
+    let head = timeout(LONG, read_head(socket))
+        .await
+        .expect("an answer or an end")?;
     let status = head.split(' ').nth(1)?.parse().ok()?;
     let length = header(&head, "content-length").map_or(0, |n| n.parse().unwrap());
     let mut body = vec![0; length];
@@ -247,7 +277,10 @@
 
 fn run(test: impl Future<Output = ()>) {
     let options = tokio::runtime::LocalOptions::default();
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build_local(options).unwrap();
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build_local(options)
+        .unwrap();
     runtime.block_on(async { timeout(LONG, test).await.expect("the test ends") });
 }
 
@@ -271,7 +304,11 @@
             let slow = backend(|_, id| vec![Act::Wait(700), answer(id, "late")]).await;
             let proxy = proxy(&[&slow], 0.0).await;
             proxy.stage.enter(stage, "test");
-            assert_eq!(proxy.ask("/read/", "one").await, (200, "late".into()), "{stage:?}");
+            assert_eq!(
+                proxy.ask("/read/", "one").await,
+                (200, "late".into()),
+                "{stage:?}"
+            );
             assert_eq!(slow.arrivals.borrow().len(), 1);
         }
     });
@@ -299,7 +336,11 @@
         let proxy = proxy(&[&silent], 0.0).await;
         let began = tokio::time::Instant::now();
         assert_eq!(proxy.ask("/read/", "one").await.0, 502);
-        assert!(began.elapsed() < Duration::from_millis(2200), "{:?}", began.elapsed());
+        assert!(
+            began.elapsed() < Duration::from_millis(2200),
+            "{:?}",
+            began.elapsed()
+        );
         until(|| proxy.clients.owed() == 0).await;
     });
 }
@@ -312,7 +353,11 @@
             let (one, two) = (backend(script).await, backend(script).await);
             let proxy = proxy(&[&one, &two], 2.0).await;
             proxy.stage.enter(stage, "test");
-            assert_eq!(proxy.ask("/read/", "one").await, (200, "mine".into()), "{stage:?}");
+            assert_eq!(
+                proxy.ask("/read/", "one").await,
+                (200, "mine".into()),
+                "{stage:?}"
+            );
             let arrived = one.arrivals.borrow().len() + two.arrivals.borrow().len();
             assert_eq!(arrived, arrivals, "{stage:?}");
         }
@@ -343,7 +388,11 @@
         let of = |status| statuses.iter().filter(|s| **s == status).count();
         assert_eq!(of(200), at_work, "{statuses:?}");
         assert_eq!(of(200) + of(503) + of(429), 60, "{statuses:?}");
-        assert_eq!(held.arrivals.borrow().len(), at_work, "refused, and sent all the same");
+        assert_eq!(
+            held.arrivals.borrow().len(),
+            at_work,
+            "refused, and sent all the same"
+        );
     });
 }
 
@@ -370,33 +419,76 @@
 fn what_cannot_be_repeated_is_sent_once_and_its_connection_is_dropped() {
     let whole = |id: &str| answer(id, "mine");
     let half = "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf";
-    let unproven =
-        |status: &str| format!("HTTP/1.1 {status}\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n");
+    let unproven = |status: &str| {
+        format!("HTTP/1.1 {status}\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n")
+    };
     let cases: Vec<(&str, Vec<Act>, u16)> = vec![
         ("reset without an answer", vec![Act::Reset], 502),
         ("closed without an answer", vec![Act::Close], 502),
-        ("half an answer, then a reset", vec![Act::Send(half.into()), Act::Wait(30), Act::Reset], 502),
-        ("half an answer, then a close", vec![Act::Send(half.into()), Act::Wait(30), Act::Close], 502),
+        (
+            "half an answer, then a reset",
+            vec![Act::Send(half.into()), Act::Wait(30), Act::Reset],
+            502,
+        ),
+        (
+            "half an answer, then a close",
+            vec![Act::Send(half.into()), Act::Wait(30), Act::Close],
+            502,
+        ),
         ("noise", vec![Act::Send("noise\r\n\r\n".into())], 502),
-        ("another request's answer", vec![whole("other"), Act::Wait(30), whole("one")], 502),
-        ("421 without an id", vec![Act::Send(unproven("421 Misdirected"))], 502),
-        ("503 without an id", vec![Act::Send(unproven("503 Full"))], 502),
-        ("an answer after the client's time", vec![Act::Wait(900), whole("one")], 502),
+        (
+            "another request's answer",
+            vec![whole("other"), Act::Wait(30), whole("one")],
+            502,
+        ),
+        (
+            "421 without an id",
+            vec![Act::Send(unproven("421 Misdirected"))],
+            502,
+        ),
+        (
+            "503 without an id",
+            vec![Act::Send(unproven("503 Full"))],
+            502,
+        ),
+        (
+            "an answer after the client's time",
+            vec![Act::Wait(900), whole("one")],
+            502,
+        ),
     ];
     run(async move {
         for (what, acts, status) in cases {
-            let script = move |nth, id: &str| if nth == 0 { acts.clone() } else { vec![answer(id, "next")] };
+            let script = move |nth, id: &str| {
+                if nth == 0 {
+                    acts.clone()
+                } else {
+                    vec![answer(id, "next")]
+                }
+            };
             let first = backend(script).await;
             let proxy = proxy(&[&first], 1.0).await;
             let mut socket = proxy.send("/fields/", "one", 600).await;
-            assert_eq!(read_answer(&mut socket).await.expect("an answer").0, status, "{what}");
+            assert_eq!(
+                read_answer(&mut socket).await.expect("an answer").0,
+                status,
+                "{what}"
+            );
             sleep(Duration::from_millis(500)).await;
-            assert_eq!(proxy.ask("/fields/", "two").await, (200, "next".into()), "{what}");
+            assert_eq!(
+                proxy.ask("/fields/", "two").await,
+                (200, "next".into()),
+                "{what}"
+            );
             let arrivals = first.arrivals.borrow();
             let ids: Vec<&str> = arrivals.iter().map(|a| &*a.0).collect();
             assert_eq!(ids, ["one", "two"], "{what}");
             let kept = what.starts_with("421") || what.starts_with("503");
-            assert_eq!(arrivals[0].1 == arrivals[1].1, kept, "{what}: connections {arrivals:?}");
+            assert_eq!(
+                arrivals[0].1 == arrivals[1].1,
+                kept,
+                "{what}: connections {arrivals:?}"
+            );
         }
     });
 }
@@ -419,9 +511,17 @@
             };
             let extra = backend(script).await;
             let proxy = proxy(&[&extra], 1.0).await;
-            assert_eq!(proxy.ask("/fields/", "one").await, (200, "mine".into()), "{what}");
+            assert_eq!(
+                proxy.ask("/fields/", "one").await,
+                (200, "mine".into()),
+                "{what}"
+            );
             sleep(Duration::from_millis(200)).await;
-            assert_eq!(proxy.ask("/fields/", "two").await, (200, "next".into()), "{what}");
+            assert_eq!(
+                proxy.ask("/fields/", "two").await,
+                (200, "next".into()),
+                "{what}"
+            );
             let arrivals = extra.arrivals.borrow();
             assert_ne!(arrivals[0].1, arrivals[1].1, "{what}");
         }
@@ -431,12 +531,13 @@
 #[test]
 fn an_answer_after_its_client_went_is_given_to_nobody() {
     run(async {
-        let slow =
-            backend(
-                |nth, id| {
-                    if nth == 0 { vec![Act::Hold, answer(id, "mine")] } else { vec![answer(id, "next")] }
-                },
-            );
+        let slow = backend(|nth, id| {
+            if nth == 0 {
+                vec![Act::Hold, answer(id, "mine")]
+            } else {
+                vec![answer(id, "next")]
+            }
+        });
         let slow = slow.await;
         let proxy = proxy(&[&slow], 1.0).await;
         let socket = proxy.send("/fields/", "one", 15_000).await;
@@ -467,9 +568,16 @@
             let two = backend(|_, id| vec![answer(id, "mine")]).await;
             let proxy = proxy(&[&one, &two], 2.0).await;
             for n in 0..6 {
-                assert_eq!(proxy.ask("/fields/", &format!("{n}")).await, (200, "mine".into()), "{status}");
+                assert_eq!(
+                    proxy.ask("/fields/", &format!("{n}")).await,
+                    (200, "mine".into()),
+                    "{status}"
+                );
             }
-            assert!(!one.arrivals.borrow().is_empty(), "the case did not come about");
+            assert!(
+                !one.arrivals.borrow().is_empty(),
+                "the case did not come about"
+            );
         }
     });
 }
@@ -481,7 +589,10 @@
         let closes = backend(|_, id| vec![answer(id, "mine"), Act::Close]).await;
         let proxy = proxy(&[&closes], 1.0).await;
         for n in 0..5 {
-            assert_eq!(proxy.ask("/fields/", &format!("{n}")).await, (200, "mine".into()));
+            assert_eq!(
+                proxy.ask("/fields/", &format!("{n}")).await,
+                (200, "mine".into())
+            );
             sleep(Duration::from_millis(20)).await;
         }
         let connections: Vec<usize> = closes.arrivals.borrow().iter().map(|a| a.1).collect();
--- a/crates/proxy/tests/quota.rs
+++ b/crates/proxy/tests/quota.rs
@@ -12,7 +12,11 @@
 use rand::{Rng, SeedableRng};
 
 fn named(name: &str, held: f64, asked: f64) -> NamedCount {
-    NamedCount { name: name.into(), held, asked }
+    NamedCount {
+        name: name.into(),
+        held,
+        asked,
+    }
 }
 
 fn at(ms: u64) -> Duration {
@@ -49,9 +53,15 @@
     assert!(t.count("2/x", 0.0, at(1200)) < 3.0);
     // A new coordinator hears all of it again, and what the last one told stays.
     t.link_coordinator(2, true);
-    assert_eq!(t.fresh(at(1300)), vec![named("1/x", 1.0, 1.0), named("2/x", 1.0, 1.0)]);
+    assert_eq!(
+        t.fresh(at(1300)),
+        vec![named("1/x", 1.0, 1.0), named("2/x", 1.0, 1.0)]
+    );
     t.receive_totals(2, &[named("1/x", 1.0, 1.0)], at(1400));
-    assert!(t.count("1/x", 0.0, at(1400)) >= 5.0, "zeroed sums let a second burst through");
+    assert!(
+        t.count("1/x", 0.0, at(1400)) >= 5.0,
+        "zeroed sums let a second burst through"
+    );
 }
 
 #[test]
@@ -93,19 +103,39 @@
         quota.share(proxies, proxies, at(0));
         quota.link_coordinator(1, true);
         quota.limit("x", rate, 0.5);
-        let plan = Plan { rate, burst: rate, price: 1.0, over_cost: 1.0, ..Plan::default() };
+        let plan = Plan {
+            rate,
+            burst: rate,
+            price: 1.0,
+            over_cost: 1.0,
+            ..Plan::default()
+        };
         let (latency_objective, integration_timeout) = (at(500), at(3000));
-        let op =
-            Operation { latency_objective, integration_timeout, billed_value: 1.0, ..Operation::default() };
-        let limits = Limits { tries: 1, open: usize::MAX, ..Limits::default() };
+        let op = Operation {
+            latency_objective,
+            integration_timeout,
+            billed_value: 1.0,
+            ..Operation::default()
+        };
+        let limits = Limits {
+            tries: 1,
+            open: usize::MAX,
+            ..Limits::default()
+        };
         let set = Settings {
             gateways: 1,
             tick: at(1),
             operations: vec![op],
             plans: vec![plan],
-            in_force: InForce { operations: vec![OpId(0)], plans: vec![PlanId(0)] },
+            in_force: InForce {
+                operations: vec![OpId(0)],
+                plans: vec![PlanId(0)],
+            },
             limits,
-            counter: Some(Counter { timeout: at(100), price: 0.0 }),
+            counter: Some(Counter {
+                timeout: at(100),
+                price: 0.0,
+            }),
             most_units: 1.0,
             cold_share: 1.0,
             overload_factor: 1.0,
@@ -113,16 +143,38 @@
             ..Settings::default()
         };
         let mut rules = Rules::new(seed, set, at(0));
-        let entry = |n| Entry { tgt: TgtId(n), health: Health::Up, weight: 1.0, ..Entry::default() };
-        rules.on(at(0), Event::Targets { form: ListForm::Replace, entries: (0..9).map(entry).collect() });
-        Proxy { quota, rules, next: 0 }
+        let entry = |n| Entry {
+            tgt: TgtId(n),
+            health: Health::Up,
+            weight: 1.0,
+            ..Entry::default()
+        };
+        rules.on(
+            at(0),
+            Event::Targets {
+                form: ListForm::Replace,
+                entries: (0..9).map(entry).collect(),
+            },
+        );
+        Proxy {
+            quota,
+            rules,
+            next: 0,
+        }
     }
 
     /// Whether a request of the tenant's is let in.
     fn ask(&mut self, now: Duration) -> bool {
         self.next += 1;
         let (inv, deadline, customer) = (InvId(self.next), now + at(3000), CustomerId("x".into()));
-        let told = Invocation { inv, deadline, customer, units: 1.0, spread: 1, ..Invocation::default() };
+        let told = Invocation {
+            inv,
+            deadline,
+            customer,
+            units: 1.0,
+            spread: 1,
+            ..Invocation::default()
+        };
         let (mut events, mut passed) = (VecDeque::from([Event::Invocation(told)]), false);
         while let Some(event) = events.pop_front() {
             for action in self.rules.on(now, event) {
@@ -130,7 +182,13 @@
                     Action::Count { name, add, .. } => {
                         let (total, outcome, latency) =
                             (self.quota.count(&name, add, now), Outcome::Ok, at(0));
-                        events.push_back(Event::Total { name, outcome, total, others: 0.0, latency });
+                        events.push_back(Event::Total {
+                            name,
+                            outcome,
+                            total,
+                            others: 0.0,
+                            latency,
+                        });
                     }
                     Action::Deliver { inv, tgt, .. } => {
                         passed = true;
@@ -160,7 +218,9 @@
 /// Ten proxies with the decision module, their coordinator a region away, and a tenant of rate and burst 300 that sends
 /// `load` a second: what is admitted in the worst five seconds, and a second once it lasts.
 fn admitted(proxies: u32, rate: f64, load: f64, coordinator: &dyn Fn(u64) -> bool) -> (f64, f64) {
-    let mut all: Vec<Proxy> = (0..proxies).map(|n| Proxy::new(proxies, rate, n.into())).collect();
+    let mut all: Vec<Proxy> = (0..proxies)
+        .map(|n| Proxy::new(proxies, rate, n.into()))
+        .collect();
     let mut rng = SmallRng::seed_from_u64(3);
     let mut tally = SharedCounts::default();
     tally.limit("x", rate);
@@ -173,7 +233,9 @@
             if back {
                 all[p].quota.receive_totals(1, &names, at(ms));
             } else if coordinator(ms) {
-                let totals = names.iter().map(|count| tally.hold(p as u64, count, at(ms)));
+                let totals = names
+                    .iter()
+                    .map(|count| tally.hold(p as u64, count, at(ms)));
                 mail.push((ms + 58, p, totals.collect(), true));
             }
         }
@@ -199,8 +261,14 @@
             }
         }
     }
-    let worst = (0..9000).step_by(50).map(|f| passed.iter().filter(|m| (f..f + 5000).contains(*m)).count());
-    let lasting = passed.iter().filter(|m| (6000..14_000).contains(*m)).count() as f64 / 8.0;
+    let worst = (0..9000)
+        .step_by(50)
+        .map(|f| passed.iter().filter(|m| (f..f + 5000).contains(*m)).count());
+    let lasting = passed
+        .iter()
+        .filter(|m| (6000..14_000).contains(*m))
+        .count() as f64
+        / 8.0;
     (worst.max().unwrap_or(0) as f64, lasting)
 }
 
@@ -210,18 +278,33 @@
         let bound = (rate * 5.0 + rate) * 1.1 + 20.0;
         let (worst, lasting) = admitted(10, rate, load * rate, &|_| true);
         assert!(worst <= bound, "{worst} of {bound} at {load} times {rate}");
-        assert!(lasting >= 0.9 * rate, "{lasting} a second at {load} times {rate}: too few");
+        assert!(
+            lasting >= 0.9 * rate,
+            "{lasting} a second at {load} times {rate}: too few"
+        );
         let (worst, lasting) = admitted(10, rate, load * rate, &|ms| !(5000..9000).contains(&ms));
-        assert!(worst <= bound, "{worst} of {bound} at {load} times {rate}, the coordinator gone");
-        assert!(lasting >= 0.85 * rate, "{lasting} a second at {load} times {rate}, the coordinator gone");
+        assert!(
+            worst <= bound,
+            "{worst} of {bound} at {load} times {rate}, the coordinator gone"
+        );
+        assert!(
+            lasting >= 0.85 * rate,
+            "{lasting} a second at {load} times {rate}, the coordinator gone"
+        );
     }
     // Of 69 proxies each is asked for a small tenant once in a while.
     // At 5 a second 8 s are 40 requests: chance takes a third of them, of 240 a tenth.
     for (rate, load, part) in [(5.0, 8.0, 0.5), (30.0, 3.0, 0.75)] {
         let bound = (rate * 5.0 + rate) * 1.1 + 20.0;
         let (worst, lasting) = admitted(69, rate, load * rate, &|_| true);
-        assert!(worst <= bound, "{worst} of {bound} at {load} times {rate}, 69 proxies");
-        assert!(lasting >= part * rate, "{lasting} a second at {load} times {rate}, 69 proxies");
+        assert!(
+            worst <= bound,
+            "{worst} of {bound} at {load} times {rate}, 69 proxies"
+        );
+        assert!(
+            lasting >= part * rate,
+            "{lasting} a second at {load} times {rate}, 69 proxies"
+        );
     }
     // One that keeps to its quota is not refused.
     let (_, usual) = admitted(10, 100.0, 83.0, &|_| true);
@@ -245,8 +328,13 @@
 
 #[test]
 fn the_number_of_proxies_told_by_a_registry_out_of_contact_counts_only_where_it_is_large() {
-    let told =
-        |in_contact, proxies| is_share_told(&Heartbeat { in_contact, proxies, ..Heartbeat::default() });
+    let told = |in_contact, proxies| {
+        is_share_told(&Heartbeat {
+            in_contact,
+            proxies,
+            ..Heartbeat::default()
+        })
+    };
     assert!(told(true, 1) && told(true, 10) && !told(true, 0));
     // One proxy, or ten, that a cut-off registry has met: the quota is not shared among so few, and the number reckoned
     // with is not taken for told, which would hold for long after a registry in contact tells a smaller one.
--- a/crates/proxy/tests/stop.rs
+++ b/crates/proxy/tests/stop.rs
@@ -24,20 +24,39 @@
 
 #[test]
 fn a_stop_waits_for_what_is_owed_and_answers_the_rest_before_it_is_killed() {
-    assert_eq!(steps(6000, 0), [(2500, Step::StopAccepting), (2600, Step::Exit)]);
-    assert_eq!(steps(6000, 4000), [(2500, Step::StopAccepting), (4000, Step::Exit)]);
-    let cut = [(2500, Step::StopAccepting), (5700, Step::AnswerAll), (5750, Step::Exit)];
+    assert_eq!(
+        steps(6000, 0),
+        [(2500, Step::StopAccepting), (2600, Step::Exit)]
+    );
+    assert_eq!(
+        steps(6000, 4000),
+        [(2500, Step::StopAccepting), (4000, Step::Exit)]
+    );
+    let cut = [
+        (2500, Step::StopAccepting),
+        (5700, Step::AnswerAll),
+        (5750, Step::Exit),
+    ];
     assert_eq!(steps(6000, 5750), cut);
-    let unwritten = [(2500, Step::StopAccepting), (5700, Step::AnswerAll), (5900, Step::Exit)];
+    let unwritten = [
+        (2500, Step::StopAccepting),
+        (5700, Step::AnswerAll),
+        (5900, Step::Exit),
+    ];
     assert_eq!(steps(6000, 60_000), unwritten);
     // A grace shorter than the time for accepting is not overrun.
-    assert_eq!(steps(1000, 60_000), [(700, Step::AnswerAll), (900, Step::Exit)]);
+    assert_eq!(
+        steps(1000, 60_000),
+        [(700, Step::AnswerAll), (900, Step::Exit)]
+    );
 }
 
 #[test]
 fn what_was_not_sent_is_refused_at_once_and_again_and_again() {
     let mut stop = Stop::new(ms(6000));
-    let refused: Vec<u64> =
-        (0..1000).step_by(25).filter(|at| stop.step(ms(*at), 9) == Some(Step::RefuseUnsent)).collect();
+    let refused: Vec<u64> = (0..1000)
+        .step_by(25)
+        .filter(|at| stop.step(ms(*at), 9) == Some(Step::RefuseUnsent))
+        .collect();
     assert_eq!(refused, [0, 250, 500, 750]);
 }
--- a/crates/registry/src/config_transfer.rs
+++ b/crates/registry/src/config_transfer.rs
@@ -29,16 +29,26 @@
             return;
         }
         let pieces = transfer::split_items(items);
-        let links: Vec<u64> = self.proxies.iter().filter(|p| self.tells(&p.1.status)).map(|p| *p.0).collect();
+        let links: Vec<u64> = self
+            .proxies
+            .iter()
+            .filter(|p| self.tells(&p.1.status))
+            .map(|p| *p.0)
+            .collect();
         for link in links {
-            let Some(proxy) = self.proxies.get_mut(&link) else { continue };
+            let Some(proxy) = self.proxies.get_mut(&link) else {
+                continue;
+            };
             if pieces.len() > CHUNKS_IN_FLIGHT {
                 proxy.out.send(&Message::ConfigChanged);
                 continue;
             }
             for items in pieces.iter().cloned() {
                 proxy.no += 1;
-                proxy.out.send(&Message::ConfigUpdate { no: proxy.no, items });
+                proxy.out.send(&Message::ConfigUpdate {
+                    no: proxy.no,
+                    items,
+                });
             }
         }
     }
@@ -46,7 +56,10 @@
 
 /// The list in pages of the same term and reading; one at least.
 pub(crate) fn pages(list: &BackendSnapshot) -> Vec<BackendSnapshot> {
-    let page = |servers: &[_]| BackendSnapshot { servers: servers.to_vec(), ..*list };
+    let page = |servers: &[_]| BackendSnapshot {
+        servers: servers.to_vec(),
+        ..*list
+    };
     if list.servers.is_empty() {
         return vec![page(&[])];
     }
@@ -69,9 +82,17 @@
             draining: n.is_multiple_of(9),
             cold_ms: 0,
         };
-        let list = BackendSnapshot { term: 3, reading: 7, servers: (0..5_300).map(server).collect() };
+        let list = BackendSnapshot {
+            term: 3,
+            reading: 7,
+            servers: (0..5_300).map(server).collect(),
+        };
         let pages = pages(&list);
-        assert!(pages.iter().all(|page| pack(page).len() <= transfer::CHUNK_BYTES));
+        assert!(
+            pages
+                .iter()
+                .all(|page| pack(page).len() <= transfer::CHUNK_BYTES)
+        );
         assert!(pages.iter().all(|page| (page.term, page.reading) == (3, 7)));
         let servers: Vec<Server> = pages.into_iter().flat_map(|page| page.servers).collect();
         assert_eq!(servers, list.servers);
--- a/crates/registry/src/counts.rs
+++ b/crates/registry/src/counts.rs
@@ -69,11 +69,24 @@
             Some(known) => known,
             None => self.counts.entry(name.clone()).or_default(),
         };
-        let before = known.holds.insert(life, Held { held: *held, asked: *asked }).unwrap_or_default();
+        let before = known
+            .holds
+            .insert(
+                life,
+                Held {
+                    held: *held,
+                    asked: *asked,
+                },
+            )
+            .unwrap_or_default();
         known.held += held - before.held;
         known.asked += asked - before.asked;
         known.last = now;
-        let total = NamedCount { name: name.clone(), held: known.held, asked: known.asked };
+        let total = NamedCount {
+            name: name.clone(),
+            held: known.held,
+            asked: known.asked,
+        };
         let tenant = name.split_once('/').map_or(name.as_str(), |n| n.1);
         if let Some(t) = self.tenants.get_mut(tenant) {
             t.add((asked - before.asked).max(0.0), now);
@@ -89,7 +102,11 @@
         let names = std::mem::take(&mut self.changed);
         let total = |name: String| {
             let count = self.counts.get(&name)?;
-            Some(NamedCount { name, held: count.held, asked: count.asked })
+            Some(NamedCount {
+                name,
+                held: count.held,
+                asked: count.asked,
+            })
         };
         names.into_iter().filter_map(total).collect()
     }
@@ -103,7 +120,11 @@
 impl Asked {
     fn add(&mut self, units: f64, now: Duration) {
         if now >= self.from + SPAN {
-            self.before = if now < self.from + SPAN * 2 { self.now } else { 0.0 };
+            self.before = if now < self.from + SPAN * 2 {
+                self.now
+            } else {
+                0.0
+            };
             (self.now, self.from) = (0.0, now);
         }
         self.now += units;
--- a/crates/registry/src/duty.rs
+++ b/crates/registry/src/duty.rs
@@ -74,8 +74,16 @@
         let has_changed = !self.has_listed || is_news(&known.servers, &servers);
         self.has_listed = true;
         let reading = backend_list::reading(known, began_in, has_changed);
-        *known = BackendSnapshot { term: began_in, reading, servers };
-        if has_changed { Reading::Changed } else { Reading::Unchanged }
+        *known = BackendSnapshot {
+            term: began_in,
+            reading,
+            servers,
+        };
+        if has_changed {
+            Reading::Changed
+        } else {
+            Reading::Unchanged
+        }
     }
 
     /// What a proxy's life holds: the totals and their term, while the duty is this registry's.
@@ -87,12 +95,23 @@
         held: &[NamedCount],
     ) -> Option<(u64, Vec<NamedCount>)> {
         let term = self.term_now(lease, now)?;
-        Some((term, held.iter().map(|count| self.counts.hold(life, count, now)).collect()))
+        Some((
+            term,
+            held.iter()
+                .map(|count| self.counts.hold(life, count, now))
+                .collect(),
+        ))
     }
 
     /// Totals that all proxies are to be told now, and their term.
-    pub fn count_news(&mut self, lease: &LeaseElection, now: Duration) -> Option<(u64, Vec<NamedCount>)> {
+    pub fn count_news(
+        &mut self,
+        lease: &LeaseElection,
+        now: Duration,
+    ) -> Option<(u64, Vec<NamedCount>)> {
         let term = self.term_now(lease, now)?;
-        Some(self.counts.news()).filter(|news| !news.is_empty()).map(|news| (term, news))
+        Some(self.counts.news())
+            .filter(|news| !news.is_empty())
+            .map(|news| (term, news))
     }
 }
--- a/crates/registry/src/gossip.rs
+++ b/crates/registry/src/gossip.rs
@@ -12,10 +12,18 @@
 /// Receives datagrams and answers them.
 pub(crate) async fn receive(registry: Shared, socket: Rc<UdpSocket>) {
     let mut buf = vec![0; 64 << 10];
-    let port = registry.borrow().settings.inner(registry.borrow().settings.ip, Port::Gossip).port();
+    let port = registry
+        .borrow()
+        .settings
+        .inner(registry.borrow().settings.ip, Port::Gossip)
+        .port();
     loop {
-        let Ok((n, from)) = socket.recv_from(&mut buf).await else { continue };
-        let Ok(d) = unpack::<Datagram>(&buf[..n]) else { continue };
+        let Ok((n, from)) = socket.recv_from(&mut buf).await else {
+            continue;
+        };
+        let Ok(d) = unpack::<Datagram>(&buf[..n]) else {
+            continue;
+        };
         if from.ip() != addr(d.from) {
             continue;
         }
@@ -30,16 +38,23 @@
                 w.contact.receive_answer(d.from, no);
             }
             let (mut back, changes) = w.members.heard(d.from, &d.body, &d.updates, now);
-            changes.iter().for_each(|(ip, state)| log::info!("members: {} is {state:?}.", addr(*ip)));
+            changes
+                .iter()
+                .for_each(|(ip, state)| log::info!("members: {} is {state:?}.", addr(*ip)));
             if let GossipBody::Lease(message) = &d.body
                 && let Some(answer) = w.lease.receive(d.from, message, now)
             {
                 back.push((d.from, GossipBody::Lease(answer)));
             }
-            back.into_iter().map(|(to, what)| (to, w.datagram(to, what))).collect()
+            back.into_iter()
+                .map(|(to, what)| (to, w.datagram(to, what)))
+                .collect()
         };
         for (to, bytes) in out {
-            socket.send_to(&bytes, SocketAddr::new(addr(to), port)).await.ok();
+            socket
+                .send_to(&bytes, SocketAddr::new(addr(to), port))
+                .await
+                .ok();
         }
     }
 }
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -93,7 +93,10 @@
     log::info!("registry: {} serves.", settings.node);
     let send = async |out: Vec<(Ip, Vec<u8>)>| {
         for (to, bytes) in out {
-            socket.send_to(&bytes, SocketAddr::new(addr(to), port)).await.ok();
+            socket
+                .send_to(&bytes, SocketAddr::new(addr(to), port))
+                .await
+                .ok();
         }
     };
     loop {
--- a/crates/registry/src/operators.rs
+++ b/crates/registry/src/operators.rs
@@ -36,7 +36,10 @@
 fn answer(status: StatusCode, body: impl Into<Bytes>) -> Answer {
     let mut a = Response::new(Full::new(body.into()));
     *a.status_mut() = status;
-    a.headers_mut().insert(CONTENT_TYPE, hyper::header::HeaderValue::from_static("application/json"));
+    a.headers_mut().insert(
+        CONTENT_TYPE,
+        hyper::header::HeaderValue::from_static("application/json"),
+    );
     a
 }
 
@@ -68,7 +71,10 @@
             error(StatusCode::BAD_REQUEST, &why)
         }
         Ok(Ok(CommandReply::Unsettled(why))) => error(StatusCode::SERVICE_UNAVAILABLE, &why),
-        Ok(Err(_)) | Err(_) => error(StatusCode::SERVICE_UNAVAILABLE, "the store did not answer in time"),
+        Ok(Err(_)) | Err(_) => error(
+            StatusCode::SERVICE_UNAVAILABLE,
+            "the store did not answer in time",
+        ),
     }
 }
 
@@ -79,8 +85,14 @@
     request: Request<Incoming>,
     read: fn(Vec<u8>) -> Result<Change, Invalid>,
 ) -> Answer {
-    match Limited::new(request.into_body(), MAX_CALL_BYTES).collect().await {
-        Err(_) => error(StatusCode::BAD_REQUEST, "the body breaks off, or is too large"),
+    match Limited::new(request.into_body(), MAX_CALL_BYTES)
+        .collect()
+        .await
+    {
+        Err(_) => error(
+            StatusCode::BAD_REQUEST,
+            "the body breaks off, or is too large",
+        ),
         Ok(body) => match read(body.to_bytes().to_vec()) {
             Ok(change) => order(registry, Command::Change(change), ConfigSnapshot::show).await,
             Err(e) => error(StatusCode::BAD_REQUEST, &e.to_string()),
@@ -90,32 +102,52 @@
 
 async fn call(registry: Shared, request: Request<Incoming>) -> Result<Answer, Infallible> {
     let uri = request.uri().clone();
-    Ok(match calls::read(request.method().as_str(), uri.path(), uri.query()) {
-        Err(Miss::Path) => error(StatusCode::NOT_FOUND, "no such call"),
-        Err(Miss::Method) => error(StatusCode::METHOD_NOT_ALLOWED, "no such method here"),
-        Ok(Call::Lookup { region, zone }) => {
-            let w = registry.borrow();
-            let all = directory::near(&w.endpoints(), &region, &zone);
-            let ttl = DIRECTORY_TTL_S.min(w.settings.bound("ttl_max_s", DIRECTORY_TTL_S));
-            if all.is_empty() {
-                error(StatusCode::SERVICE_UNAVAILABLE, "no proxy is known")
-            } else {
-                answer(StatusCode::OK, report::to_json(&LookupReport { addresses: all, ttl_s: ttl }))
+    Ok(
+        match calls::read(request.method().as_str(), uri.path(), uri.query()) {
+            Err(Miss::Path) => error(StatusCode::NOT_FOUND, "no such call"),
+            Err(Miss::Method) => error(StatusCode::METHOD_NOT_ALLOWED, "no such method here"),
+            Ok(Call::Lookup { region, zone }) => {
+                let w = registry.borrow();
+                let all = directory::near(&w.endpoints(), &region, &zone);
+                let ttl = DIRECTORY_TTL_S.min(w.settings.bound("ttl_max_s", DIRECTORY_TTL_S));
+                if all.is_empty() {
+                    error(StatusCode::SERVICE_UNAVAILABLE, "no proxy is known")
+                } else {
+                    answer(
+                        StatusCode::OK,
+                        report::to_json(&LookupReport {
+                            addresses: all,
+                            ttl_s: ttl,
+                        }),
+                    )
+                }
             }
-        }
-        Ok(Call::State) => answer(StatusCode::OK, registry.borrow().describe()),
-        Ok(Call::Read) => order(&registry, Command::Read, ConfigSnapshot::show).await,
-        Ok(Call::ReadCopies) => order(&registry, Command::Read, ConfigSnapshot::show_copies).await,
-        Ok(Call::Evacuate { zone, .. }) if !registry.borrow().settings.zones.contains_key(&zone) => {
-            error(StatusCode::NOT_FOUND, "no such zone")
-        }
-        Ok(Call::Evacuate { zone, on }) => {
-            log::info!("operator: evacuation of {zone}: {}.", if on { "asked for" } else { "taken back" });
-            order(&registry, Command::Evacuate { zone, on }, ConfigSnapshot::show).await
-        }
-        Ok(Call::Change) => change(&registry, request, Change::read).await,
-        Ok(Call::ChangeCopies) => change(&registry, request, Change::read_copies).await,
-    })
+            Ok(Call::State) => answer(StatusCode::OK, registry.borrow().describe()),
+            Ok(Call::Read) => order(&registry, Command::Read, ConfigSnapshot::show).await,
+            Ok(Call::ReadCopies) => {
+                order(&registry, Command::Read, ConfigSnapshot::show_copies).await
+            }
+            Ok(Call::Evacuate { zone, .. })
+                if !registry.borrow().settings.zones.contains_key(&zone) =>
+            {
+                error(StatusCode::NOT_FOUND, "no such zone")
+            }
+            Ok(Call::Evacuate { zone, on }) => {
+                log::info!(
+                    "operator: evacuation of {zone}: {}.",
+                    if on { "asked for" } else { "taken back" }
+                );
+                order(
+                    &registry,
+                    Command::Evacuate { zone, on },
+                    ConfigSnapshot::show,
+                )
+                .await
+            }
+            Ok(Call::Change) => change(&registry, request, Change::read).await,
+            Ok(Call::ChangeCopies) => change(&registry, request, Change::read_copies).await,
+        },
+    )
 }
 
 /// Serves outside calls on one address.
@@ -129,8 +161,8 @@
         let registry = registry.clone();
         tokio::task::spawn_local(async move {
             let service = service_fn(move |request| call(registry.clone(), request));
-            let http =
-                hyper::server::conn::http1::Builder::new().serve_connection(TokioIo::new(stream), service);
+            let http = hyper::server::conn::http1::Builder::new()
+                .serve_connection(TokioIo::new(stream), service);
             timeout(Duration::from_secs(60), http).await.ok();
         });
     }
--- a/crates/registry/src/platform.rs
+++ b/crates/registry/src/platform.rs
@@ -23,22 +23,39 @@
 async fn get(at: SocketAddr, path: String) -> Result<(StatusCode, Vec<u8>), String> {
     let stream = TcpStream::connect(at).await.map_err(|e| e.to_string())?;
     stream.set_nodelay(true).ok();
-    let (mut send, conn) =
-        hyper::client::conn::http1::handshake(TokioIo::new(stream)).await.map_err(|e| e.to_string())?;
+    let (mut send, conn) = hyper::client::conn::http1::handshake(TokioIo::new(stream))
+        .await
+        .map_err(|e| e.to_string())?;
     tokio::task::spawn_local(async move { conn.await.ok() });
-    let request = Request::get(path).header("host", at.to_string()).body(Empty::<Bytes>::new());
-    let answer = send.send_request(request.map_err(|e| e.to_string())?).await.map_err(|e| e.to_string())?;
+    let request = Request::get(path)
+        .header("host", at.to_string())
+        .body(Empty::<Bytes>::new());
+    let answer = send
+        .send_request(request.map_err(|e| e.to_string())?)
+        .await
+        .map_err(|e| e.to_string())?;
     let status = answer.status();
-    let body = answer.into_body().collect().await.map_err(|e| e.to_string())?.to_bytes();
+    let body = answer
+        .into_body()
+        .collect()
+        .await
+        .map_err(|e| e.to_string())?
+        .to_bytes();
     Ok((status, body.to_vec()))
 }
 
 /// The coordinator reads the platform's list, page by page, within the rate that all share: one holder, so it is its alone.
 pub(crate) async fn poll(registry: Shared) {
-    let Some((at, rate)) = registry.borrow().settings.cloud else { return };
+    let Some((at, rate)) = registry.borrow().settings.cloud else {
+        return;
+    };
     // Half of the rate: two holders in a row, each with its own calls in one second, stay within it.
     let apart = Duration::from_secs_f64(2.0 / rate);
-    let every = registry.borrow().settings.bound_ms("drain_ms", 2500).mul_f64(POLL_FRACTION_OF_DRAIN);
+    let every = registry
+        .borrow()
+        .settings
+        .bound_ms("drain_ms", 2500)
+        .mul_f64(POLL_FRACTION_OF_DRAIN);
     loop {
         let Some(term) = registry.borrow().term_now() else {
             sleep(TICK).await;
@@ -53,14 +70,21 @@
 }
 
 /// All pages of the list; none where one can't be read, or where the lease has ended before it is asked for.
-async fn read_all(registry: &Shared, at: SocketAddr, term: u64, apart: Duration) -> Option<Vec<Server>> {
+async fn read_all(
+    registry: &Shared,
+    at: SocketAddr,
+    term: u64,
+    apart: Duration,
+) -> Option<Vec<Server>> {
     let (mut all, mut token) = (Vec::new(), None::<String>);
     loop {
         if registry.borrow().term_now() != Some(term) {
             log::info!("list: the duty is over, the reading of term {term} is dropped.");
             return None;
         }
-        let path = token.as_ref().map_or("/instances".into(), |t| format!("/instances?page_token={t}"));
+        let path = token.as_ref().map_or("/instances".into(), |t| {
+            format!("/instances?page_token={t}")
+        });
         match read_page(at, path).await {
             Ok((servers, next)) => {
                 all.extend(servers);
--- a/crates/registry/src/proxies.rs
+++ b/crates/registry/src/proxies.rs
@@ -40,7 +40,9 @@
 
     pub(crate) fn attached(&self) -> impl Iterator<Item = &ProxySession> {
         let now = self.now();
-        self.proxies.values().filter(move |p| now < p.last + PROXY_SILENCE)
+        self.proxies
+            .values()
+            .filter(move |p| now < p.last + PROXY_SILENCE)
     }
 
     /// Whether a proxy is this one's to tell news: those of its region, and all where it is the coordinator. The others
@@ -59,8 +61,9 @@
         registries.retain(|w| *w != self.me);
         registries.insert(0, self.me);
         let ready = self.attached().filter(|p| p.status.ready);
-        let ready: BTreeSet<(String, String)> =
-            ready.map(|p| (self.region(&p.status.zone), p.status.node.clone())).collect();
+        let ready: BTreeSet<(String, String)> = ready
+            .map(|p| (self.region(&p.status.zone), p.status.node.clone()))
+            .collect();
         let heartbeat = Heartbeat {
             time_ms: self.time_ms().unwrap_or(0),
             registries,
@@ -70,7 +73,11 @@
             attached,
             near: 0,
             place: 0,
-            items: if self.has_all_items { self.snapshot.digest() } else { 0 },
+            items: if self.has_all_items {
+                self.snapshot.digest()
+            } else {
+                0
+            },
             list: (self.backends.term, self.backends.reading),
         };
         self.heartbeats += u32::from(newcomer.is_none());
@@ -87,12 +94,22 @@
             }
             let region = self.region(&p.status.zone);
             let home = ready.iter().filter(|r| r.0 == region);
-            let (near, place) =
-                (home.clone().count() as u32, home.take_while(|r| r.1 < p.status.node).count() as u32);
-            p.out.send(&Message::Heartbeat(Heartbeat { near, place, ..heartbeat.clone() }));
+            let (near, place) = (
+                home.clone().count() as u32,
+                home.take_while(|r| r.1 < p.status.node).count() as u32,
+            );
+            p.out.send(&Message::Heartbeat(Heartbeat {
+                near,
+                place,
+                ..heartbeat.clone()
+            }));
             if p.tells_loads {
-                let (near, far) = directory::partners(&endpoints, p.status.front(), &region, self.heartbeats);
-                p.out.send(&Message::Partners { near: ips(&near), far: ips(&far) });
+                let (near, far) =
+                    directory::partners(&endpoints, p.status.front(), &region, self.heartbeats);
+                p.out.send(&Message::Partners {
+                    near: ips(&near),
+                    far: ips(&far),
+                });
             }
         }
     }
@@ -104,10 +121,19 @@
         }
         let pages = config_transfer::pages(&self.backends);
         let count = pages.len() as u32;
-        for (_, p) in self.proxies.iter_mut().filter(|(id, _)| link.is_none_or(|l| l == **id)) {
+        for (_, p) in self
+            .proxies
+            .iter_mut()
+            .filter(|(id, _)| link.is_none_or(|l| l == **id))
+        {
             for (page, list) in (0..).zip(pages.iter().cloned()) {
                 p.no += 1;
-                p.out.send(&Message::BackendUpdate { no: p.no, list, page, pages: count });
+                p.out.send(&Message::BackendUpdate {
+                    no: p.no,
+                    list,
+                    page,
+                    pages: count,
+                });
             }
         }
     }
@@ -134,7 +160,11 @@
                 });
                 (p.status, p.last) = (status, now);
                 if fresh {
-                    if self.proxies.get(&link).is_some_and(|p| self.tells(&p.status)) {
+                    if self
+                        .proxies
+                        .get(&link)
+                        .is_some_and(|p| self.tells(&p.status))
+                    {
                         self.send_backends(Some(link));
                     }
                     self.send_heartbeats(Some(link));
@@ -143,9 +173,11 @@
             Message::CountReport(held) => self.receive_counts(link, &held),
             Message::Transfer(message) => self.answer_transfer(link, &message),
             Message::PullBackends => self.send_backends(Some(link)),
-            Message::PullPartners => {
-                self.proxies.get_mut(&link).into_iter().for_each(|p| p.tells_loads = true)
-            }
+            Message::PullPartners => self
+                .proxies
+                .get_mut(&link)
+                .into_iter()
+                .for_each(|p| p.tells_loads = true),
             Message::Ack { no } => {
                 if let Some(p) = self.proxies.get_mut(&link) {
                     p.acked = p.acked.max(no);
@@ -158,7 +190,9 @@
     /// Counts only while the duty is this one's: without an answer the proxy keeps to its part.
     pub(crate) fn receive_counts(&mut self, link: u64, held: &[NamedCount]) {
         let now = self.now();
-        let Some(p) = self.proxies.get_mut(&link) else { return };
+        let Some(p) = self.proxies.get_mut(&link) else {
+            return;
+        };
         if let Some((term, totals)) = self.duty.count(&self.lease, now, p.status.life, held) {
             p.last = now;
             p.out.send(&Message::CountTotals { term, totals });
--- a/crates/registry/src/state.rs
+++ b/crates/registry/src/state.rs
@@ -98,13 +98,19 @@
     pub(crate) fn tick(&mut self) -> Vec<(Ip, Vec<u8>)> {
         let now = self.now();
         if self.time.is_none() && now >= OWN_CLOCK_AFTER {
-            let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+            let unix = SystemTime::now()
+                .duration_since(UNIX_EPOCH)
+                .unwrap_or_default();
             self.observe_time(Some(unix.as_millis() as u64), false);
         }
         let (out, changes) = self.members.tick(now);
-        changes.iter().for_each(|(ip, state)| log::info!("members: {} is {state:?}.", addr(*ip)));
-        let mut out: Vec<(Ip, Vec<u8>)> =
-            out.into_iter().map(|(to, what)| (to, self.datagram(to, what))).collect();
+        changes
+            .iter()
+            .for_each(|(ip, state)| log::info!("members: {} is {state:?}.", addr(*ip)));
+        let mut out: Vec<(Ip, Vec<u8>)> = out
+            .into_iter()
+            .map(|(to, what)| (to, self.datagram(to, what)))
+            .collect();
         out.extend(self.ask_voters(now));
         self.ask_epoch(now);
         let alive = self.members.alive();
@@ -164,7 +170,10 @@
     /// A reading of the platform's list that began under that term.
     pub(crate) fn publish_list(&mut self, term: u64, servers: Vec<Server>) {
         let now = self.now();
-        match self.duty.publish(&self.lease, now, term, servers, &mut self.backends) {
+        match self
+            .duty
+            .publish(&self.lease, now, term, servers, &mut self.backends)
+        {
             Reading::LeaseLost => {
                 log::info!("list: the duty is over, the reading of term {term} is dropped.")
             }
@@ -186,7 +195,10 @@
     /// Datagrams to the voters, whose answers show that a majority is in contact.
     fn ask_voters(&mut self, now: Duration) -> Vec<(Ip, Vec<u8>)> {
         let questions = self.contact.tick(now);
-        questions.into_iter().map(|(to, no)| (to, self.datagram(to, GossipBody::Ping { no }))).collect()
+        questions
+            .into_iter()
+            .map(|(to, no)| (to, self.datagram(to, GossipBody::Ping { no })))
+            .collect()
     }
 
     /// The store told the voters.
@@ -194,7 +206,11 @@
         if voters.epoch <= self.lease.epoch() {
             return;
         }
-        let ips: Vec<String> = voters.voters().iter().map(|ip| addr(*ip).to_string()).collect();
+        let ips: Vec<String> = voters
+            .voters()
+            .iter()
+            .map(|ip| addr(*ip).to_string())
+            .collect();
         log::info!("voters: epoch {}, {}.", voters.epoch, ips.join(" "));
         self.members.hint(voters.voters().iter().copied());
         self.contact.set_voters(voters.clone());
@@ -204,12 +220,25 @@
 
     /// The lease counts on the epoch for a while after the store has confirmed it.
     fn ask_epoch(&mut self, now: Duration) {
-        let wait = |q: &EpochQuestion| if q.is_answered { EPOCH_QUESTION_INTERVAL } else { EPOCH_WORD_VALID };
-        let is_due = self.epoch_question.as_ref().is_none_or(|q| now >= q.asked_at + wait(q));
+        let wait = |q: &EpochQuestion| {
+            if q.is_answered {
+                EPOCH_QUESTION_INTERVAL
+            } else {
+                EPOCH_WORD_VALID
+            }
+        };
+        let is_due = self
+            .epoch_question
+            .as_ref()
+            .is_none_or(|q| now >= q.asked_at + wait(q));
         if let Some(store) = self.store.as_ref().filter(|_| is_due) {
             self.next += 1;
             store.send(&Message::ConfirmEpoch { no: self.next });
-            self.epoch_question = Some(EpochQuestion { no: self.next, asked_at: now, is_answered: false });
+            self.epoch_question = Some(EpochQuestion {
+                no: self.next,
+                asked_at: now,
+                is_answered: false,
+            });
         }
     }
 
@@ -223,7 +252,13 @@
 
     pub(crate) fn datagram(&mut self, to: Ip, body: GossipBody) -> Vec<u8> {
         let (time_ms, updates) = (self.time_ms(), self.members.updates(to));
-        pack(&Datagram { from: self.me, epoch: self.lease.epoch(), time_ms, body, updates })
+        pack(&Datagram {
+            from: self.me,
+            epoch: self.lease.epoch(),
+            time_ms,
+            body,
+            updates,
+        })
     }
 
     /// The store on this machine must know the others.
@@ -237,18 +272,28 @@
     }
 
     pub(crate) fn apply_decided(&mut self, items: Vec<Item>, whole: bool) {
-        let new: Vec<_> = items.into_iter().filter(|i| self.snapshot.merge(i.clone())).collect();
+        let new: Vec<_> = items
+            .into_iter()
+            .filter(|i| self.snapshot.merge(i.clone()))
+            .collect();
         self.has_all_items |= whole;
         if new.is_empty() {
             return;
         }
-        for tenant in new.iter().filter(|i| i.key.kind == Kind::Tenant && i.body.is_some()) {
+        for tenant in new
+            .iter()
+            .filter(|i| i.key.kind == Kind::Tenant && i.body.is_some())
+        {
             if let Ok(t) = Tenant::read(tenant) {
                 self.duty.counts.limit(&t.name, t.rate);
             }
         }
         if !whole {
-            log::info!("news: {} items decided, to {} proxies.", new.len(), self.proxies.len());
+            log::info!(
+                "news: {} items decided, to {} proxies.",
+                new.len(),
+                self.proxies.len()
+            );
         }
         self.push_items(new);
     }
@@ -257,8 +302,14 @@
         self.next += 1;
         let no = self.next;
         let (to, reply) = oneshot::channel();
-        let pending = PendingReply { to, since: self.now() };
-        self.store.as_ref()?.send(&Message::Submit { no, order }).then(|| self.asks.insert(no, pending))?;
+        let pending = PendingReply {
+            to,
+            since: self.now(),
+        };
+        self.store
+            .as_ref()?
+            .send(&Message::Submit { no, order })
+            .then(|| self.asks.insert(no, pending))?;
         Some(reply)
     }
 
@@ -274,7 +325,11 @@
     /// How the system stands as seen from here, for `damsonbeam-ctl state`.
     pub(crate) fn describe(&self) -> Vec<u8> {
         let now = self.now();
-        let texts = |ips: &[Ip]| ips.iter().map(|ip| addr(*ip).to_string()).collect::<Vec<_>>();
+        let texts = |ips: &[Ip]| {
+            ips.iter()
+                .map(|ip| addr(*ip).to_string())
+                .collect::<Vec<_>>()
+        };
         let coordinator = self.lease.holder(now);
         let proxies = self.proxies.values().map(|p| ProxyReport {
             node: p.status.node.clone(),
@@ -290,7 +345,10 @@
             voters: texts(self.lease.voters().map_or(&[], |v| v.voters())),
             in_contact: self.is_in_contact(),
             contact_age_ms: self.contact.age(now).map(|age| age.as_millis() as u64),
-            coordinator: coordinator.map(|(ip, term)| CoordinatorReport { ip: addr(ip).to_string(), term }),
+            coordinator: coordinator.map(|(ip, term)| CoordinatorReport {
+                ip: addr(ip).to_string(),
+                term,
+            }),
             store_reached: self.store.is_some(),
             items: self.snapshot.items().len(),
             digest: format!("{:016x}", self.snapshot.digest()),
--- a/crates/registry/src/store_link.rs
+++ b/crates/registry/src/store_link.rs
@@ -47,7 +47,9 @@
                         }
                     }
                     Message::Reply { no, reply } => {
-                        w.asks.remove(&no).map(|pending| pending.to.send(reply).ok());
+                        w.asks
+                            .remove(&no)
+                            .map(|pending| pending.to.send(reply).ok());
                     }
                     Message::ConfirmSubmit { no } => w.confirm_submit(no),
                     _ => {}
--- a/crates/registry/tests/counts.rs
+++ b/crates/registry/tests/counts.rs
@@ -6,7 +6,11 @@
 use damsonbeam_registry::counts::SharedCounts;
 
 fn count(name: &str, held: f64, asked: f64) -> NamedCount {
-    NamedCount { name: name.into(), held, asked }
+    NamedCount {
+        name: name.into(),
+        held,
+        asked,
+    }
 }
 
 #[test]
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -116,7 +116,10 @@
                     "zone" => Group::Zone,
                     _ => Group::Cell,
                 };
-                Repeat::Tokened { group, window: ns(c.window_ns) }
+                Repeat::Tokened {
+                    group,
+                    window: ns(c.window_ns),
+                }
             }
             // What is not known to be repeatable is not repeated.
             _ => Repeat::NonIdempotent,
@@ -168,13 +171,18 @@
             open: limits.max_open,
             connect_timeout: ns(limits.connect_timeout_ns),
         },
-        counter: domain
-            .has_counter
-            .then(|| Counter { timeout: ns(domain.counter_timeout_ns), price: domain.call_price }),
+        counter: domain.has_counter.then(|| Counter {
+            timeout: ns(domain.counter_timeout_ns),
+            price: domain.call_price,
+        }),
         settles: domain.settles,
         most_units: domain.most_units,
         meter_period: ns(domain.meter_ns),
-        discovery: if f.discovery == "subscribe" { Discovery::Subscribed } else { Discovery::Pushed },
+        discovery: if f.discovery == "subscribe" {
+            Discovery::Subscribed
+        } else {
+            Discovery::Pushed
+        },
         ask_within: ns(rules.ask_within_ns),
         drain_grace: ns(rules.drain_grace_ns),
         answer_slack: ns(rules.answer_slack_ns),
--- a/src/histogram.rs
+++ b/src/histogram.rs
@@ -41,7 +41,12 @@
     /// The mean in seconds, with `usual` counted as `weight` samples beside those measured.
     pub(crate) fn mean(&self, usual: f64, weight: f64) -> f64 {
         let n: f64 = self.0.iter().sum();
-        let sum: f64 = self.0.iter().enumerate().map(|(i, b)| b * Self::middle(i)).sum();
+        let sum: f64 = self
+            .0
+            .iter()
+            .enumerate()
+            .map(|(i, b)| b * Self::middle(i))
+            .sum();
         (sum + usual * weight) / (n + weight)
     }
 }
@@ -58,7 +63,10 @@
         h.note(Duration::from_secs(2), 100.0);
         let median = h.quantile(0.5).unwrap();
         assert!((0.008..0.012).contains(&median), "{median}");
-        assert!(h.quantile(0.95).unwrap() > 1.4, "the slow tenth shows at the top");
+        assert!(
+            h.quantile(0.95).unwrap() > 1.4,
+            "the slow tenth shows at the top"
+        );
         assert!(h.quantile(0.0).unwrap() <= median);
     }
 
@@ -67,13 +75,19 @@
         let mut h = Histogram::default();
         (0..200).for_each(|_| h.note(Duration::from_millis(5), 16.0));
         (0..40).for_each(|_| h.note(Duration::from_millis(500), 16.0));
-        assert!(h.quantile(0.5).unwrap() > 0.3, "old fast answers are forgotten");
+        assert!(
+            h.quantile(0.5).unwrap() > 0.3,
+            "old fast answers are forgotten"
+        );
     }
 
     #[test]
     fn the_mean_is_drawn_towards_the_usual_by_its_weight() {
         let mut h = Histogram::default();
-        assert!((h.mean(0.2, 3.0) - 0.2).abs() < 1e-12, "the empty one is the usual");
+        assert!(
+            (h.mean(0.2, 3.0) - 0.2).abs() < 1e-12,
+            "the empty one is the usual"
+        );
         h.note(Duration::from_millis(4), 100.0);
         let m = h.mean(0.2, 3.0);
         assert!(m > 0.1 && m < 0.2, "{m}");
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -81,17 +81,48 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    Deliver { inv: InvId, tgt: TgtId, timeout: Option<Duration> },
-    Cancel { inv: InvId, no: DeliveryNo },
-    Throttle { inv: InvId, retry_after: Option<Duration>, why: Why },
-    Error { inv: InvId },
-    Timer { after: Duration, token: String },
-    Count { name: String, add: f64, keep: Duration },
-    Probe { tgt: TgtId },
-    CloseIdle { tgt: TgtId },
-    Tell { to: Option<GatewayId>, bytes: Vec<u8> },
-    Watch { on: bool },
+    Deliver {
+        inv: InvId,
+        tgt: TgtId,
+        timeout: Option<Duration>,
+    },
+    Cancel {
+        inv: InvId,
+        no: DeliveryNo,
+    },
+    Throttle {
+        inv: InvId,
+        retry_after: Option<Duration>,
+        why: Why,
+    },
+    Error {
+        inv: InvId,
+    },
+    Timer {
+        after: Duration,
+        token: String,
+    },
+    Count {
+        name: String,
+        add: f64,
+        keep: Duration,
+    },
+    Probe {
+        tgt: TgtId,
+    },
+    CloseIdle {
+        tgt: TgtId,
+    },
+    Tell {
+        to: Option<GatewayId>,
+        bytes: Vec<u8>,
+    },
+    Watch {
+        on: bool,
+    },
     Fetch,
-    Log { text: String },
+    Log {
+        text: String,
+    },
     HandOver(Box<Carry>),
 }
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -162,10 +162,18 @@
             fell: now,
             prompt: 0.0,
             places: PLACES_START,
-            lat: set.operations.iter().map(|_| Histogram::default()).collect(),
+            lat: set
+                .operations
+                .iter()
+                .map(|_| Histogram::default())
+                .collect(),
             worth: 0.0,
             units: set.most_units.max(1.0).sqrt(),
-            stay: set.operations.iter().map(|o| o.latency_objective.as_secs_f64() / 8.0).fold(1.0, f64::min),
+            stay: set
+                .operations
+                .iter()
+                .map(|o| o.latency_objective.as_secs_f64() / 8.0)
+                .fold(1.0, f64::min),
             usual: vec![[(USUAL_FIRST, 1.0); 2]; set.plans.len()],
             copies: 0.0,
             flow: (now, 0.0, 0.0),
@@ -184,25 +192,53 @@
                 None => self.out.push(Action::Error { inv: new.inv }),
             },
             Event::FirstByte { inv, .. } => self.started(inv),
-            Event::Outcome { inv, no, tgt, outcome, latency, closed, used, true_units, .. } => {
+            Event::Outcome {
+                inv,
+                no,
+                tgt,
+                outcome,
+                latency,
+                closed,
+                used,
+                true_units,
+                ..
+            } => {
                 used.into_iter().for_each(|used| self.learn(inv, used));
                 self.ended(inv, no, tgt, outcome, latency);
-                true_units.filter(|_| self.set.settles).into_iter().for_each(|u| self.settle(inv, u));
-                if closed { self.forget(inv) } else { self.again_or_end(inv) }
+                true_units
+                    .filter(|_| self.set.settles)
+                    .into_iter()
+                    .for_each(|u| self.settle(inv, u));
+                if closed {
+                    self.forget(inv)
+                } else {
+                    self.again_or_end(inv)
+                }
             }
             Event::Left { inv } => self.forget(inv),
-            Event::Total { name, outcome, total, others, latency } => {
+            Event::Total {
+                name,
+                outcome,
+                total,
+                others,
+                latency,
+            } => {
                 self.told(name, outcome, total, others, latency);
             }
             Event::Others(all) => all.iter().for_each(|o| {
-                self.customers.get_mut(&o.customer).into_iter().for_each(|c| c.hear(o));
+                self.customers
+                    .get_mut(&o.customer)
+                    .into_iter()
+                    .for_each(|c| c.hear(o));
             }),
             // A front end may round a wait down: a timer that comes early must not leave all others unarmed.
             Event::Timer { .. } => self.armed = self.armed.filter(|a| *a > now + self.set.tick),
             Event::Peer { bytes, .. } => self.heard(&bytes),
             Event::Whole { inv, deadline } => self.whole(inv, deadline),
             Event::Spent { inv } => {
-                self.invs.entry(inv).and_modify(|i| i.tries = i.deliveries.len() as u32);
+                self.invs
+                    .entry(inv)
+                    .and_modify(|i| i.tries = i.deliveries.len() as u32);
             }
             Event::Settings(new) => self.follow(*new),
             Event::Yield => self.hand_over(),
@@ -219,9 +255,14 @@
         if let Some(&(at, _)) = self.due.first()
             && self.armed.is_none_or(|a| at < a || a <= now)
         {
-            let after = at.saturating_sub(now).clamp(Duration::from_nanos(1), KEEP_MOST);
+            let after = at
+                .saturating_sub(now)
+                .clamp(Duration::from_nanos(1), KEEP_MOST);
             self.armed = Some(now + after);
-            self.out.push(Action::Timer { after, token: "due".into() });
+            self.out.push(Action::Timer {
+                after,
+                token: "due".into(),
+            });
         }
         std::mem::take(&mut self.out)
     }
@@ -230,11 +271,14 @@
     fn follow(&mut self, new: Settings) {
         for o in &new.operations[self.lat.len()..] {
             let known = (0..self.lat.len()).rfind(|n| new.operations[*n].name == o.name);
-            self.lat.push(known.map_or_else(Histogram::default, |n| self.lat[n].clone()));
+            self.lat
+                .push(known.map_or_else(Histogram::default, |n| self.lat[n].clone()));
         }
         self.usual.resize(new.plans.len(), [(USUAL_FIRST, 1.0); 2]);
         self.set = new;
-        self.invs.values_mut().for_each(|i| i.tries = i.tries.min(self.set.limits.tries));
+        self.invs
+            .values_mut()
+            .for_each(|i| i.tries = i.tries.min(self.set.limits.tries));
         let all: Vec<CustomerId> = self.customers.keys().cloned().collect();
         all.iter().for_each(|id| self.recut(id));
     }
@@ -243,16 +287,30 @@
     fn recut(&mut self, id: &CustomerId) {
         let c = &self.customers[id];
         let (cut, len) = self.cut(c.plan, c.spread as u32);
-        let Some(c) = self.customers.get_mut(id).filter(|c| (cut, len) != (c.cut, c.len)) else { return };
+        let Some(c) = self
+            .customers
+            .get_mut(id)
+            .filter(|c| (cut, len) != (c.cut, c.len))
+        else {
+            return;
+        };
         let (was, slot) = (c.len, (self.now.as_secs_f64() / len) as u64);
         (c.cut, c.len, c.oldest, c.learned) = (cut, len, slot.saturating_sub(2 * cut), slot);
         let (oldest, old) = (c.oldest, std::mem::take(&mut c.slots));
         let at = |k: u64| (((k as f64 + 0.5) * was / len) as u64).clamp(oldest, slot);
-        old.iter().for_each(|(k, s)| c.slots.entry(at(*k)).or_default().join(s));
+        old.iter()
+            .for_each(|(k, s)| c.slots.entry(at(*k)).or_default().join(s));
         c.span *= was / len;
-        self.invs.values_mut().filter(|i| i.customer == *id).for_each(|i| i.slot = at(i.slot));
+        self.invs
+            .values_mut()
+            .filter(|i| i.customer == *id)
+            .for_each(|i| i.slot = at(i.slot));
         // Answers still out are about names that nobody reads any more.
-        self.calls.values_mut().flatten().filter(|c| c.customer == *id).for_each(|c| c.slot = 0);
+        self.calls
+            .values_mut()
+            .flatten()
+            .filter(|c| c.customer == *id)
+            .for_each(|c| c.slot = 0);
     }
 
     /// Its successor gets what is known, and its parts of what all share: none go to cold ones from here.
@@ -263,21 +321,45 @@
         let tgts = self.tgts.iter().map(CarriedTgt::of).collect();
         let mut customers = Vec::new();
         for (id, c) in &mut self.customers {
-            customers.push((id.0.to_string(), self.set.plans[c.plan.0].name.to_string(), c.clone()));
+            customers.push((
+                id.0.to_string(),
+                self.set.plans[c.plan.0].name.to_string(),
+                c.clone(),
+            ));
             (c.ceiling, c.ceiling_at, c.part) = (0.0, self.now, 0.0);
         }
-        let carry = Carry { began, ask, places, stay, lat, usual, customers, tgts };
+        let carry = Carry {
+            began,
+            ask,
+            places,
+            stay,
+            lat,
+            usual,
+            customers,
+            tgts,
+        };
         self.yielded = true;
         self.out.push(Action::HandOver(Box::new(carry)));
     }
 
     /// The other end: its process counts on for a while as another gateway would.
     fn take_over(&mut self, carry: Carry) {
-        (self.began, self.ask, self.places, self.stay) = (carry.began, carry.ask, carry.places, carry.stay);
-        put_by_name(self.set.operations.iter().map(|o| &o.name), carry.lat, &mut self.lat);
-        put_by_name(self.set.plans.iter().map(|p| &p.name), carry.usual, &mut self.usual);
+        (self.began, self.ask, self.places, self.stay) =
+            (carry.began, carry.ask, carry.places, carry.stay);
+        put_by_name(
+            self.set.operations.iter().map(|o| &o.name),
+            carry.lat,
+            &mut self.lat,
+        );
+        put_by_name(
+            self.set.plans.iter().map(|p| &p.name),
+            carry.usual,
+            &mut self.usual,
+        );
         for (id, plan, mut c) in carry.customers {
-            let Some(row) = self.set.plans.iter().position(|p| *p.name == *plan) else { continue };
+            let Some(row) = self.set.plans.iter().position(|p| *p.name == *plan) else {
+                continue;
+            };
             c.plan = PlanId(row);
             c.slots.values_mut().for_each(Slot::elsewhere);
             let id = CustomerId(id.into());
@@ -296,18 +378,22 @@
 
     /// The last byte of its body is here: its client's time, and its deliveries', run from now on.
     fn whole(&mut self, id: InvId, deadline: Duration) {
-        let Some(inv) = self.invs.get_mut(&id).filter(|i| i.coming) else { return };
+        let Some(inv) = self.invs.get_mut(&id).filter(|i| i.coming) else {
+            return;
+        };
         (inv.told.coming, inv.told.deadline, inv.from) = (false, deadline, self.now);
         let inv = &self.invs[&id];
         let overdue = self.now + self.set.operations[inv.op.0].latency_objective;
         let out = inv.deliveries.iter().enumerate().filter(|(_, d)| d.out);
-        self.due.extend(out.map(|(no, _)| (overdue, Due::Overdue(id, no))));
+        self.due
+            .extend(out.map(|(no, _)| (overdue, Due::Overdue(id, no))));
         self.due.insert((self.last(inv), Due::Final(id)));
     }
 
     /// When an invocation's final answer goes out at the latest: a batch later is too late.
     fn last(&self, inv: &Inv) -> Duration {
-        inv.deadline.saturating_sub(self.set.tick.max(Duration::from_millis(1)))
+        inv.deadline
+            .saturating_sub(self.set.tick.max(Duration::from_millis(1)))
     }
 
     fn throttle(&mut self, id: InvId, why: Why) {
@@ -316,26 +402,44 @@
             self.out.push(Action::Error { inv: id });
         } else {
             let retry_after = self.set.limits.retry_after.map(|most| {
-                let p = self.set.plans.get(inv.plan.0).filter(|p| p.rate > 0.0 && !inv.admitted);
+                let p = self
+                    .set
+                    .plans
+                    .get(inv.plan.0)
+                    .filter(|p| p.rate > 0.0 && !inv.admitted);
                 let c = p.and_then(|p| Some((p, self.customers.get(&inv.customer)?)));
                 let pace = |c| self.pace(c, inv.repeat);
-                let over = c.map_or(0.0, |(p, c)| (self.sum(c, pace(c)) + inv.units - p.burst) / p.rate);
+                let over = c.map_or(0.0, |(p, c)| {
+                    (self.sum(c, pace(c)) + inv.units - p.burst) / p.rate
+                });
                 Duration::from_secs_f64(over.max(self.expect(0.5, inv.op))).min(most)
             });
-            self.out.push(Action::Throttle { inv: id, retry_after, why });
+            self.out.push(Action::Throttle {
+                inv: id,
+                retry_after,
+                why,
+            });
         }
         self.forget(id);
     }
 
     fn forget(&mut self, id: InvId) {
         self.undo(id);
-        let Some(inv) = self.invs.remove(&id) else { return };
+        let Some(inv) = self.invs.remove(&id) else {
+            return;
+        };
         self.line.remove(&(inv.arrived, id));
         for (no, d) in inv.deliveries.iter().enumerate().filter(|(_, d)| d.out) {
             if self.set.limits.cancel && !inv.started {
-                self.out.push(Action::Cancel { inv: id, no: DeliveryNo(no as u32) });
+                self.out.push(Action::Cancel {
+                    inv: id,
+                    no: DeliveryNo(no as u32),
+                });
             }
-            self.tgts.get_mut(&d.tgt).into_iter().for_each(|t| t.out -= 1);
+            self.tgts
+                .get_mut(&d.tgt)
+                .into_iter()
+                .for_each(|t| t.out -= 1);
         }
         if let Some(c) = self.customers.get_mut(&inv.customer) {
             (c.held, c.used_at) = (c.held - 1, self.now);
@@ -349,8 +453,13 @@
 
     /// An error, or no answer for long, to one operation: others meet the backend too seldom, and are told.
     fn silent(&mut self, tgt: TgtId, op: OpId) {
-        let known = self.tgts.get(&tgt).map_or(1.0, |t| t.unanswered(op, self.now));
-        let Some(place) = self.set.place(op) else { return };
+        let known = self
+            .tgts
+            .get(&tgt)
+            .map_or(1.0, |t| t.unanswered(op, self.now));
+        let Some(place) = self.set.place(op) else {
+            return;
+        };
         let bytes = [&tgt.0.to_be_bytes()[..], &place.to_be_bytes()].concat();
         self.heard(&bytes);
         let tells = self.rng.random::<f64>() * f64::from(self.set.gateways) < TELLERS;
@@ -361,18 +470,27 @@
 
     fn heard(&mut self, bytes: &[u8]) {
         let &[a, b, c, d, e, f] = bytes else { return };
-        let op = self.set.in_force.operations.get(usize::from(u16::from_be_bytes([e, f]))).copied();
+        let op = self
+            .set
+            .in_force
+            .operations
+            .get(usize::from(u16::from_be_bytes([e, f])))
+            .copied();
         let t = self.tgts.get_mut(&TgtId(u32::from_be_bytes([a, b, c, d])));
         if let (Some(t), Some(op)) = (t, op) {
             let known = t.unanswered(op, self.now);
-            t.silent.insert(op, (known + SILENT_STEP * (1.0 - known), self.now));
+            t.silent
+                .insert(op, (known + SILENT_STEP * (1.0 - known), self.now));
         }
     }
 
     /// Rule 2: a throttling reply promises that trying again is harmless.
     fn may_throttle(&self, inv: &Inv) -> bool {
         match self.set.operations[inv.op.0].repeat {
-            Repeat::Idempotent | Repeat::Tokened { group: Group::All, .. } => true,
+            Repeat::Idempotent
+            | Repeat::Tokened {
+                group: Group::All, ..
+            } => true,
             _ => inv.deliveries.iter().all(|d| d.idle),
         }
     }
--- a/src/state.rs
+++ b/src/state.rs
@@ -30,18 +30,29 @@
 impl Slot {
     /// The part of this slot, of the `run` that has passed of it, in which the others' units are told.
     pub(crate) fn part(&self, k: u64, len: f64, run: f64) -> f64 {
-        if self.last { run } else { (self.told.as_secs_f64() / len - k as f64).clamp(0.0, run) }
+        if self.last {
+            run
+        } else {
+            (self.told.as_secs_f64() / len - k as f64).clamp(0.0, run)
+        }
     }
 
     /// What was counted here was counted by another process.
     pub(crate) fn elsewhere(&mut self) {
         let others = self.others + self.own;
-        *self = Slot { others, came: self.came, told: self.told, last: self.last, ..Slot::default() };
+        *self = Slot {
+            others,
+            came: self.came,
+            told: self.told,
+            last: self.last,
+            ..Slot::default()
+        };
     }
 
     /// Takes in what another slot, of another cut, has told.
     pub(crate) fn join(&mut self, s: &Slot) {
-        (self.own, self.asking, self.came) = (self.own + s.own, self.asking + s.asking, self.came + s.came);
+        (self.own, self.asking, self.came) =
+            (self.own + s.own, self.asking + s.asking, self.came + s.came);
         (self.others, self.told) = (self.others + s.others, self.told.max(s.told));
     }
 }
@@ -99,7 +110,11 @@
         }
     }
 
-    pub(crate) fn admitted(&self, id: &CustomerId, now: Duration) -> impl Iterator<Item = Admitted> {
+    pub(crate) fn admitted(
+        &self,
+        id: &CustomerId,
+        now: Duration,
+    ) -> impl Iterator<Item = Admitted> {
         let running = (now.as_secs_f64() / self.len) as u64;
         (self.oldest.max(running.saturating_sub(2 * self.cut))..=running).map(|slot| Admitted {
             name: id.counted(slot),
--- a/src/succession.rs
+++ b/src/succession.rs
@@ -27,7 +27,10 @@
             plans[at] = p.clone();
             PlanId(at)
         };
-        new.in_force = InForce { plans: new.plans.iter().map(row).collect(), operations: ops };
+        new.in_force = InForce {
+            plans: new.plans.iter().map(row).collect(),
+            operations: ops,
+        };
         (new.operations, new.plans) = (operations, plans);
         new
     }
@@ -65,7 +68,13 @@
 impl CarriedTgt {
     pub(crate) fn of((t, s): (&TgtId, &Tgt)) -> Self {
         let (since, credit, credit_at, lat) = (s.entry.since, s.credit, s.credit_at, s.lat.clone());
-        CarriedTgt { tgt: t.0, since, credit, credit_at, lat }
+        CarriedTgt {
+            tgt: t.0,
+            since,
+            credit,
+            credit_at,
+            lat,
+        }
     }
 }
 
@@ -74,7 +83,10 @@
     names: impl Iterator<Item = &'a Arc<str>>,
     values: &[T],
 ) -> Vec<(String, T)> {
-    names.zip(values).map(|(n, v)| (n.to_string(), v.clone())).collect()
+    names
+        .zip(values)
+        .map(|(n, v)| (n.to_string(), v.clone()))
+        .collect()
 }
 
 /// Those of the named that stand here get their value.
@@ -84,7 +96,10 @@
     values: &mut [T],
 ) {
     for (name, value) in names.zip(values) {
-        named.iter().filter(|(n, _)| **n == **name).for_each(|(_, v)| *value = v.clone());
+        named
+            .iter()
+            .filter(|(n, _)| **n == **name)
+            .for_each(|(_, v)| *value = v.clone());
     }
 }
 
@@ -93,8 +108,15 @@
     use super::*;
 
     fn named(names: &[&str]) -> Settings {
-        let operation = |n: &&str| Operation { name: (**n).into(), ..Operation::default() };
-        let plan = |n: &&str| Plan { name: (**n).into(), rate: 1.0, ..Plan::default() };
+        let operation = |n: &&str| Operation {
+            name: (**n).into(),
+            ..Operation::default()
+        };
+        let plan = |n: &&str| Plan {
+            name: (**n).into(),
+            rate: 1.0,
+            ..Plan::default()
+        };
         Settings {
             operations: names.iter().map(operation).collect(),
             plans: names.iter().map(plan).collect(),
@@ -109,14 +131,33 @@
         next.operations[1].repeat = Repeat::Idempotent;
         next.plans[1].rate = 9.0;
         let second = first.follow(next);
-        assert_eq!(second.operations[..2], first.operations[..], "what is under way keeps its rows");
-        assert_eq!(second.in_force.operations, [OpId(2), OpId(3)], "changed, it is another");
+        assert_eq!(
+            second.operations[..2],
+            first.operations[..],
+            "what is under way keeps its rows"
+        );
+        assert_eq!(
+            second.in_force.operations,
+            [OpId(2), OpId(3)],
+            "changed, it is another"
+        );
         assert_eq!(
             (second.in_force.plans.as_slice(), second.plans[1].rate),
             (&[PlanId(2), PlanId(1)][..], 9.0)
         );
         let third = second.follow(first.clone());
-        assert_eq!(third.in_force.operations, [OpId(0), OpId(1)], "back as they were, in their old rows");
-        assert_eq!((third.operations.len(), third.place(OpId(1)), third.place(OpId(2))), (4, Some(1), None));
+        assert_eq!(
+            third.in_force.operations,
+            [OpId(0), OpId(1)],
+            "back as they were, in their old rows"
+        );
+        assert_eq!(
+            (
+                third.operations.len(),
+                third.place(OpId(1)),
+                third.place(OpId(2))
+            ),
+            (4, Some(1), None)
+        );
     }
 }
--- a/tests/rules/common.rs
+++ b/tests/rules/common.rs
@@ -25,7 +25,10 @@
             late_value: 0.0,
             streamed: false,
         }],
-        in_force: InForce { operations: vec![OpId(0)], plans: vec![PlanId(0)] },
+        in_force: InForce {
+            operations: vec![OpId(0)],
+            plans: vec![PlanId(0)],
+        },
         plans: vec![Plan {
             name: "p".into(),
             rate: 2.0,
@@ -44,7 +47,10 @@
             open: 1000,
             connect_timeout: ms(250),
         },
-        counter: Some(Counter { timeout: ms(30), price: 0.01 }),
+        counter: Some(Counter {
+            timeout: ms(30),
+            price: 0.01,
+        }),
         settles: false,
         most_units: 4.0,
         meter_period: Duration::ZERO,
@@ -60,17 +66,30 @@
 }
 
 pub fn entry(tgt: u32, health: Health, since: Duration) -> Entry {
-    Entry { tgt: TgtId(tgt), health, since, zone: tgt % 2, cell: tgt % 4, weight: 1.0, ..Entry::default() }
+    Entry {
+        tgt: TgtId(tgt),
+        health,
+        since,
+        zone: tgt % 2,
+        cell: tgt % 4,
+        weight: 1.0,
+        ..Entry::default()
+    }
 }
 
 pub fn list(form: ListForm, entries: Vec<Entry>) -> Event {
-    Event::Targets { form, entries: Arc::from(entries) }
+    Event::Targets {
+        form,
+        entries: Arc::from(entries),
+    }
 }
 
 /// `n` warm backends, and a module that knows them.
 pub fn ready(set: Settings, n: u32) -> Rules {
     let mut rules = Rules::new(7, set, ms(1000));
-    let up = (0..n).map(|t| entry(t, Health::Up, Duration::ZERO)).collect();
+    let up = (0..n)
+        .map(|t| entry(t, Health::Up, Duration::ZERO))
+        .collect();
     rules.on(ms(1000), list(ListForm::Restored, up));
     rules
 }
@@ -92,11 +111,23 @@
 }
 
 pub fn total(name: &str, total: f64) -> Event {
-    Event::Total { name: name.into(), outcome: Outcome::Ok, total, others: 0.0, latency: ms(2) }
+    Event::Total {
+        name: name.into(),
+        outcome: Outcome::Ok,
+        total,
+        others: 0.0,
+        latency: ms(2),
+    }
 }
 
 pub fn no_total(name: &str, outcome: Outcome) -> Event {
-    Event::Total { name: name.into(), outcome, total: 0.0, others: 0.0, latency: ms(30) }
+    Event::Total {
+        name: name.into(),
+        outcome,
+        total: 0.0,
+        others: 0.0,
+        latency: ms(30),
+    }
 }
 
 pub fn outcome(inv: u64, no: u32, tgt: TgtId, outcome: Outcome, closed: bool) -> Event {
--- a/tests/rules/fleet.rs
+++ b/tests/rules/fleet.rs
@@ -9,7 +9,12 @@
 
 /// Units that each backend gets from `n` gateways, each with an invocation of one unit every `every`; answers
 /// take 50 ms.
-fn drive(gateways: &mut [Rules], from: Duration, to: Duration, every: Duration) -> BTreeMap<TgtId, f64> {
+fn drive(
+    gateways: &mut [Rules],
+    from: Duration,
+    to: Duration,
+    every: Duration,
+) -> BTreeMap<TgtId, f64> {
     let n = gateways.len() as u32;
     let mut got = BTreeMap::new();
     let mut out: BTreeMap<(Duration, usize, u64), TgtId> = BTreeMap::new();
@@ -49,9 +54,13 @@
     set.plans[0] = Plan::default();
     (set.gateways, set.most_units) = (100, 8.0);
     let begin = ms(100_000);
-    let mut gateways: Vec<_> = (0..100).map(|seed| Rules::new(seed, set.clone(), begin)).collect();
+    let mut gateways: Vec<_> = (0..100)
+        .map(|seed| Rules::new(seed, set.clone(), begin))
+        .collect();
     let warm = (0..8).map(|t| entry(t, Health::Up, Duration::ZERO));
-    let all: Vec<_> = warm.chain([entry(8, Health::Up, begin + ms(5000))]).collect();
+    let all: Vec<_> = warm
+        .chain([entry(8, Health::Up, begin + ms(5000))])
+        .collect();
     for g in &mut gateways {
         g.on(begin, list(ListForm::Restored, all[..8].to_vec()));
     }
@@ -78,12 +87,20 @@
     // Late in a slot of 8 s, so that nearly the whole window is guessed.
     let mut asks = |n: u64| {
         let now = ms(15_800 + n);
-        let Event::Invocation(new) = arrival(n, now, "a", 4.0) else { unreachable!() };
+        let Event::Invocation(new) = arrival(n, now, "a", 4.0) else {
+            unreachable!()
+        };
         throttled(&rules.on(now, Event::Invocation(Invocation { spread: 90, ..new })))
     };
-    assert!(!asks(1), "a quarter of the burst, of a customer taken to use half of its rate");
+    assert!(
+        !asks(1),
+        "a quarter of the burst, of a customer taken to use half of its rate"
+    );
     // Turned away again and again, it shows a surge.
-    assert!((2..40).filter(|n| asks(*n)).count() >= 34, "a surge is held to the burst");
+    assert!(
+        (2..40).filter(|n| asks(*n)).count() >= 34,
+        "a surge is held to the burst"
+    );
 }
 
 /// After a release all gateways asked discovery at once and again at once: it worked on calls that were too
@@ -92,14 +109,26 @@
 fn gateways_that_begin_at_once_ask_discovery_by_turns() {
     let mut set = settings(Repeat::Idempotent);
     (set.gateways, set.discovery) = (100, Discovery::Subscribed);
-    let asks = |actions: Vec<Action>| actions.iter().any(|a| matches!(a, Action::Watch { on: true }));
+    let asks = |actions: Vec<Action>| {
+        actions
+            .iter()
+            .any(|a| matches!(a, Action::Watch { on: true }))
+    };
     let mut calls = [0; 90];
     for seed in 0..100 {
         let mut rules = Rules::new(seed, set.clone(), ms(1000));
-        let mut asked = asks(rules.on(ms(1000), list(ListForm::Restored, vec![entry(0, Health::Up, ms(0))])));
+        let mut asked = asks(rules.on(
+            ms(1000),
+            list(ListForm::Restored, vec![entry(0, Health::Up, ms(0))]),
+        ));
         for n in 0..90 {
             let now = ms(1000 + 100 * n);
-            asked |= asks(rules.on(now, Event::Timer { token: "due".into() }));
+            asked |= asks(rules.on(
+                now,
+                Event::Timer {
+                    token: "due".into(),
+                },
+            ));
             if asked {
                 calls[n as usize] += 1;
                 // All calls of the first 5 s are turned away.
@@ -108,8 +137,14 @@
             }
         }
     }
-    assert!(calls.iter().all(|n| *n <= 10), "at most a tenth of them in a tenth of a second: {calls:?}");
-    assert!(calls[..51].iter().sum::<i32>() >= 100, "each has asked within 5 s: {calls:?}");
+    assert!(
+        calls.iter().all(|n| *n <= 10),
+        "at most a tenth of them in a tenth of a second: {calls:?}"
+    );
+    assert!(
+        calls[..51].iter().sum::<i32>() >= 100,
+        "each has asked within 5 s: {calls:?}"
+    );
     // One with no list at all can't wait.
     let mut rules = Rules::new(1, set, ms(1000));
     assert!(asks(rules.on(ms(1000), list(ListForm::Restored, vec![]))));
@@ -124,7 +159,13 @@
         (set.plans[0], set.limits.tell) = (Plan::default(), true);
         let mut rules = ready(set, 4);
         for bytes in heard {
-            rules.on(ms(1000), Event::Peer { from: GatewayId(1), bytes: bytes.clone() });
+            rules.on(
+                ms(1000),
+                Event::Peer {
+                    from: GatewayId(1),
+                    bytes: bytes.clone(),
+                },
+            );
         }
         let sent = (0..200).filter(|n| {
             let now = ms(1000 + n);
@@ -151,11 +192,21 @@
     };
     let fails = told(&|rules, to| rules.on(ms(1101), outcome(30, 0, to, Outcome::Failed, false)));
     // Answers take 0.1 s; the objective is 1 s.
-    let long = told(&|rules, _| rules.on(ms(1700), Event::Timer { token: "due".into() }));
+    let long = told(&|rules, _| {
+        rules.on(
+            ms(1700),
+            Event::Timer {
+                token: "due".into(),
+            },
+        )
+    });
     let usual = share(&[]);
     for heard in [fails, long] {
         assert_eq!(heard.len(), 1, "it is told once");
-        assert!(share(&[heard[0].clone(), heard[0].clone()]) < usual / 2, "of {usual} usually");
+        assert!(
+            share(&[heard[0].clone(), heard[0].clone()]) < usual / 2,
+            "of {usual} usually"
+        );
     }
 }
 
@@ -167,9 +218,17 @@
     let mut set = settings(Repeat::Idempotent);
     (set.gateways, set.plans[0].rate, set.plans[0].burst) = (24, 10.0, 20.0);
     let begin = ms(100_000);
-    let mut gateways: Vec<_> = (0..24).map(|seed| Rules::new(seed, set.clone(), begin)).collect();
+    let mut gateways: Vec<_> = (0..24)
+        .map(|seed| Rules::new(seed, set.clone(), begin))
+        .collect();
     for g in &mut gateways {
-        g.on(begin, list(ListForm::Restored, vec![entry(0, Health::Up, Duration::ZERO)]));
+        g.on(
+            begin,
+            list(
+                ListForm::Restored,
+                vec![entry(0, Health::Up, Duration::ZERO)],
+            ),
+        );
     }
     let (mut admitted, mut n) = (0.0, 0);
     for step in 0..6000 {
@@ -178,7 +237,11 @@
             let all: Vec<_> = gateways.iter().map(|g| g.admitted(now)).collect();
             for (me, g) in gateways.iter_mut().enumerate() {
                 let of = |name: &str| {
-                    let told = all.iter().enumerate().filter(|(i, _)| *i != me).flat_map(|(_, a)| a);
+                    let told = all
+                        .iter()
+                        .enumerate()
+                        .filter(|(i, _)| *i != me)
+                        .flat_map(|(_, a)| a);
                     told.filter(|a| a.name == name).map(|a| a.units).sum()
                 };
                 let others = all[me].iter().map(|a| Others {
@@ -196,7 +259,9 @@
         }
         // Three times its rate, dealt over all by turns.
         n += 1;
-        let Event::Invocation(new) = arrival(n, now, "a", 1.0) else { unreachable!() };
+        let Event::Invocation(new) = arrival(n, now, "a", 1.0) else {
+            unreachable!()
+        };
         let g = &mut gateways[n as usize * 7 % 24];
         let mut actions = g.on(now, Event::Invocation(Invocation { spread: 24, ..new }));
         for (name, _) in counts(&actions) {
@@ -208,6 +273,12 @@
         }
     }
     let quota = 10.0 * 60.0 + 20.0;
-    assert!(admitted <= 1.05 * quota, "{admitted} units in a minute of {quota}");
-    assert!(admitted >= 0.85 * quota, "{admitted} units in a minute of {quota}");
+    assert!(
+        admitted <= 1.05 * quota,
+        "{admitted} units in a minute of {quota}"
+    );
+    assert!(
+        admitted >= 0.85 * quota,
+        "{admitted} units in a minute of {quota}"
+    );
 }
--- a/tests/rules/model.rs
+++ b/tests/rules/model.rs
@@ -17,8 +17,13 @@
 
 impl Arbitrary for Day {
     fn arbitrary(g: &mut Gen) -> Self {
-        let steps = (0..600).map(|_| (u8::arbitrary(g), u16::arbitrary(g))).collect();
-        Day { choice: u64::arbitrary(g), steps }
+        let steps = (0..600)
+            .map(|_| (u8::arbitrary(g), u16::arbitrary(g)))
+            .collect();
+        Day {
+            choice: u64::arbitrary(g),
+            steps,
+        }
     }
 }
 
@@ -27,7 +32,10 @@
     let group = [Group::All, Group::Zone, Group::Cell][(choice / 4 % 3) as usize];
     let repeat = match choice % 4 {
         0 => Repeat::Idempotent,
-        1 | 2 => Repeat::Tokened { group, window: ms(400) },
+        1 | 2 => Repeat::Tokened {
+            group,
+            window: ms(400),
+        },
         _ => Repeat::NonIdempotent,
     };
     let mut set = settings(repeat);
@@ -99,7 +107,11 @@
 
     /// To the process that serves, or the one before it.
     fn give_to(&mut self, elder: bool, event: Event) {
-        let to = if elder { self.elder.as_mut() } else { Some(&mut self.rules) };
+        let to = if elder {
+            self.elder.as_mut()
+        } else {
+            Some(&mut self.rules)
+        };
         for action in to.map_or(vec![], |rules| rules.on(self.now, event)) {
             self.check(action, elder);
         }
@@ -124,7 +136,11 @@
         let next = Rules::new(seed, self.set.clone(), self.now);
         self.elder = Some(std::mem::replace(&mut self.rules, next));
         self.open.values_mut().for_each(|o| o.elder = true);
-        let now = self.list.iter().map(|(t, l)| entry(t.0, l.0, l.1)).collect();
+        let now = self
+            .list
+            .iter()
+            .map(|(t, l)| entry(t.0, l.0, l.1))
+            .collect();
         self.give(list(ListForm::Restored, now));
         self.give(Event::Carried(carry));
     }
@@ -133,11 +149,14 @@
     fn settle(&mut self, x: u64) {
         let mut new = set(x);
         new.limits.tries = 1 + (x / 8 % 4) as u32;
-        (new.limits.parallel, new.limits.cancel) = (self.set.limits.parallel, self.set.limits.cancel);
+        (new.limits.parallel, new.limits.cancel) =
+            (self.set.limits.parallel, self.set.limits.cancel);
         new.plans = self.set.plans[..1].to_vec();
         new.plans[0].rate *= [0.5, 1.0, 2.0][(x % 3) as usize];
         self.set = self.set.follow(new);
-        self.open.values_mut().for_each(|o| o.tries = o.tries.min(self.set.limits.tries));
+        self.open
+            .values_mut()
+            .for_each(|o| o.tries = o.tries.min(self.set.limits.tries));
         for elder in [false, true] {
             self.give_to(elder, Event::Settings(Box::new(self.set.clone())));
         }
@@ -172,12 +191,25 @@
     fn sent(&mut self, inv: InvId, tgt: TgtId, timeout: Option<Duration>) {
         let now = self.now;
         let (health, since, told) = self.list[&tgt];
-        assert!(health == Health::Up || now <= told + self.set.drain_grace, "rule 3");
+        assert!(
+            health == Health::Up || now <= told + self.set.drain_grace,
+            "rule 3"
+        );
         let warm = self.warmth(since);
-        let warm_count =
-            self.list.values().filter(|l| l.0 == Health::Up && self.warmth(l.1) >= 1.0).count().max(1);
-        let open = self.open.get_mut(&inv).expect("rule 1: nothing after the final answer");
-        assert!(now <= open.deadline, "rule 1: nothing after the client's time");
+        let warm_count = self
+            .list
+            .values()
+            .filter(|l| l.0 == Health::Up && self.warmth(l.1) >= 1.0)
+            .count()
+            .max(1);
+        let open = self
+            .open
+            .get_mut(&inv)
+            .expect("rule 1: nothing after the final answer");
+        assert!(
+            now <= open.deadline,
+            "rule 1: nothing after the client's time"
+        );
         assert!(open.sent.len() < open.tries as usize);
         if !self.set.limits.parallel {
             assert!(open.sent.iter().all(|s| !s.out), "two deliveries out");
@@ -203,12 +235,21 @@
         if open.sent.is_empty() && p.ceiling_rate > 0.0 {
             // This gateway's third of the ceiling, kept by the model across the gateway's lives.
             let (level, at) = self.ceiling;
-            let level = (level + p.ceiling_rate / 3.0 * (now - at).as_secs_f64()).min(p.ceiling_burst / 3.0);
+            let level = (level + p.ceiling_rate / 3.0 * (now - at).as_secs_f64())
+                .min(p.ceiling_burst / 3.0);
             assert!(level + 1e-6 >= units, "rule 5: {level} left for {units}");
             self.ceiling = (level - units, now);
         }
-        let ends = open.deadline.min(timeout.map_or(open.deadline, |t| now + t));
-        open.sent.push(Sent { tgt, at: now, ends, out: true, idle: false });
+        let ends = open
+            .deadline
+            .min(timeout.map_or(open.deadline, |t| now + t));
+        open.sent.push(Sent {
+            tgt,
+            at: now,
+            ends,
+            out: true,
+            idle: false,
+        });
         if warm < 1.0 {
             let span = self.set.overload_for;
             let before: f64 = self
@@ -217,10 +258,16 @@
                 .filter(|f| f.1 == tgt && f.0 >= since && f.0 + span > now)
                 .map(|f| f.2)
                 .sum();
-            let recent = self.flow.iter().filter(|f| f.3 >= 1.0 && f.0 + ms(12_000) >= now);
+            let recent = self
+                .flow
+                .iter()
+                .filter(|f| f.3 >= 1.0 && f.0 + ms(12_000) >= now);
             let flow = recent.map(|f| f.2 / f.4).sum::<f64>() / 4.0;
             let budget = self.set.overload_factor * warm * flow * span.as_secs_f64();
-            assert!(before == 0.0 || before + units <= budget, "rule 4: {before} + {units} over {budget}");
+            assert!(
+                before == 0.0 || before + units <= budget,
+                "rule 4: {before} + {units} over {budget}"
+            );
         }
         self.flow.push((now, tgt, units, warm, warm_count as f64));
     }
@@ -233,7 +280,11 @@
                 .open
                 .iter()
                 .flat_map(|(id, o)| {
-                    let ended = o.sent.iter().enumerate().filter(|(_, s)| s.out && s.ends <= self.now);
+                    let ended = o
+                        .sent
+                        .iter()
+                        .enumerate()
+                        .filter(|(_, s)| s.out && s.ends <= self.now);
                     ended.map(|(n, _)| (*id, n)).collect::<Vec<_>>()
                 })
                 .collect();
@@ -243,7 +294,12 @@
             while self.timers.first().is_some_and(|t| *t <= self.now) {
                 self.timers.pop_first();
                 for elder in [false, true] {
-                    self.give_to(elder, Event::Timer { token: "due".into() });
+                    self.give_to(
+                        elder,
+                        Event::Timer {
+                            token: "due".into(),
+                        },
+                    );
                 }
             }
             for (id, o) in &self.open {
@@ -256,7 +312,9 @@
     }
 
     fn end(&mut self, id: InvId, n: usize, how: Outcome) {
-        let Some(open) = self.open.get_mut(&id) else { return };
+        let Some(open) = self.open.get_mut(&id) else {
+            return;
+        };
         let s = &mut open.sent[n];
         (s.out, s.idle) = (false, how.never_ran());
         let (tgt, elder) = (s.tgt, open.elder);
@@ -284,8 +342,13 @@
         ceiling: (8.0, ms(1000)),
         flow: Vec::new(),
     };
-    let all: Vec<Entry> = (0..6).map(|t| entry(t, Health::Up, Duration::ZERO)).collect();
-    w.list = all.iter().map(|e| (e.tgt, (Health::Up, Duration::ZERO, w.now))).collect();
+    let all: Vec<Entry> = (0..6)
+        .map(|t| entry(t, Health::Up, Duration::ZERO))
+        .collect();
+    w.list = all
+        .iter()
+        .map(|e| (e.tgt, (Health::Up, Duration::ZERO, w.now)))
+        .collect();
     w.give(list(ListForm::Restored, all.clone()));
     for (n, (kind, x)) in day.steps.into_iter().enumerate() {
         let x = u64::from(x);
@@ -296,8 +359,20 @@
                 let op = w.set.in_force.operations[0];
                 let (repeat, tries) = (w.set.operations[op.0].repeat, w.set.limits.tries);
                 let (deadline, sent) = (now + ms(3000), Vec::new());
-                w.open.insert(id, Open { deadline, units, sent, repeat, tries, elder: false });
-                let Event::Invocation(mut told) = arrival(id.0, now, "a", units) else { unreachable!() };
+                w.open.insert(
+                    id,
+                    Open {
+                        deadline,
+                        units,
+                        sent,
+                        repeat,
+                        tries,
+                        elder: false,
+                    },
+                );
+                let Event::Invocation(mut told) = arrival(id.0, now, "a", units) else {
+                    unreachable!()
+                };
                 told.op = op;
                 w.give(Event::Invocation(told));
             }
@@ -347,7 +422,10 @@
                 ][(x / 8) as usize % 4];
                 w.list.insert(tgt, (health, since, now));
                 for elder in [false, true] {
-                    w.give_to(elder, list(ListForm::Update, vec![entry(tgt.0, health, since)]));
+                    w.give_to(
+                        elder,
+                        list(ListForm::Update, vec![entry(tgt.0, health, since)]),
+                    );
                 }
             }
             14 if x % 16 == 0 => {
@@ -369,5 +447,8 @@
 #[test]
 fn module_and_model_agree_on_what_is_allowed() {
     let generator = Gen::from_size_and_seed(600, 20261201);
-    QuickCheck::new().rng(generator).tests(300).quickcheck(holds as fn(Day) -> bool);
+    QuickCheck::new()
+        .rng(generator)
+        .tests(300)
+        .quickcheck(holds as fn(Day) -> bool);
 }
