--- a/crates/config-store/src/consensus/acceptor.rs
+++ b/crates/config-store/src/consensus/acceptor.rs
@@ -1,19 +1,21 @@
-//! The acceptor: promises ballots, accepts proposals, learns what is decided.
+//! The acceptor: promises proposal numbers, accepts proposals, learns what is committed. It alone changes the durable
+//! state and the voters in force.
 
-use damsonbeam_control::items::{Ballot, ConfigSnapshot, Item, Kind};
-use damsonbeam_control::messages::{AcceptAnswer, Ip, Message};
+use damsonbeam_control::address::Ip;
+use damsonbeam_control::config::{ConfigSnapshot, Item, ItemKind, ProposalNumber};
+use damsonbeam_control::messages::{AcceptAnswer, Message, ReplicaItems, StateDigest};
 
 use super::voters::VoterSet;
 use super::{DurableWrite, Effect, Replica};
 
-/// A proposal as it comes.
+/// A proposal as it comes; see [`Message::Accept`].
 pub(super) struct Proposal {
-    pub(super) ballot: Ballot,
+    pub(super) proposal_number: ProposalNumber,
     pub(super) step: u32,
     pub(super) voters: Item,
     pub(super) items: Vec<Item>,
-    pub(super) decided: Vec<Item>,
-    pub(super) level: Option<u64>,
+    pub(super) committed: Vec<Item>,
+    pub(super) required_digest: Option<u64>,
 }
 
 impl Replica {
@@ -21,86 +23,84 @@
     pub(super) fn receive_prepare(
         &mut self,
         from: Ip,
-        ballot: Ballot,
+        proposal_number: ProposalNumber,
         voters: Item,
-        digest: (u64, u64),
+        digest: StateDigest,
     ) {
-        if !self.agrees_on_epoch(from, ballot, voters) || !self.is_voter() {
+        if !self.agrees_on_epoch(from, proposal_number, voters) || !self.is_voter() {
             return;
         }
-        if ballot > self.durable.promised {
-            self.promise(ballot);
+        if proposal_number > self.durable.promised {
+            self.promise(proposal_number);
         }
         let promised = self.durable.promised;
-        let same = digest
-            == (
-                self.durable.accepted.digest(),
-                self.durable.decided.digest(),
-            );
-        let all = |b: &ConfigSnapshot| b.items().values().cloned().collect();
-        let items = (promised == ballot && !same)
-            .then(|| (all(&self.durable.accepted), all(&self.durable.decided)));
-        let disk = self.durable.disk;
-        self.effects.push(Effect::Send(
-            from,
-            Message::Promise {
-                ballot,
-                promised,
-                disk,
-                items,
-            },
-        ));
+        let is_needed = promised == proposal_number && digest != self.state_digest();
+        let message = Message::Promise {
+            proposal_number,
+            promised,
+            disk_id: self.durable.disk_id,
+            items: is_needed.then(|| self.all_items()),
+        };
+        self.effects.push(Effect::Send(from, message));
+    }
+
+    pub(super) fn state_digest(&self) -> StateDigest {
+        StateDigest {
+            accepted: self.durable.accepted.digest(),
+            committed: self.durable.committed.digest(),
+        }
+    }
+
+    fn all_items(&self) -> ReplicaItems {
+        let all = |snapshot: &ConfigSnapshot| snapshot.items().values().cloned().collect();
+        ReplicaItems {
+            accepted: all(&self.durable.accepted),
+            committed: all(&self.durable.committed),
+        }
     }
 
     /// A proposer asks to accept its items.
     pub(super) fn receive_accept(&mut self, from: Ip, proposal: Proposal) {
         let Proposal {
-            ballot,
+            proposal_number,
             step,
-            voters,
-            items,
-            decided,
-            level,
+            ..
         } = proposal;
-        if !self.agrees_on_epoch(from, ballot, voters) {
+        if !self.agrees_on_epoch(from, proposal_number, proposal.voters) {
             return;
         }
-        let joins = items
-            .iter()
-            .filter_map(VoterSet::from_item)
-            .any(|set| set.contains(&self.identity()));
+        let mut sets = proposal.items.iter().filter_map(VoterSet::from_item);
+        let joins = sets.any(|set| set.contains(&self.identity()));
         if !self.is_voter() && !joins {
             return;
         }
-        let answer = if ballot < self.durable.promised {
+        let has_required = |digest: u64| digest == self.durable.committed.digest();
+        let answer = if proposal_number < self.durable.promised {
             AcceptAnswer::Promised(self.durable.promised)
-        } else if level.is_some_and(|digest| digest != self.durable.decided.digest()) {
+        } else if !proposal.required_digest.is_none_or(has_required) {
             self.effects
-                .push(Effect::Send(from, self.compare_digests()));
+                .push(Effect::Send(from, self.digests_message()));
             AcceptAnswer::Behind
         } else {
-            if ballot > self.durable.promised {
-                self.promise(ballot);
+            if proposal_number > self.durable.promised {
+                self.promise(proposal_number);
             }
-            // Known before its place is taken: were the proposal dropped, this would stand again.
-            self.learn(decided);
-            self.accept(items);
+            // Known before it is replaced: were the proposal dropped, this would be in force again.
+            self.learn(proposal.committed);
+            self.accept(proposal.items);
             AcceptAnswer::Accepted
         };
-        let disk = self.durable.disk;
-        self.effects.push(Effect::Send(
-            from,
-            Message::Accepted {
-                ballot,
-                step,
-                disk,
-                answer,
-            },
-        ));
+        let message = Message::Accepted {
+            proposal_number,
+            step,
+            disk_id: self.durable.disk_id,
+            answer,
+        };
+        self.effects.push(Effect::Send(from, message));
     }
 
     /// Whether a round's epoch is the one in force here: a later one is learned, an earlier one refused.
-    fn agrees_on_epoch(&mut self, from: Ip, ballot: Ballot, voters: Item) -> bool {
+    fn agrees_on_epoch(&mut self, from: Ip, proposal_number: ProposalNumber, voters: Item) -> bool {
         let epoch = voters.version;
         if epoch > self.epoch() {
             self.learn(vec![voters]);
@@ -108,45 +108,50 @@
         if epoch < self.epoch()
             && let Some(voters) = self.voters_item()
         {
-            self.effects
-                .push(Effect::Send(from, Message::NewerVoters { ballot, voters }));
+            let message = Message::NewerVoters {
+                proposal_number,
+                voters,
+            };
+            self.effects.push(Effect::Send(from, message));
         }
         epoch == self.epoch()
     }
 
-    pub(super) fn promise(&mut self, ballot: Ballot) {
-        self.durable.promised = ballot;
-        self.highest = self.highest.max(ballot.round);
+    pub(super) fn promise(&mut self, number: ProposalNumber) {
+        self.durable.promised = number;
+        self.highest_round = self.highest_round.max(number.round);
         self.effects
-            .push(Effect::Persist(DurableWrite::Promised(ballot)));
+            .push(Effect::Persist(DurableWrite::Promised(number)));
     }
 
     pub(super) fn accept(&mut self, items: Vec<Item>) {
-        let new: Vec<Item> = items
-            .into_iter()
-            .filter(|i| self.durable.accepted.replace(i.clone()))
-            .collect();
+        let new = merge_new(&mut self.durable.accepted, items);
         if !new.is_empty() {
             self.effects
                 .push(Effect::Persist(DurableWrite::Accepted(new)));
         }
     }
 
-    /// Takes in what is known to be decided, which may be done at any time.
+    /// Takes in what is known to be committed, which may be done at any time.
     pub(super) fn learn(&mut self, items: Vec<Item>) {
         self.accept(items.clone());
-        let new: Vec<Item> = items
-            .into_iter()
-            .filter(|i| self.durable.decided.replace(i.clone()))
-            .collect();
+        let new = merge_new(&mut self.durable.committed, items);
         if new.is_empty() {
             return;
         }
-        if new.iter().any(|i| i.key.kind == Kind::Voters) {
-            self.voters = VoterSet::decided(&self.durable.decided);
+        if new.iter().any(|item| item.key.kind == ItemKind::Voters) {
+            self.voters = VoterSet::committed(&self.durable.committed);
         }
         self.effects
-            .push(Effect::Persist(DurableWrite::Decided(new.clone())));
-        self.effects.push(Effect::News(new));
+            .push(Effect::Persist(DurableWrite::Committed(new.clone())));
+        self.effects.push(Effect::Committed(new));
     }
 }
+
+/// Merges items by proposal number; returns those that were new.
+fn merge_new(snapshot: &mut ConfigSnapshot, items: Vec<Item>) -> Vec<Item> {
+    let items = items.into_iter();
+    items
+        .filter(|item| snapshot.merge_proposed(item.clone()))
+        .collect()
+}
--- a/crates/config-store/src/consensus/forwarding.rs
+++ b/crates/config-store/src/consensus/forwarding.rs
@@ -1,149 +1,180 @@
-//! Commands passed on to the replica that carries out those of many, and answered by it.
+//! Commands forwarded to the replica that carries out those of many, and answered by it.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use damsonbeam_control::messages::{Command, CommandReply, Ip, Message};
+use damsonbeam_control::address::Ip;
+use damsonbeam_control::messages::{Command, CommandReply, Message};
 
-use super::{
-    COMMAND_TIMEOUT, EVACUATION_TIMEOUT, Effect, FORWARD_ACK_TIMEOUT, FORWARD_PAUSE,
-    FORWARD_TIMEOUT, PendingCommand, Replica, Requester,
+use super::command::{PendingCommand, Requester};
+use super::timing::{
+    COMMAND_TIMEOUT, EVACUATION_TIMEOUT, FORWARD_ACK_TIMEOUT, FORWARD_PAUSE, FORWARD_TIMEOUT,
 };
+use super::{Effect, Replica};
 
-/// Numbers of commands passed on that are remembered, of each replica.
-const FORWARDS_SEEN: usize = 256;
+/// Numbers of forwarded commands that are remembered, of each replica.
+const FORWARDS_REMEMBERED: usize = 256;
 
 impl Replica {
-    pub fn submit(&mut self, no: u64, order: Command, now: Duration) {
-        self.submit_of(no, order, Duration::ZERO, now);
-    }
-
-    /// A command whose caller has waited so long already.
-    pub fn submit_of(&mut self, no: u64, order: Command, waited: Duration, now: Duration) {
-        let evacuation = matches!(order, Command::Evacuate { .. });
-        let timeout = if evacuation {
+    /// Takes a command of the registry here, whose caller has waited for some time already. It is answered by
+    /// [`Effect::Reply`] with the same number.
+    pub fn submit(&mut self, number: u64, command: Command, waited: Duration, now: Duration) {
+        let is_evacuation = matches!(command, Command::Evacuate { .. });
+        let timeout = if is_evacuation {
             EVACUATION_TIMEOUT
         } else {
             COMMAND_TIMEOUT
         };
-        let until = now + timeout.saturating_sub(waited);
-        let asked = PendingCommand {
-            requester: Requester::Here(no),
-            order,
-            until,
-            passed_on: false,
+        let pending = PendingCommand {
+            requester: Requester::Local { number },
+            command,
+            expires_at: now + timeout.saturating_sub(waited),
+            was_forwarded: false,
         };
-        // Many that write at once only take the turn from each other: all write through the first. It is no leader:
-        // whoever hears nothing from it writes itself.
-        let first = self.other_voters().into_iter().next();
-        let first = first.filter(|first| !self.is_voter() || *first < self.me);
-        match first.filter(|_| !evacuation && now >= self.no_forward_until) {
+        let may_forward = !is_evacuation && now >= self.no_forward_until;
+        match self.first_voter().filter(|_| may_forward) {
             Some(first) => {
-                let (life, order) = (self.life, asked.order.clone());
-                self.effects
-                    .push(Effect::Send(first, Message::Forward { life, no, order }));
+                let message = Message::Forward {
+                    incarnation: self.incarnation,
+                    number,
+                    command: pending.command.clone(),
+                };
+                self.effects.push(Effect::Send(first, message));
                 self.forwarded
-                    .insert(no, (asked, now + FORWARD_ACK_TIMEOUT));
+                    .insert(number, (pending, now + FORWARD_ACK_TIMEOUT));
             }
-            None => self.waiting.push_back(asked),
+            None => self.pending.push_back(pending),
         }
         self.tick(now);
     }
 
-    /// What was passed on and is not heard of is carried out here.
+    /// The voter to forward commands to; `None` where it is this one. Many proposers at once only take the turn from each
+    /// other, so all commands go through the first voter that is alive. It is no leader: whoever gets no answer from it
+    /// proposes itself.
+    fn first_voter(&self) -> Option<Ip> {
+        let first = self.other_voters().into_iter().next()?;
+        (!self.is_voter() || first < self.own_ip).then_some(first)
+    }
+
+    /// Forwarded commands that are not answered in time are carried out here.
     pub(super) fn take_back_forwarded(&mut self, now: Duration) {
-        let due: Vec<u64> = self
+        let due = self
             .forwarded
             .iter()
-            .filter(|p| now >= p.1.1)
-            .map(|p| *p.0)
-            .collect();
-        for no in due {
+            .filter(|(_, (_, due_at))| now >= *due_at);
+        let due: Vec<u64> = due.map(|(number, _)| *number).collect();
+        for number in due {
             self.no_forward_until = now + FORWARD_PAUSE;
-            let Some((mut asked, _)) = self.forwarded.remove(&no) else {
+            let Some((mut pending, _)) = self.forwarded.remove(&number) else {
                 continue;
             };
-            asked.passed_on = true;
-            self.waiting.push_back(asked);
+            pending.was_forwarded = true;
+            self.pending.push_back(pending);
+        }
+    }
+
+    /// One of the three messages by which commands are forwarded.
+    pub(super) fn receive_forwarding(&mut self, from: Ip, message: Message, now: Duration) {
+        match message {
+            Message::Forward {
+                incarnation,
+                number,
+                command,
+            } => self.receive_forward(from, incarnation, number, command, now),
+            Message::ForwardAck {
+                incarnation,
+                number,
+            } => self.receive_forward_ack(incarnation, number, now),
+            Message::Forwarded {
+                incarnation,
+                number,
+                reply,
+            } => self.receive_forwarded(incarnation, number, reply, now),
+            _ => {}
         }
     }
 
-    /// Another replica passes a command on.
-    pub(super) fn receive_forward(
+    /// Another replica forwards a command.
+    fn receive_forward(
         &mut self,
         from: Ip,
-        life: u64,
-        no: u64,
-        order: Command,
+        incarnation: u64,
+        number: u64,
+        command: Command,
         now: Duration,
     ) {
-        if !self.is_new_forward(from, life, no) {
+        if !self.is_new_forward(from, incarnation, number) {
             return;
         }
-        if self.is_voter() && !self.leaving {
-            // Its caller takes it back then, and may be told something else.
-            let (requester, until) = (Requester::There(from, life, no), now + FORWARD_TIMEOUT);
-            self.waiting.push_back(PendingCommand {
-                requester,
-                order,
-                until,
-                passed_on: false,
-            });
-            self.effects
-                .push(Effect::Send(from, Message::ForwardAck { life, no }));
-            self.tick(now);
-        } else {
-            self.effects.push(Effect::Send(
-                from,
-                Message::Forwarded {
-                    life,
-                    no,
-                    reply: None,
-                },
-            ));
+        if !self.is_voter() || self.is_leaving {
+            let message = Message::Forwarded {
+                incarnation,
+                number,
+                reply: None,
+            };
+            self.effects.push(Effect::Send(from, message));
+            return;
         }
+        self.pending.push_back(PendingCommand {
+            requester: Requester::Remote {
+                ip: from,
+                incarnation,
+                number,
+            },
+            command,
+            // The sender takes it back then, and its caller may get another answer.
+            expires_at: now + FORWARD_TIMEOUT,
+            was_forwarded: false,
+        });
+        let message = Message::ForwardAck {
+            incarnation,
+            number,
+        };
+        self.effects.push(Effect::Send(from, message));
+        self.tick(now);
     }
 
-    /// One that comes again may have been answered, and its caller told something else, meanwhile.
-    fn is_new_forward(&mut self, from: Ip, life: u64, no: u64) -> bool {
-        let (of, seen) = self.forwards_seen.entry(from).or_default();
-        if *of != life {
-            (*of, *seen) = (life, BTreeSet::new());
+    /// A command that comes again may have been answered, and its caller told something else, meanwhile.
+    fn is_new_forward(&mut self, from: Ip, incarnation: u64, number: u64) -> bool {
+        let seen = self.forwards_seen.entry(from).or_default();
+        if seen.incarnation != incarnation {
+            seen.incarnation = incarnation;
+            seen.numbers = BTreeSet::new();
         }
-        if seen.len() >= FORWARDS_SEEN {
-            seen.pop_first();
+        if seen.numbers.len() >= FORWARDS_REMEMBERED {
+            seen.numbers.pop_first();
         }
-        seen.insert(no)
+        seen.numbers.insert(number)
     }
 
-    /// A command passed on has come, and waits for its turn.
-    pub(super) fn receive_forward_ack(&mut self, life: u64, no: u64, now: Duration) {
-        if life == self.life {
-            self.forwarded
-                .get_mut(&no)
-                .into_iter()
-                .for_each(|p| p.1 = now + FORWARD_TIMEOUT);
+    /// A forwarded command has arrived, and waits for its turn.
+    fn receive_forward_ack(&mut self, incarnation: u64, number: u64, now: Duration) {
+        if incarnation != self.incarnation {
+            return;
+        }
+        if let Some((_, due_at)) = self.forwarded.get_mut(&number) {
+            *due_at = now + FORWARD_TIMEOUT;
         }
     }
 
-    /// What came of a command passed on; none: it could not be taken.
-    pub(super) fn receive_forwarded(
+    /// What came of a forwarded command; `None`: it can't be carried out there.
+    fn receive_forwarded(
         &mut self,
-        life: u64,
-        no: u64,
+        incarnation: u64,
+        number: u64,
         reply: Option<CommandReply>,
         now: Duration,
     ) {
-        if life != self.life {
+        if incarnation != self.incarnation {
             return;
         }
-        let Some((asked, _)) = self.forwarded.remove(&no) else {
+        let Some((pending, _)) = self.forwarded.remove(&number) else {
             return;
         };
         match reply {
-            Some(reply) => self.answer(asked.requester, reply),
+            Some(reply) => self.answer(pending.requester, reply),
             None => {
-                self.waiting.push_back(asked);
+                self.pending.push_back(pending);
                 self.tick(now);
             }
         }
--- a/crates/config-store/src/consensus/proposer.rs
+++ b/crates/config-store/src/consensus/proposer.rs
@@ -1,114 +1,77 @@
-//! The proposer: a round of prepare and accept, and the commands that it carries out.
+//! The proposer: a round of prepare and accept, and the commands that it carries out. It alone changes the round.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use damsonbeam_control::items::{Ballot, ConfigSnapshot, Item, Kind};
-use damsonbeam_control::messages::{AcceptAnswer, Command, CommandReply, Ip, Message};
+use damsonbeam_control::address::Ip;
+use damsonbeam_control::config::{Item, ItemKind, ProposalNumber};
+use damsonbeam_control::messages::{AcceptAnswer, Command, CommandReply, Message, ReplicaItems};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-use super::apply::{apply, settle, undecided};
-use super::voters::{Voter, VoterSet};
-use super::{
-    CHANGE_PAUSE, Effect, LINGER, MAX_BACKOFF, PHASE_TIMEOUT, PendingCommand, Replica, Requester,
+use super::command::{PendingCommand, Requester, apply, drop_clashing_leftovers, uncommitted};
+use super::round::{AfterCommit, Phase, Round};
+use super::timing::{
+    CHANGE_PAUSE, EXTRA_PROMISES_TIMEOUT, MAX_BACKOFF, MAX_CONFLICTS, PHASE_TIMEOUT,
 };
+use super::voters::{Voter, VoterSet};
+use super::{Effect, Replica};
 
-/// An acceptor's answer to a prepare.
+/// An acceptor's answer to a prepare; see [`Message::Promise`].
 pub(super) struct Promise {
-    pub(super) ballot: Ballot,
-    pub(super) promised: Ballot,
-    pub(super) disk: u64,
-    pub(super) items: Option<(Vec<Item>, Vec<Item>)>,
-}
-
-/// What follows once a proposal is accepted.
-#[derive(Clone, Debug, PartialEq, Hash)]
-enum Next {
-    /// What others left undecided is settled: the round's own work begins.
-    OwnWork,
-    /// Another set of voters is in force: nothing of this round counts there.
-    NewEpoch,
-    Answer(Vec<(Requester, CommandReply)>),
-}
-
-#[derive(Clone, Debug, PartialEq, Hash)]
-enum Phase {
-    Prepare {
-        promises: BTreeSet<Voter>,
-        gathered: Box<ConfigSnapshot>,
-    },
-    Accept {
-        accepts: BTreeSet<Voter>,
-        items: Vec<Item>,
-        next: Next,
-    },
-}
-
-/// One ballot of this proposer, in one epoch.
-#[derive(Clone, Debug, PartialEq, Hash)]
-pub(super) struct Round {
-    ballot: Ballot,
-    voters: VoterSet,
-    /// Who had promised when it had enough.
-    answered: BTreeSet<Voter>,
-    /// Counts the proposals: an answer to one must not count for another.
-    step: u32,
-    orders: Vec<PendingCommand>,
-    /// It has a majority, and waits for what a change of the voter set needs beyond it.
-    lingers: bool,
-    pub(super) until: Duration,
-    phase: Phase,
+    pub(super) proposal_number: ProposalNumber,
+    pub(super) promised: ProposalNumber,
+    pub(super) disk_id: u64,
+    pub(super) items: Option<ReplicaItems>,
 }
 
 impl Replica {
-    pub(super) fn prepare(&mut self, orders: Vec<PendingCommand>, now: Duration) {
+    pub(super) fn start_round(&mut self, commands: Vec<PendingCommand>, now: Duration) {
         let (Some(set), Some(voters)) = (self.voters.clone(), self.voters_item()) else {
             return;
         };
-        self.highest += 1;
-        let ballot = Ballot {
-            round: self.highest,
-            writer: self.writer(),
-        };
-        self.promise(ballot);
-        let digest = (
-            self.durable.accepted.digest(),
-            self.durable.decided.digest(),
-        );
-        let promises = [self.identity()].into();
-        let phase = Phase::Prepare {
-            promises,
-            gathered: Box::new(self.durable.accepted.clone()),
+        self.highest_round += 1;
+        let proposal_number = ProposalNumber {
+            round: self.highest_round,
+            proposer: self.proposer_id(),
         };
+        self.promise(proposal_number);
         self.round = Some(Round {
-            ballot,
+            proposal_number,
             voters: set,
-            answered: BTreeSet::new(),
+            promised_by: BTreeSet::new(),
             step: 0,
-            orders,
-            lingers: false,
+            commands,
+            awaits_more_promises: false,
             until: now + PHASE_TIMEOUT,
-            phase,
+            phase: Phase::Prepare {
+                promises: [self.identity()].into(),
+                gathered: Box::new(self.durable.accepted.clone()),
+            },
         });
-        self.effects.push(Effect::Broadcast(Message::Prepare {
-            ballot,
+        let message = Message::Prepare {
+            proposal_number,
             voters,
-            digest,
-        }));
-        self.promises_complete(now);
+            digest: self.state_digest(),
+        };
+        self.effects.push(Effect::Broadcast(message));
+        self.check_promises(now);
     }
 
-    /// Back into the line with what is not answered; whoever clashed waits a time by lot.
+    /// The commands are pending again. After a conflict the next round waits a random time.
     pub(super) fn abandon_round(&mut self, now: Duration) {
-        if self.round.as_ref().is_some_and(|r| r.lingers) {
+        if self
+            .round
+            .as_ref()
+            .is_some_and(|round| round.awaits_more_promises)
+        {
             self.next_change_at = now + CHANGE_PAUSE;
             return self.requeue_round();
         }
-        self.clashes = (self.clashes + 1).min(5);
-        self.random_draws = self.random_draws.wrapping_add(1);
-        let lot: f64 = SmallRng::seed_from_u64(self.random_draws).random();
-        self.next_round_at = now + MAX_BACKOFF.mul_f64(lot * f64::from(self.clashes));
+        self.conflicts = (self.conflicts + 1).min(MAX_CONFLICTS);
+        self.random_state = self.random_state.wrapping_add(1);
+        let fraction: f64 = SmallRng::seed_from_u64(self.random_state).random();
+        self.next_round_at = now + MAX_BACKOFF.mul_f64(fraction * f64::from(self.conflicts));
         self.requeue_round();
     }
 
@@ -116,17 +79,18 @@
         let Some(round) = self.round.take() else {
             return;
         };
-        for order in round.orders.into_iter().rev() {
-            self.waiting.push_front(order);
+        for command in round.commands.into_iter().rev() {
+            self.pending.push_front(command);
         }
     }
 
     /// A round counts in its own epoch alone.
     pub(super) fn drop_round_of_earlier_epoch(&mut self) {
+        let epoch = self.epoch();
         if self
             .round
             .as_ref()
-            .is_some_and(|r| r.voters.epoch != self.epoch())
+            .is_some_and(|round| round.voters.epoch != epoch)
         {
             self.requeue_round();
         }
@@ -135,101 +99,99 @@
     /// An acceptor answers a prepare.
     pub(super) fn receive_promise(&mut self, from: Ip, promise: Promise, now: Duration) {
         let Promise {
-            ballot,
+            proposal_number,
             promised,
-            disk,
+            disk_id,
             items,
         } = promise;
-        self.highest = self.highest.max(promised.round);
-        let Some(round) = self.round.as_mut().filter(|r| r.ballot == ballot) else {
+        self.highest_round = self.highest_round.max(promised.round);
+        let round = self.round.as_mut();
+        let Some(round) = round.filter(|round| round.proposal_number == proposal_number) else {
             return;
         };
         let Phase::Prepare { promises, gathered } = &mut round.phase else {
             return;
         };
-        if promised != ballot {
+        if promised != proposal_number {
             return self.abandon_round(now);
         }
-        let (items, decided) = items.unwrap_or_default();
-        for item in items.into_iter().chain(decided.iter().cloned()) {
-            gathered.replace(item);
+        let ReplicaItems {
+            accepted,
+            committed,
+        } = items.unwrap_or_default();
+        for item in accepted.into_iter().chain(committed.iter().cloned()) {
+            gathered.merge_proposed(item);
         }
-        promises.insert(Voter { ip: from, disk });
-        self.learn(decided);
+        promises.insert(Voter { ip: from, disk_id });
+        self.learn(committed);
         self.drop_round_of_earlier_epoch();
-        self.promises_complete(now);
+        self.check_promises(now);
     }
 
     /// An acceptor answers a proposal.
     pub(super) fn receive_accepted(
         &mut self,
         voter: Voter,
-        (ballot, step): (Ballot, u32),
+        proposal_number: ProposalNumber,
+        step: u32,
         answer: AcceptAnswer,
         now: Duration,
     ) {
         if let AcceptAnswer::Promised(later) = answer {
-            self.highest = self.highest.max(later.round);
+            self.highest_round = self.highest_round.max(later.round);
         }
-        let Some(round) = self
-            .round
-            .as_mut()
-            .filter(|r| (r.ballot, r.step) == (ballot, step))
-        else {
+        let Some(round) = &mut self.round else {
             return;
         };
+        if (round.proposal_number, round.step) != (proposal_number, step) {
+            return;
+        }
         let Phase::Accept { accepts, .. } = &mut round.phase else {
             return;
         };
         match answer {
             AcceptAnswer::Accepted => {
                 accepts.insert(voter);
-                self.accepts_complete(now);
+                self.check_accepts(now);
             }
             AcceptAnswer::Promised(_) => self.abandon_round(now),
             AcceptAnswer::Behind => self.propose_again(voter.ip),
         }
     }
 
-    /// The acceptor has asked for what it lacks, and has been sent it: by the time this comes it is level, unless it
-    /// holds what this replica lacks.
+    /// The acceptor has asked for what it lacks, and has been sent it: by the time this arrives it has everything, unless
+    /// it holds what this replica lacks.
     fn propose_again(&mut self, to: Ip) {
-        let (Some(voters), compare) = (self.voters_item(), self.compare_digests()) else {
+        let Some(voters) = self.voters_item() else {
             return;
         };
-        let level = Some(self.durable.decided.digest());
-        let Some(Round {
-            ballot,
-            step,
-            phase: Phase::Accept { items, .. },
-            ..
-        }) = &self.round
-        else {
+        let Some(round) = &self.round else { return };
+        let Phase::Accept { items, .. } = &round.phase else {
             return;
         };
-        let (ballot, step, items, decided) = (*ballot, *step, items.clone(), Vec::new());
         let proposal = Message::Accept {
-            ballot,
-            step,
+            proposal_number: round.proposal_number,
+            step: round.step,
             voters,
-            items,
-            decided,
-            level,
+            items: items.clone(),
+            committed: Vec::new(),
+            required_digest: Some(self.durable.committed.digest()),
         };
-        self.effects.push(Effect::Send(to, compare));
+        let digests = self.digests_message();
+        self.effects.push(Effect::Send(to, digests));
         self.effects.push(Effect::Send(to, proposal));
     }
 
     /// A round of an earlier epoch was refused.
-    pub(super) fn receive_newer_voters(&mut self, ballot: Ballot, voters: Item) {
-        self.highest = self.highest.max(ballot.round);
+    pub(super) fn receive_newer_voters(&mut self, refused: ProposalNumber, voters: Item) {
+        self.highest_round = self.highest_round.max(refused.round);
         self.learn(vec![voters]);
         self.drop_round_of_earlier_epoch();
     }
 
-    /// A majority has told what it accepted. What was left undecided by others' writes is decided first: a command may
-    /// take the place of an item only where it is known to be decided, and is told so along with what replaces it.
-    fn promises_complete(&mut self, now: Duration) {
+    /// Once a majority has promised, what others left uncommitted is committed first: a command may replace an item only
+    /// where it is known to be committed, and acceptors learn that along with what replaces it.
+    fn check_promises(&mut self, now: Duration) {
         let change = self.due_change(now);
         let Some(round) = &mut self.round else { return };
         let Phase::Prepare { promises, gathered } = &mut round.phase else {
@@ -238,45 +200,43 @@
         if !round.voters.is_majority(promises) {
             return;
         }
-        // Proposed only where those who answer now suffice for it: what is known of the others may be old.
-        if change.is_some_and(|next| !next.is_majority(promises)) && round.orders.is_empty() {
-            if !round.lingers {
-                (round.lingers, round.until) = (true, now + LINGER);
+        // A change is proposed only where those who answer now suffice for it: what is known of the others may be old.
+        let lacks_promises = change.is_some_and(|next| !next.is_majority(promises));
+        if lacks_promises && round.commands.is_empty() {
+            if !round.awaits_more_promises {
+                round.awaits_more_promises = true;
+                round.until = now + EXTRA_PROMISES_TIMEOUT;
             }
             return;
         }
-        round.lingers = false;
-        round.answered = promises.clone();
+        round.awaits_more_promises = false;
+        round.promised_by = promises.clone();
         let mut snapshot = std::mem::take(&mut **gathered);
-        settle(&mut snapshot, &self.durable.decided);
-        let (ballot, epoch) = (round.ballot, round.voters.epoch);
-        let left = undecided(&snapshot, &self.durable.decided).map(|i| Item {
-            ballot,
-            ..i.clone()
+        let proposal_number = round.proposal_number;
+        let epoch = round.voters.epoch;
+        drop_clashing_leftovers(&mut snapshot, &self.durable.committed);
+        let leftovers = uncommitted(&snapshot, &self.durable.committed).map(|item| Item {
+            proposal_number,
+            ..item.clone()
         });
-        // A change of the voter set comes last, when all before it is decided.
-        let (change, left): (Vec<Item>, Vec<Item>) =
-            left.partition(|i| i.key.kind == Kind::Voters && i.version > epoch);
-        self.left_voters = change.first().and_then(VoterSet::from_item);
-        if left.is_empty() {
-            self.own_work(now);
+        // A change of the voter set comes last, when everything before it is committed.
+        let is_later_set = |item: &Item| item.key.kind == ItemKind::Voters && item.version > epoch;
+        let (later_sets, leftovers): (Vec<Item>, Vec<Item>) = leftovers.partition(is_later_set);
+        self.leftover_voters = later_sets.first().and_then(VoterSet::from_item);
+        if leftovers.is_empty() {
+            self.begin_own_work(now);
         } else {
-            self.propose(left, Next::OwnWork, now);
+            self.propose(leftovers, AfterCommit::OwnWork, now);
         }
     }
 
-    /// All that may have been decided is decided here, and nobody else's write can be by a lower ballot any more.
-    fn own_work(&mut self, now: Duration) {
-        let answered = self
-            .round
-            .as_ref()
-            .map(|r| r.answered.clone())
-            .unwrap_or_default();
+    /// All that may have been committed is committed here, and nobody else can commit anything by a lower number any more.
+    fn begin_own_work(&mut self, now: Duration) {
+        let Some(round) = &self.round else { return };
         let due = self
             .due_change(now)
-            .filter(|next| next.is_majority(&answered));
-        let change = self.left_voters.take().or(due);
-        match change {
+            .filter(|next| next.is_majority(&round.promised_by));
+        match self.leftover_voters.take().or(due) {
             Some(set) => self.propose_voters(&set, now),
             None => self.apply_commands(now),
         }
@@ -284,125 +244,117 @@
 
     fn propose_voters(&mut self, set: &VoterSet, now: Duration) {
         let Some(round) = &self.round else { return };
-        let item = set.to_item(round.ballot);
-        self.propose(vec![item], Next::NewEpoch, now);
+        let item = set.to_item(round.proposal_number);
+        self.propose(vec![item], AfterCommit::NewEpoch, now);
     }
 
     fn apply_commands(&mut self, now: Duration) {
         let Some(round) = &self.round else { return };
-        let (mut snapshot, ballot, mut replies) =
-            (self.durable.decided.clone(), round.ballot, Vec::new());
-        for PendingCommand {
-            requester,
-            order,
-            until,
-            passed_on,
-        } in &round.orders
-        {
-            if now >= *until && matches!(order, Command::Evacuate { .. }) {
-                replies.push((
-                    *requester,
-                    CommandReply::Unsettled("it took too long".into()),
-                ));
+        let mut snapshot = self.durable.committed.clone();
+        let mut replies = Vec::new();
+        for pending in &round.commands {
+            let is_evacuation = matches!(pending.command, Command::Evacuate { .. });
+            if is_evacuation && now >= pending.expires_at {
+                let reply = CommandReply::Unavailable("it took too long".into());
+                replies.push((pending.requester, reply));
                 continue;
             }
-            let (next, mut reply) = apply(&snapshot, order, ballot);
-            snapshot = next.unwrap_or(snapshot);
-            if *passed_on && let CommandReply::Invalid(why) = reply {
-                // It may yet be found valid there.
-                reply = CommandReply::Unsettled(why);
-            }
-            replies.push((*requester, reply));
+            let outcome = apply(&snapshot, &pending.command, round.proposal_number);
+            snapshot = outcome.next.unwrap_or(snapshot);
+            let reply = match outcome.reply {
+                // It may yet be found valid where it was forwarded to.
+                CommandReply::Invalid(reason) if pending.was_forwarded => {
+                    CommandReply::Unavailable(reason)
+                }
+                reply => reply,
+            };
+            replies.push((pending.requester, reply));
         }
-        for (_, reply) in replies
-            .iter_mut()
-            .filter(|r| r.1 == CommandReply::Config(Vec::new()))
-        {
-            let items = snapshot
-                .items()
-                .values()
-                .filter(|i| !i.key.kind.is_internal());
-            *reply = CommandReply::Config(items.cloned().collect());
+        for (_, reply) in &mut replies {
+            if let CommandReply::Config(items) = reply {
+                let all = snapshot.items().values();
+                let all = all.filter(|item| !item.key.kind.is_internal());
+                *items = all.cloned().collect();
+            }
         }
-        let new: Vec<Item> = undecided(&snapshot, &self.durable.decided)
-            .cloned()
-            .collect();
+        let new = uncommitted(&snapshot, &self.durable.committed);
+        let new: Vec<Item> = new.cloned().collect();
         if new.is_empty() {
             self.finish_round(replies);
         } else {
-            self.propose(new, Next::Answer(replies), now);
+            self.propose(new, AfterCommit::Reply(replies), now);
         }
     }
 
     fn finish_round(&mut self, replies: Vec<(Requester, CommandReply)>) {
         self.round = None;
-        self.clashes = 0;
-        // What is left after a round clashes with what is decided: it is looked at again, not at once.
-        self.undecided_since = None;
-        replies
-            .into_iter()
-            .for_each(|(requester, reply)| self.answer(requester, reply));
+        self.conflicts = 0;
+        // What is left after a round clashes with what is committed: it is looked at again, not at once.
+        self.uncommitted_since = None;
+        for (requester, reply) in replies {
+            self.answer(requester, reply);
+        }
     }
 
-    fn propose(&mut self, items: Vec<Item>, next: Next, now: Duration) {
-        let me = self.identity();
-        let before = items
+    fn propose(&mut self, items: Vec<Item>, then: AfterCommit, now: Duration) {
+        let identity = self.identity();
+        let replaced = items
             .iter()
-            .filter_map(|i| self.durable.decided.get(&i.key));
-        let decided: Vec<Item> = before.cloned().collect();
+            .filter_map(|item| self.durable.committed.get(&item.key));
+        let committed: Vec<Item> = replaced.cloned().collect();
         let Some(voters) = self.voters_item() else {
             return;
         };
         let Some(round) = &mut self.round else { return };
-        if self.durable.promised > round.ballot {
-            // Promised to another since: this one's own word, too, is for the later ballot.
+        if self.durable.promised > round.proposal_number {
+            // Promised to another since: this replica's own answer, too, is for the later number.
             return self.abandon_round(now);
         }
         round.step += 1;
         round.until = now + PHASE_TIMEOUT;
-        let level = (next == Next::NewEpoch).then(|| self.durable.decided.digest());
-        let (ballot, step) = (round.ballot, round.step);
-        round.phase = Phase::Accept {
-            accepts: [me].into(),
-            items: items.clone(),
-            next,
-        };
-        self.accept(items.clone());
+        let is_new_epoch = then == AfterCommit::NewEpoch;
         let proposal = Message::Accept {
-            ballot,
-            step,
+            proposal_number: round.proposal_number,
+            step: round.step,
             voters,
-            items,
-            decided,
-            level,
+            items: items.clone(),
+            committed,
+            required_digest: is_new_epoch.then(|| self.durable.committed.digest()),
+        };
+        round.phase = Phase::Accept {
+            accepts: [identity].into(),
+            items: items.clone(),
+            then,
         };
+        self.accept(items);
         self.effects.push(Effect::Broadcast(proposal));
-        self.accepts_complete(now);
+        self.check_accepts(now);
     }
 
-    fn accepts_complete(&mut self, now: Duration) {
+    fn check_accepts(&mut self, now: Duration) {
         let Some(round) = &mut self.round else { return };
         let Phase::Accept {
             accepts,
             items,
-            next,
+            then,
         } = &mut round.phase
         else {
             return;
         };
-        let new_set = items.iter().filter_map(VoterSet::from_item).next();
-        let by_the_new = new_set.is_none_or(|set| set.is_majority(accepts));
-        if !round.voters.is_majority(accepts) || !by_the_new {
+        let new_set = items.iter().find_map(VoterSet::from_item);
+        let has_new_majority = new_set.is_none_or(|set| set.is_majority(accepts));
+        if !round.voters.is_majority(accepts) || !has_new_majority {
             return;
         }
-        let (items, next) = (std::mem::take(items), next.clone());
+        let items = std::mem::take(items);
+        let then = then.clone();
         self.learn(items.clone());
         self.effects
             .push(Effect::Broadcast(Message::Commit { items }));
-        match next {
-            Next::OwnWork => self.own_work(now),
-            Next::NewEpoch => self.requeue_round(),
-            Next::Answer(replies) => self.finish_round(replies),
+        match then {
+            AfterCommit::OwnWork => self.begin_own_work(now),
+            AfterCommit::NewEpoch => self.requeue_round(),
+            AfterCommit::Reply(replies) => self.finish_round(replies),
         }
     }
 }
--- a/crates/config-store/src/consensus/repair.rs
+++ b/crates/config-store/src/consensus/repair.rs
@@ -1,97 +1,110 @@
-//! Repair: replicas compare digests, and send each other the items of the parts that differ. A replica without a vote
-//! asks for one this way: a voter that it is level with takes it for a candidate.
+//! Repair (anti-entropy): replicas compare digests, and send each other the items of the shards that differ. A replica
+//! without a vote asks for one this way: a voter that holds the same committed items takes it for a candidate.
 
 use std::time::Duration;
 
-use damsonbeam_control::items::{Ballot, Item};
-use damsonbeam_control::messages::{Ip, Message};
+use damsonbeam_control::address::Ip;
+use damsonbeam_control::config::{Item, ProposalNumber};
+use damsonbeam_control::messages::{Message, StateGroupDigests};
 
+use super::timing::{COMPARE_INTERVAL, JOIN_ATTEMPTS, JOIN_INTERVAL};
 use super::voters::{Voter, VoterSet};
-use super::{COMPARE_INTERVAL, Effect, JOIN_ASKS, JOIN_INTERVAL, Replica};
+use super::{Effect, Replica};
 
 impl Replica {
-    pub(super) fn compare_digests(&self) -> Message {
-        let digests = (
-            self.durable.accepted.digests(),
-            self.durable.decided.digests(),
-        );
-        let learner = (!self.is_voter()).then_some(self.durable.disk);
-        Message::CompareDigests { digests, learner }
+    fn group_digests(&self) -> StateGroupDigests {
+        StateGroupDigests {
+            accepted: self.durable.accepted.group_digests(),
+            committed: self.durable.committed.group_digests(),
+        }
+    }
+
+    pub(super) fn digests_message(&self) -> Message {
+        Message::CompareDigests {
+            digests: self.group_digests(),
+            learner: (!self.is_voter()).then_some(self.durable.disk_id),
+        }
     }
 
-    /// Compares with one other replica now and then; one without a vote asks more often, the same voter a few times in
-    /// a row, so that those who join at the same time turn to the same one.
+    /// Compares with one other replica now and then. One without a vote compares more often, and with the same voter a few
+    /// times in a row, so that those who join at the same time turn to the same one.
     pub(super) fn compare_when_due(&mut self, now: Duration) {
         if now < self.next_compare_at {
             return;
         }
-        let joins = !self.is_voter();
-        let known: Vec<Ip> = self
-            .voters
-            .iter()
-            .flat_map(VoterSet::voters)
-            .map(|v| v.ip)
-            .collect();
-        let voters: Vec<Ip> = known.into_iter().filter(|ip| *ip != self.me).collect();
-        let whom = if joins && !voters.is_empty() {
-            voters[self.compare_turn / JOIN_ASKS % voters.len()]
-        } else if let Some(peer) = self.peers.get(self.compare_turn % self.peers.len().max(1)) {
-            *peer
-        } else {
+        let Some(peer) = self.next_to_compare() else {
             return;
         };
-        self.next_compare_at = now
-            + if joins {
-                JOIN_INTERVAL
-            } else {
-                COMPARE_INTERVAL
-            };
+        let interval = if self.is_voter() {
+            COMPARE_INTERVAL
+        } else {
+            JOIN_INTERVAL
+        };
+        self.next_compare_at = now + interval;
         self.compare_turn += 1;
         self.effects
-            .push(Effect::Send(whom, self.compare_digests()));
+            .push(Effect::Send(peer, self.digests_message()));
     }
 
-    /// Another replica tells its digests.
+    fn next_to_compare(&self) -> Option<Ip> {
+        if !self.is_voter() {
+            let voters = self.voters.iter().flat_map(VoterSet::voters);
+            let voters = voters.map(|voter| voter.ip).filter(|ip| *ip != self.own_ip);
+            let voters: Vec<Ip> = voters.collect();
+            if !voters.is_empty() {
+                return Some(voters[self.compare_turn / JOIN_ATTEMPTS % voters.len()]);
+            }
+        }
+        let index = self.compare_turn % self.peers.len().max(1);
+        self.peers.get(index).copied()
+    }
+
+    /// Another replica sends its digests.
     pub(super) fn receive_compare(
         &mut self,
         from: Ip,
-        digests: (Vec<u32>, Vec<u32>),
+        digests: StateGroupDigests,
         learner: Option<u64>,
         now: Duration,
     ) {
-        let candidate = learner.map(|disk| Voter { ip: from, disk });
-        if let Some(candidate) = candidate
-            && digests.1 == self.durable.decided.digests()
+        let own = self.group_digests();
+        if let Some(disk_id) = learner
+            && digests.committed == own.committed
         {
-            self.candidates.insert(candidate, now);
+            self.candidates.insert(Voter { ip: from, disk_id }, now);
         }
-        if digests
-            != (
-                self.durable.accepted.digests(),
-                self.durable.decided.digests(),
-            )
-        {
-            self.effects
-                .push(Effect::Send(from, self.repair_items(&digests)));
+        if digests != own {
+            let items = self.items_lacking(&digests);
+            self.effects.push(Effect::Send(from, items));
         }
     }
 
     /// Another replica sends what this one lacks, or may lack.
-    pub(super) fn receive_repair(&mut self, items: Vec<Item>, decided: Vec<Item>, ballot: Ballot) {
-        self.highest = self.highest.max(ballot.round);
+    pub(super) fn receive_repair(
+        &mut self,
+        items: Vec<Item>,
+        committed: Vec<Item>,
+        promised: ProposalNumber,
+    ) {
+        self.highest_round = self.highest_round.max(promised.round);
         self.accept(items);
-        self.learn(decided);
+        self.learn(committed);
     }
 
-    /// What another lacks, or may lack: the items of the parts that differ.
-    fn repair_items(&self, (accepted, decided): &(Vec<u32>, Vec<u32>)) -> Message {
-        let mut items = self.durable.accepted.beside(accepted);
-        items.retain(|i| self.durable.decided.get(&i.key) != Some(i));
-        let decided = self.durable.decided.beside(decided);
+    /// What another replica lacks, or may lack: the items of the shards that differ.
+    fn items_lacking(&self, digests: &StateGroupDigests) -> Message {
+        let mut items = self
+            .durable
+            .accepted
+            .items_differing_from(&digests.accepted);
+        items.retain(|item| self.durable.committed.get(&item.key) != Some(item));
         Message::RepairItems {
             items,
-            decided,
-            ballot: self.durable.promised,
+            committed: self
+                .durable
+                .committed
+                .items_differing_from(&digests.committed),
+            promised: self.durable.promised,
         }
     }
 }
--- a/crates/config-store/tests/answers.rs
+++ b/crates/config-store/tests/answers.rs
@@ -3,8 +3,9 @@
 use std::time::Duration;
 
 use damsonbeam_config_store::consensus::{DurableState, Effect, Replica};
-use damsonbeam_control::items::{Ballot, Change, Item, Key, Kind};
-use damsonbeam_control::messages::{AcceptAnswer, Command, CommandReply, Ip, Message};
+use damsonbeam_control::address::Ip;
+use damsonbeam_control::config::{ConfigChange, Item, ItemKey, ItemKind, ProposalNumber};
+use damsonbeam_control::messages::{AcceptAnswer, Command, CommandReply, Message};
 
 const NOW: Duration = Duration::from_secs(1);
 
@@ -13,34 +14,34 @@
 }
 
 /// The first of so many founders.
-fn replica(founders: usize, life: u64) -> Replica {
+fn replica(founders: usize, incarnation: u64) -> Replica {
     let seeds: Vec<Ip> = (0..founders).map(ip).collect();
     let mut disk = DurableState::default();
-    disk.found(ip(0), &seeds)
+    disk.founding_writes(ip(0), &seeds)
         .expect("empty")
         .iter()
-        .for_each(|write| disk.keep(write));
-    let mut replica = Replica::new(ip(0), disk, life, NOW);
-    replica.roster(&seeds);
+        .for_each(|write| disk.apply(write));
+    let mut replica = Replica::new(ip(0), disk, incarnation, NOW);
+    replica.set_roster(&seeds);
     replica
 }
 
-fn set(kind: Kind, name: &str, version: u64, body: Option<&str>) -> Item {
+fn set(kind: ItemKind, name: &str, version: u64, body: Option<&str>) -> Item {
     let body = body.map(|text| text.as_bytes().to_vec());
     Item {
-        key: Key {
+        key: ItemKey {
             kind,
             name: name.into(),
         },
         version,
-        ballot: Ballot::default(),
+        proposal_number: ProposalNumber::default(),
         body,
     }
 }
 
 fn service(name: &str) -> Item {
     set(
-        Kind::Service,
+        ItemKind::Service,
         name,
         1,
         Some(&format!(r#"{{"name":"{name}"}}"#)),
@@ -51,16 +52,17 @@
     let body = format!(
         r#"{{"name":"r","host_name":"h","path_prefix":"/","route_type":"read_only","timeout_ms":{timeout},"target_latency_ms":5,"target_service":"s"}}"#
     );
-    set(Kind::Route, "r", version, Some(&body))
+    set(ItemKind::Route, "r", version, Some(&body))
 }
 
 /// What a replica that is a majority by itself answers at once.
 fn answer(replica: &mut Replica, items: &[Item]) -> CommandReply {
     replica.submit(
         1,
-        Command::Change(Change {
+        Command::Change(ConfigChange {
             items: items.to_vec(),
         }),
+        Duration::ZERO,
         NOW,
     );
     let mut replies = replica
@@ -85,7 +87,7 @@
         CommandReply::Done
     );
     let copy = set(
-        Kind::Copy,
+        ItemKind::MirrorRule,
         "c",
         1,
         Some(
@@ -111,11 +113,11 @@
         CommandReply::Done
     );
     assert_eq!(
-        answer(&mut alone, &[set(Kind::Route, "r", 5, None)]),
+        answer(&mut alone, &[set(ItemKind::Route, "r", 5, None)]),
         CommandReply::Done
     );
     assert_eq!(
-        answer(&mut alone, &[set(Kind::Service, "s", 2, None)]),
+        answer(&mut alone, &[set(ItemKind::Service, "s", 2, None)]),
         CommandReply::Done
     );
     assert_eq!(
@@ -136,7 +138,7 @@
     assert!(is_refused(&answer(&mut alone, &[route(2, 800)])));
     assert!(is_refused(&answer(
         &mut alone,
-        &[set(Kind::Route, "r", 2, None)]
+        &[set(ItemKind::Route, "r", 2, None)]
     )));
     assert!(
         is_refused(&answer(&mut alone, &[route(3, 800), route(3, 700)])),
@@ -149,15 +151,17 @@
     assert_eq!(answer(&mut alone, &[route(2, 900)]), CommandReply::Done);
 }
 
-fn prepared(replica: &mut Replica) -> Ballot {
-    let ballot = replica
+fn prepared(replica: &mut Replica) -> ProposalNumber {
+    let proposal_number = replica
         .take_effects()
         .into_iter()
         .find_map(|effect| match effect {
-            Effect::Broadcast(Message::Prepare { ballot, .. }) => Some(ballot),
+            Effect::Broadcast(Message::Prepare {
+                proposal_number, ..
+            }) => Some(proposal_number),
             _ => None,
         });
-    ballot.expect("a prepare")
+    proposal_number.expect("a prepare")
 }
 
 fn replies(replica: &mut Replica) -> usize {
@@ -175,43 +179,44 @@
     let mut one = replica(3, 1);
     one.submit(
         1,
-        Command::Change(Change {
+        Command::Change(ConfigChange {
             items: vec![service("s")],
         }),
+        Duration::ZERO,
         NOW,
     );
-    let ballot = prepared(&mut one);
-    let old = Ballot {
-        round: ballot.round - 1,
-        ..ballot
+    let proposal_number = prepared(&mut one);
+    let old = ProposalNumber {
+        round: proposal_number.round - 1,
+        ..proposal_number
     };
-    let promise = |b: Ballot| Message::Promise {
-        ballot: b,
+    let promise = |b: ProposalNumber| Message::Promise {
+        proposal_number: b,
         promised: b,
-        disk: 0,
+        disk_id: 0,
         items: None,
     };
-    let accepted = |ballot: Ballot, step: u32| Message::Accepted {
-        ballot,
+    let accepted = |proposal_number: ProposalNumber, step: u32| Message::Accepted {
+        proposal_number,
         step,
-        disk: 0,
+        disk_id: 0,
         answer: AcceptAnswer::Accepted,
     };
     one.receive(ip(1), promise(old), NOW);
-    one.receive(ip(1), accepted(ballot, 1), NOW);
+    one.receive(ip(1), accepted(proposal_number, 1), NOW);
     assert!(
         one.take_effects().is_empty(),
         "a promise of an earlier ballot counts"
     );
-    one.receive(ip(1), promise(ballot), NOW);
+    one.receive(ip(1), promise(proposal_number), NOW);
     one.receive(ip(1), accepted(old, 1), NOW);
-    one.receive(ip(1), accepted(ballot, 2), NOW);
+    one.receive(ip(1), accepted(proposal_number, 2), NOW);
     assert_eq!(
         replies(&mut one),
         0,
         "an acceptance of something else counts"
     );
-    one.receive(ip(1), accepted(ballot, 1), NOW);
+    one.receive(ip(1), accepted(proposal_number, 1), NOW);
     assert_eq!(replies(&mut one), 1);
 }
 
@@ -221,22 +226,23 @@
 fn an_answer_to_a_command_of_an_earlier_life_is_none() {
     let seeds: Vec<Ip> = (0..3).map(ip).collect();
     let mut disk = DurableState::default();
-    disk.found(ip(2), &seeds)
+    disk.founding_writes(ip(2), &seeds)
         .expect("empty")
         .iter()
-        .for_each(|write| disk.keep(write));
+        .for_each(|write| disk.apply(write));
     let mut last = Replica::new(ip(2), disk, 5, NOW);
-    last.roster(&seeds);
+    last.set_roster(&seeds);
     last.submit(
         1,
-        Command::Change(Change {
+        Command::Change(ConfigChange {
             items: vec![service("s")],
         }),
+        Duration::ZERO,
         NOW,
     );
-    let done = |life: u64| Message::Forwarded {
-        life,
-        no: 1,
+    let done = |incarnation: u64| Message::Forwarded {
+        incarnation,
+        number: 1,
         reply: Some(CommandReply::Done),
     };
     last.receive(ip(0), done(4), NOW);
@@ -251,13 +257,13 @@
 fn a_command_that_may_be_carried_out_elsewhere_is_not_refused_and_one_that_comes_twice_is_taken_once()
  {
     let mut one = replica(3, 1);
-    let order = Command::Change(Change {
+    let order = Command::Change(ConfigChange {
         items: vec![route(1, 900)],
     });
     let forward = Message::Forward {
-        life: 9,
-        no: 1,
-        order: order.clone(),
+        incarnation: 9,
+        number: 1,
+        command: order.clone(),
     };
     let taken = |one: &mut Replica| {
         one.receive(ip(1), forward.clone(), NOW);
@@ -272,24 +278,24 @@
 
     let seeds: Vec<Ip> = (0..3).map(ip).collect();
     let mut disk = DurableState::default();
-    disk.found(ip(1), &seeds)
+    disk.founding_writes(ip(1), &seeds)
         .expect("empty")
         .iter()
-        .for_each(|write| disk.keep(write));
+        .for_each(|write| disk.apply(write));
     let mut second = Replica::new(ip(1), disk, 5, NOW);
-    second.roster(&seeds);
-    second.submit(1, order, NOW);
+    second.set_roster(&seeds);
+    second.submit(1, order, Duration::ZERO, NOW);
     second.take_effects();
     second.tick(NOW + Duration::from_millis(500));
-    let ballot = prepared(&mut second);
+    let proposal_number = prepared(&mut second);
     let promise = Message::Promise {
-        ballot,
-        promised: ballot,
-        disk: 0,
+        proposal_number,
+        promised: proposal_number,
+        disk_id: 0,
         items: None,
     };
     second.receive(ip(2), promise, NOW + Duration::from_millis(510));
-    let unsettled = |e: &Effect| matches!(e, Effect::Reply(1, CommandReply::Unsettled(_)));
+    let unsettled = |e: &Effect| matches!(e, Effect::Reply(1, CommandReply::Unavailable(_)));
     assert!(
         second.take_effects().iter().any(unsettled),
         "it may be found valid there"
--- a/crates/config-store/tests/disk.rs
+++ b/crates/config-store/tests/disk.rs
@@ -7,9 +7,10 @@
 use std::time::Duration;
 
 use damsonbeam_config_store::consensus::DurableWrite;
-use damsonbeam_config_store::disk::Disk;
-use damsonbeam_control::items::{Ballot, Item, Key, Kind};
-use damsonbeam_control::messages::{BackendSnapshot, Server};
+use damsonbeam_config_store::disk::{Disk, StoredState};
+use damsonbeam_control::address::Endpoint;
+use damsonbeam_control::config::{Item, ItemKey, ItemKind, ProposalNumber};
+use damsonbeam_control::messages::{Backend, BackendList, BackendListVersion};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use redb::StorageBackend;
@@ -151,36 +152,36 @@
 
 /// Each second one is so large that the file grows.
 fn item(n: u64) -> Item {
-    let key = Key {
-        kind: Kind::Route,
+    let key = ItemKey {
+        kind: ItemKind::Route,
         name: format!("r{}", n % 3),
     };
-    let ballot = Ballot {
+    let proposal_number = ProposalNumber {
         round: n,
-        writer: 1,
+        proposer: 1,
     };
     let size = if n.is_multiple_of(2) { 60_000 } else { 300 };
     Item {
         key,
         version: n,
-        ballot,
+        proposal_number,
         body: Some(vec![b'x'; size + n as usize]),
     }
 }
 
 /// Keeps one thing after another until the power goes; the number of those that were told to be kept.
 fn keep_on(file: &File) -> u64 {
-    let Ok(store) = Disk::on(file.clone()) else {
+    let Ok(store) = Disk::with_backend(file.clone()) else {
         return 0;
     };
     for n in 1..=6 {
-        let ballot = Ballot {
+        let proposal_number = ProposalNumber {
             round: n,
-            writer: 1,
+            proposer: 1,
         };
         if store
-            .keep(&[
-                DurableWrite::Promised(ballot),
+            .persist(&[
+                DurableWrite::Promised(proposal_number),
                 DurableWrite::Accepted(vec![item(n)]),
             ])
             .is_err()
@@ -196,13 +197,13 @@
     let mut rng = SmallRng::seed_from_u64(11);
     for left in 0..400 {
         let file = File::default();
-        drop(Disk::on(file.clone()).expect("opens"));
+        drop(Disk::with_backend(file.clone()).expect("opens"));
         file.0.lock().expect("fresh").left = Some(left);
         let kept = keep_on(&file);
         for _ in 0..3 {
-            let store = Disk::on(file.after(&mut rng))
+            let store = Disk::with_backend(file.after(&mut rng))
                 .unwrap_or_else(|e| panic!("after {left} steps: {e}"));
-            let (read, ..) = store
+            let StoredState { durable: read, .. } = store
                 .read()
                 .unwrap_or_else(|e| panic!("after {left} steps: {e}"));
             assert!(
@@ -227,19 +228,22 @@
 #[test]
 fn a_disk_that_refuses_says_so_and_keeps_what_it_has() {
     let file = File::default();
-    let store = Disk::on(file.clone()).expect("opens");
+    let store = Disk::with_backend(file.clone()).expect("opens");
     store
-        .keep(&[DurableWrite::Accepted(vec![item(1)])])
+        .persist(&[DurableWrite::Accepted(vec![item(1)])])
         .expect("kept");
     file.0.lock().expect("no test panics with it").refuses = true;
     assert!(
         store
-            .keep(&[DurableWrite::Accepted(vec![item(2)])])
+            .persist(&[DurableWrite::Accepted(vec![item(2)])])
             .is_err()
     );
     drop(store);
     file.0.lock().expect("no test panics with it").refuses = false;
-    let (read, ..) = Disk::on(file).expect("opens again").read().expect("reads");
+    let StoredState { durable: read, .. } = Disk::with_backend(file)
+        .expect("opens again")
+        .read()
+        .expect("reads");
     assert_eq!(read.accepted.items().len(), 1);
 }
 
@@ -248,12 +252,12 @@
 fn what_was_kept_is_there_once_a_disk_that_refused_at_any_write_takes_writes_again() {
     for left in 0..400 {
         let file = File::default();
-        drop(Disk::on(file.clone()).expect("opens"));
+        drop(Disk::with_backend(file.clone()).expect("opens"));
         file.0.lock().expect("fresh").left = Some(left);
         let kept = keep_on(&file);
         file.0.lock().expect("no test panics with it").left = None;
-        let store = Disk::on(file).unwrap_or_else(|e| panic!("after {left} steps: {e}"));
-        let (read, ..) = store
+        let store = Disk::with_backend(file).unwrap_or_else(|e| panic!("after {left} steps: {e}"));
+        let StoredState { durable: read, .. } = store
             .read()
             .unwrap_or_else(|e| panic!("after {left} steps: {e}"));
         assert!(
@@ -262,12 +266,12 @@
         );
         let last = item(kept + 1);
         store
-            .keep(&[DurableWrite::Accepted(vec![last.clone()])])
+            .persist(&[DurableWrite::Accepted(vec![last.clone()])])
             .expect("kept");
         let there = store
             .read()
             .expect("reads")
-            .0
+            .durable
             .accepted
             .items()
             .get(&last.key)
@@ -288,16 +292,16 @@
 #[test]
 fn a_sync_that_stalls_holds_its_caller_until_what_it_kept_outlasts_a_loss_of_power() {
     let file = File::default();
-    let store = Disk::on(file.clone()).expect("opens");
+    let store = Disk::with_backend(file.clone()).expect("opens");
     store
-        .keep(&[DurableWrite::Accepted(vec![item(1)])])
+        .persist(&[DurableWrite::Accepted(vec![item(1)])])
         .expect("kept");
     let (begun, has_begun) = channel();
     let (go_on, goes_on) = channel();
     file.0.lock().expect("no test panics with it").stall =
         Some((begun, Arc::new(Mutex::new(goes_on))));
     let keeps = thread::spawn(move || {
-        let kept = store.keep(&[DurableWrite::Accepted(vec![item(2)])]);
+        let kept = store.persist(&[DurableWrite::Accepted(vec![item(2)])]);
         (store, kept)
     });
     has_begun
@@ -307,7 +311,7 @@
         !keeps.is_finished(),
         "it is told to be kept before its sync is done"
     );
-    let (read, ..) = Disk::on(file.after_losing_all())
+    let StoredState { durable: read, .. } = Disk::with_backend(file.after_losing_all())
         .expect("opens")
         .read()
         .expect("reads");
@@ -322,7 +326,7 @@
     go_on.send(()).expect("it waits");
     let (_store, kept) = keeps.join().expect("it ends");
     kept.expect("kept");
-    let (read, ..) = Disk::on(file.after_losing_all())
+    let StoredState { durable: read, .. } = Disk::with_backend(file.after_losing_all())
         .expect("opens")
         .read()
         .expect("reads");
@@ -332,10 +336,10 @@
 /// A file of a store, after some items were kept in it.
 fn a_store_of_items() -> Vec<u8> {
     let file = File::default();
-    let store = Disk::on(file.clone()).expect("opens");
+    let store = Disk::with_backend(file.clone()).expect("opens");
     for n in 1..=3 {
         store
-            .keep(&[DurableWrite::Accepted(vec![item(n)])])
+            .persist(&[DurableWrite::Accepted(vec![item(n)])])
             .expect("kept");
     }
     drop(store);
@@ -360,7 +364,7 @@
             [a_store_of_items(), vec![0x5a]].concat(),
         ),
     ] {
-        let opened = Disk::on(File::holding(bytes)).and_then(|disk| disk.read());
+        let opened = Disk::with_backend(File::holding(bytes)).and_then(|disk| disk.read());
         assert!(opened.is_err(), "{what} is taken for a store");
     }
 }
@@ -372,10 +376,10 @@
     std::fs::write(dir.join("items.new"), vec![7; 5000]).expect("written");
     let store = Disk::open(&dir).expect("opens");
     store
-        .keep(&[DurableWrite::Accepted(vec![item(1)])])
+        .persist(&[DurableWrite::Accepted(vec![item(1)])])
         .expect("kept");
     drop(store);
-    let (read, ..) = Disk::open(&dir)
+    let StoredState { durable: read, .. } = Disk::open(&dir)
         .expect("opens again")
         .read()
         .expect("reads");
@@ -387,12 +391,12 @@
 fn a_disk_keeps_its_id_and_a_new_one_has_another() {
     let file = File::default();
     let id = |file: &File| {
-        Disk::on(file.clone())
+        Disk::with_backend(file.clone())
             .expect("opens")
             .read()
             .expect("reads")
-            .0
-            .disk
+            .durable
+            .disk_id
     };
     let first = id(&file);
     assert_eq!(id(&file), first);
@@ -415,7 +419,7 @@
         .expect("kept");
     write.commit().expect("kept");
     drop(db);
-    let told = Disk::on(file).err().expect("refused").to_string();
+    let told = Disk::with_backend(file).err().expect("refused").to_string();
     assert!(
         told.starts_with("items.redb: made by a version that kept no voter set; start all"),
         "{told}"
@@ -425,26 +429,38 @@
 #[test]
 fn the_roster_and_the_list_come_back() {
     let file = File::default();
-    let store = Disk::on(file.clone()).expect("opens");
+    let store = Disk::with_backend(file.clone()).expect("opens");
     let roster = vec![[10, 0, 0, 1], [10, 0, 0, 2]];
-    let server = Server {
+    let server = Backend {
         id: "i-1".into(),
         service: "s".into(),
-        at: ([10, 128, 0, 1], 80),
+        address: Endpoint {
+            ip: [10, 128, 0, 1],
+            port: 80,
+        },
         zone: "z".into(),
         slots: 6,
         draining: false,
-        cold_ms: 0,
+        warm_up_left_ms: 0,
     };
-    let backends = BackendSnapshot {
-        term: 3,
-        reading: 7,
-        servers: vec![server],
+    let backends = BackendList {
+        version: BackendListVersion {
+            term: 3,
+            revision: 7,
+        },
+        backends: vec![server],
     };
-    store.keep_backends(&backends).expect("kept");
-    store.keep_roster(&roster).expect("kept");
+    store.persist_backends(&backends).expect("kept");
+    store.persist_roster(&roster).expect("kept");
     drop(store);
-    let (_, known, list) = Disk::on(file).expect("opens again").read().expect("reads");
+    let StoredState {
+        roster: known,
+        backends: list,
+        ..
+    } = Disk::with_backend(file)
+        .expect("opens again")
+        .read()
+        .expect("reads");
     assert_eq!((known, list), (roster, backends));
 }
 
@@ -458,22 +474,22 @@
         let store = Disk::open(&dir).expect("made");
         let item = |n: u32, version: u64| {
             let name = format!("route-{n}");
-            let key = Key {
-                kind: Kind::Route,
+            let key = ItemKey {
+                kind: ItemKind::Route,
                 name,
             };
             Item {
                 key,
                 version,
-                ballot: Default::default(),
+                proposal_number: Default::default(),
                 body: Some(vec![b'x'; 300]),
             }
         };
         let all: Vec<Item> = (0..count).map(|n| item(n, 1)).collect();
         store
-            .keep(&[
+            .persist(&[
                 DurableWrite::Accepted(all.clone()),
-                DurableWrite::Decided(all),
+                DurableWrite::Committed(all),
             ])
             .expect("kept");
         let file = || {
@@ -487,9 +503,11 @@
         for round in 0..2000u32 {
             let changed = vec![item(round % count, 2 + u64::from(round))];
             store
-                .keep(&[DurableWrite::Accepted(changed.clone())])
+                .persist(&[DurableWrite::Accepted(changed.clone())])
+                .expect("kept");
+            store
+                .persist(&[DurableWrite::Committed(changed)])
                 .expect("kept");
-            store.keep(&[DurableWrite::Decided(changed)]).expect("kept");
         }
         let each = began.elapsed().as_secs_f64() / 4000.0 * 1000.0;
         let after = file();
--- a/crates/config-store/tests/membership.rs
+++ b/crates/config-store/tests/membership.rs
@@ -5,8 +5,9 @@
 use damsonbeam_config_store::consensus::membership::{Presence, next_voters};
 use damsonbeam_config_store::consensus::voters::{Voter, VoterSet};
 use damsonbeam_config_store::consensus::{DurableState, DurableWrite, Effect, Replica};
-use damsonbeam_control::items::Ballot;
-use damsonbeam_control::messages::{Ip, Message};
+use damsonbeam_control::address::Ip;
+use damsonbeam_control::config::ProposalNumber;
+use damsonbeam_control::messages::{Message, StateGroupDigests};
 
 fn ip(n: usize) -> Ip {
     [10, 0, 0, n as u8 + 1]
@@ -17,7 +18,10 @@
 }
 
 fn voter(n: usize, disk: u64) -> Voter {
-    Voter { ip: ip(n), disk }
+    Voter {
+        ip: ip(n),
+        disk_id: disk,
+    }
 }
 
 fn missing(seconds: u64) -> Presence {
@@ -54,7 +58,11 @@
                     set.majority() + next.majority() > all,
                     "majorities that do not meet: {next:?}"
                 );
-                let lost = |v: &Voter| candidates.iter().any(|c| c.ip == v.ip && c.disk != v.disk);
+                let lost = |v: &Voter| {
+                    candidates
+                        .iter()
+                        .any(|c| c.ip == v.ip && c.disk_id != v.disk_id)
+                };
                 let there = |v: &Voter| {
                     candidates.contains(v) || !lost(v) && !matches!(state(v), Presence::Missing(_))
                 };
@@ -131,17 +139,20 @@
 #[test]
 fn a_change_is_proposed_only_if_those_who_answer_now_suffice_for_it() {
     let set = founders(5);
-    let item = vec![set.to_item(Ballot {
+    let item = vec![set.to_item(ProposalNumber {
         round: 1,
-        writer: 1,
+        proposer: 1,
     })];
     let mut disk = DurableState::default();
-    disk.keep(&DurableWrite::Accepted(item.clone()));
-    disk.keep(&DurableWrite::Decided(item));
-    let digests = (disk.accepted.digests(), disk.decided.digests());
+    disk.apply(&DurableWrite::Accepted(item.clone()));
+    disk.apply(&DurableWrite::Committed(item));
+    let digests = StateGroupDigests {
+        accepted: disk.accepted.group_digests(),
+        committed: disk.committed.group_digests(),
+    };
     let now = Duration::from_secs(1);
     let mut replica = Replica::new(ip(0), disk, 1, now);
-    replica.roster(&(0..6).map(ip).collect::<Vec<_>>());
+    replica.set_roster(&(0..6).map(ip).collect::<Vec<_>>());
     replica.receive(
         ip(5),
         Message::CompareDigests {
@@ -152,18 +163,20 @@
     );
     replica.tick(now);
     let effects = replica.take_effects();
-    let ballot = effects.iter().find_map(|effect| match effect {
-        Effect::Broadcast(Message::Prepare { ballot, .. }) => Some(*ballot),
+    let proposal_number = effects.iter().find_map(|effect| match effect {
+        Effect::Broadcast(Message::Prepare {
+            proposal_number, ..
+        }) => Some(*proposal_number),
         _ => None,
     });
-    let ballot = ballot.expect("a round for the change");
+    let proposal_number = proposal_number.expect("a round for the change");
     let mut proposes = |n: usize| {
         replica.receive(
             ip(n),
             Message::Promise {
-                ballot,
-                promised: ballot,
-                disk: 0,
+                proposal_number,
+                promised: proposal_number,
+                disk_id: 0,
                 items: None,
             },
             now,
--- a/crates/config-store/tests/model.rs
+++ b/crates/config-store/tests/model.rs
@@ -8,8 +8,9 @@
 
 use damsonbeam_config_store::consensus::voters::VoterSet;
 use damsonbeam_config_store::consensus::{DurableState, DurableWrite, Effect, Replica};
-use damsonbeam_control::items::{Change, ConfigSnapshot, Item, Key, Kind};
-use damsonbeam_control::messages::{Command, CommandReply, Ip, Message, pack};
+use damsonbeam_control::address::Ip;
+use damsonbeam_control::config::{ConfigChange, ConfigSnapshot, Item, ItemKey, ItemKind};
+use damsonbeam_control::messages::{Command, CommandReply, Message, encode};
 use stateright::{Checker, Model, Property, UniformChooser};
 
 /// Longer than a phase, a wait after a clash and what a start waits for, shorter than an order.
@@ -111,24 +112,24 @@
     let body = format!(
         r#"{{"name":"{name}","host_name":"h","path_prefix":"/{prefix}/","route_type":"read_only","timeout_ms":9,"target_latency_ms":5,"target_service":"s","config_version":"r2"}}"#
     );
-    let key = Key {
-        kind: Kind::Route,
+    let key = ItemKey {
+        kind: ItemKind::Route,
         name: name.into(),
     };
     let item = Item {
         key,
         version: 2,
-        ballot: Default::default(),
+        proposal_number: Default::default(),
         body: Some(body.into_bytes()),
     };
-    Command::Change(Change { items: vec![item] })
+    Command::Change(ConfigChange { items: vec![item] })
 }
 
 /// An evacuation, which is never passed on: whoever is asked proposes it.
 fn evacuate() -> Command {
     Command::Evacuate {
         zone: "z".into(),
-        on: true,
+        evacuated: true,
     }
 }
 
@@ -163,7 +164,7 @@
             .filter(|m| !self.apart || *m == n)
             .map(ip)
             .collect();
-        a.roster(&all);
+        a.set_roster(&all);
         a
     }
 
@@ -175,7 +176,7 @@
         let disk = &mut s.nodes[n].disk;
         for act in &acts {
             if let Effect::Persist(keep) = act {
-                disk.keep(keep);
+                disk.apply(keep);
             }
         }
         for act in acts {
@@ -185,7 +186,7 @@
                     .filter(|to| *to != n)
                     .for_each(|to| self.send(s, n, to, note.clone())),
                 Effect::Reply(no, reply) => self.reply(s, no as usize, reply),
-                Effect::Persist(_) | Effect::News(_) => {}
+                Effect::Persist(_) | Effect::Committed(_) => {}
             }
         }
     }
@@ -215,7 +216,7 @@
         };
         if !mends || self.wipes > 0 {
             let mut hash = DefaultHasher::new();
-            pack(&note).hash(&mut hash);
+            encode(&note).hash(&mut hash);
             s.net.insert((from, to, hash.finish()), note);
         }
     }
@@ -235,23 +236,27 @@
                     }
                 }
             }
-            CommandReply::Invalid(_) | CommandReply::Unsettled(_) => {}
+            CommandReply::Invalid(_) | CommandReply::Unavailable(_) => {}
         }
     }
 
     /// What must hold of all that is decided anywhere.
     fn look(&self, s: &mut State) {
         let mut all = ConfigSnapshot::default();
-        for item in s.nodes.iter().flat_map(|n| n.disk.decided.items().values()) {
+        for item in s
+            .nodes
+            .iter()
+            .flat_map(|n| n.disk.committed.items().values())
+        {
             if let Some(other) = all.items().get(&item.key)
                 && other.version == item.version
                 && other.body != item.body
             {
                 s.broken = Some(format!("two contents of {} are decided", item.key.name));
             }
-            all.replace(item.clone());
+            all.merge_proposed(item.clone());
         }
-        if let Err(e) = all.check() {
+        if let Err(e) = all.validate() {
             s.broken = Some(format!("what is decided is not valid: {e}"));
         }
     }
@@ -263,29 +268,29 @@
 
     fn init_states(&self) -> Vec<State> {
         // A service was agreed upon long ago, and all have it.
-        let key = Key {
-            kind: Kind::Service,
+        let key = ItemKey {
+            kind: ItemKind::Service,
             name: "s".into(),
         };
         let body = Some(br#"{"name":"s","health_path":"/h","config_version":"r1"}"#.to_vec());
         let service = Item {
             key,
             version: 1,
-            ballot: Default::default(),
+            proposal_number: Default::default(),
             body,
         };
         let seeds: Vec<Ip> = (0..self.founders).map(ip).collect();
         let node = |n: usize| {
             let mut disk = DurableState {
-                disk: disk_id(n, 0),
+                disk_id: disk_id(n, 0),
                 ..DurableState::default()
             };
-            disk.found(ip(n), &seeds)
+            disk.founding_writes(ip(n), &seeds)
                 .expect("empty")
                 .iter()
-                .for_each(|write| disk.keep(write));
-            disk.keep(&DurableWrite::Accepted(vec![service.clone()]));
-            disk.keep(&DurableWrite::Decided(vec![service.clone()]));
+                .for_each(|write| disk.apply(write));
+            disk.apply(&DurableWrite::Accepted(vec![service.clone()]));
+            disk.apply(&DurableWrite::Committed(vec![service.clone()]));
             let replica = Some(self.start(n, &disk, Duration::ZERO));
             Node {
                 replica,
@@ -364,7 +369,7 @@
                 s.nodes[n]
                     .replica
                     .as_mut()?
-                    .submit(s.given as u64, order, clock);
+                    .submit(s.given as u64, order, Duration::ZERO, clock);
                 s.given += 1;
                 self.carry_out(&mut s, n);
             }
@@ -382,7 +387,7 @@
                 s.wipes += 1;
                 s.nodes[n].replica = None;
                 s.nodes[n].disk = DurableState {
-                    disk: disk_id(n, s.wipes),
+                    disk_id: disk_id(n, s.wipes),
                     ..DurableState::default()
                 };
             }
@@ -400,8 +405,8 @@
                 (s.nodes[n].replica, s.nodes[n].clock) = (Some(replica), clock + STEP);
             }
         }
-        let decided = |s: &State, n: usize| s.nodes[n].disk.decided.digest();
-        if (0..self.size).any(|n| decided(&s, n) != decided(before, n)) {
+        let committed = |s: &State, n: usize| s.nodes[n].disk.committed.digest();
+        if (0..self.size).any(|n| committed(&s, n) != committed(before, n)) {
             self.look(&mut s);
         }
         Some(s)
@@ -414,8 +419,9 @@
                 !s.acked.is_empty()
             }),
             Property::sometimes("the voters change", |scene, s: &State| {
-                let change =
-                    |n: &Node| VoterSet::decided(&n.disk.decided).is_some_and(|set| set.epoch > 1);
+                let change = |n: &Node| {
+                    VoterSet::committed(&n.disk.committed).is_some_and(|set| set.epoch > 1)
+                };
                 scene.is_fixed() || s.nodes.iter().any(change) && !s.acked.is_empty()
             }),
         ]
--- a/crates/config-store/tests/version_before.rs
+++ b/crates/config-store/tests/version_before.rs
@@ -6,9 +6,12 @@
 
 use damsonbeam_config_store::consensus::voters::{FOUNDING_DISK, VoterSet};
 use damsonbeam_config_store::consensus::{DurableWrite, Effect, Replica};
-use damsonbeam_config_store::disk::Disk;
-use damsonbeam_control::items::{Ballot, ConfigSnapshot, Item, Key, Kind, Route, Tenant};
-use damsonbeam_control::messages::{Command, CommandReply, Ip};
+use damsonbeam_config_store::disk::{Disk, StoredState};
+use damsonbeam_control::address::Ip;
+use damsonbeam_control::config::{
+    ConfigSnapshot, Item, ItemKey, ItemKind, ProposalNumber, Route, Tenant,
+};
+use damsonbeam_control::messages::{Command, CommandReply};
 use std::time::Duration;
 
 const STORE: &str = concat!(
@@ -39,9 +42,9 @@
     }
 }
 
-fn item<'a>(snapshot: &'a ConfigSnapshot, kind: Kind, name: &str) -> &'a Item {
+fn item<'a>(snapshot: &'a ConfigSnapshot, kind: ItemKind, name: &str) -> &'a Item {
     snapshot
-        .get(&Key {
+        .get(&ItemKey {
             kind,
             name: name.into(),
         })
@@ -51,25 +54,29 @@
 #[test]
 fn a_store_of_the_version_before_is_opened_with_its_items_and_promises() {
     let folder = Folder::with_recorded_store("version-before-read");
-    let (kept, roster, backends) = Disk::open(folder.path())
+    let StoredState {
+        durable: kept,
+        roster,
+        backends,
+    } = Disk::open(folder.path())
         .and_then(|disk| disk.read())
         .expect("opens");
     assert_eq!(
-        (kept.disk, kept.promised),
+        (kept.disk_id, kept.promised),
         (
             FOUNDING_DISK,
-            Ballot {
+            ProposalNumber {
                 round: 6,
-                writer: 0x7f4d_0101
+                proposer: 0x7f4d_0101
             }
         )
     );
-    assert_eq!((roster, backends.servers.len()), (vec![ME], 0));
-    assert_eq!(kept.accepted, kept.decided);
-    assert_eq!(kept.decided.items().len(), 13);
+    assert_eq!((roster, backends.backends.len()), (vec![ME], 0));
+    assert_eq!(kept.accepted, kept.committed);
+    assert_eq!(kept.committed.items().len(), 13);
     let versions = |kind| {
-        let standing = kept.decided.standing(kind);
-        standing
+        let present_items = kept.committed.present_items(kind);
+        present_items
             .map(|item| (item.key.name.clone(), item.version))
             .collect::<Vec<_>>()
     };
@@ -79,33 +86,36 @@
             .collect::<Vec<_>>()
     };
     assert_eq!(
-        versions(Kind::Route),
+        versions(ItemKind::Route),
         named(&[("r-0", 4), ("r-1", 3), ("r-2", 3)])
     );
     assert_eq!(
-        versions(Kind::Tenant),
+        versions(ItemKind::Tenant),
         named(&[("t0", 2), ("t1", 2), ("t2", 2)])
     );
     assert_eq!(
-        versions(Kind::Service),
+        versions(ItemKind::Service),
         named(&[("routes", 1), ("tiles", 1)])
     );
-    assert_eq!(versions(Kind::Limits), named(&[("limits", 1)]));
-    assert_eq!(versions(Kind::Evacuation), named(&[("manila-a", 1)]));
-    assert_eq!(versions(Kind::Copy), named(&[("m", 1)]));
-    let removed = item(&kept.decided, Kind::Tenant, "t3");
+    assert_eq!(versions(ItemKind::Limits), named(&[("limits", 1)]));
+    assert_eq!(versions(ItemKind::Evacuation), named(&[("manila-a", 1)]));
+    assert_eq!(versions(ItemKind::MirrorRule), named(&[("m", 1)]));
+    let removed = item(&kept.committed, ItemKind::Tenant, "t3");
     assert_eq!((removed.version, &removed.body), (3, &None));
-    let route = Route::read(item(&kept.decided, Kind::Route, "r-0")).expect("a route");
+    let route = Route::try_from(item(&kept.committed, ItemKind::Route, "r-0")).expect("a route");
     assert_eq!((route.timeout_ms, &*route.host), (2500, "maps0.example"));
-    let tenant = Tenant::read(item(&kept.decided, Kind::Tenant, "t1")).expect("a tenant");
+    let tenant = Tenant::try_from(item(&kept.committed, ItemKind::Tenant, "t1")).expect("a tenant");
     assert_eq!(
-        (tenant.rate, tenant.burst, tenant.keys),
+        (tenant.rate_per_s, tenant.burst, tenant.api_keys),
         (10.5, 20.0, vec!["key-1".to_string()])
     );
-    let voters = VoterSet::decided(&kept.decided).expect("a voter set");
+    let voters = VoterSet::committed(&kept.committed).expect("a voter set");
     assert_eq!((voters.epoch, voters.voters().len()), (1, 1));
     assert_eq!(
-        voters.voters().first().map(|voter| (voter.ip, voter.disk)),
+        voters
+            .voters()
+            .first()
+            .map(|voter| (voter.ip, voter.disk_id)),
         Some((ME, FOUNDING_DISK))
     );
 }
@@ -114,14 +124,14 @@
 fn a_store_of_the_version_before_takes_further_changes() {
     let folder = Folder::with_recorded_store("version-before-write");
     let disk = Disk::open(folder.path()).expect("opens");
-    let (kept, ..) = disk.read().expect("reads");
+    let StoredState { durable: kept, .. } = disk.read().expect("reads");
     let promised_before = kept.promised;
     let mut replica = Replica::new(ME, kept, 7, Duration::ZERO);
     let command = Command::Evacuate {
         zone: "manila-a".into(),
-        on: false,
+        evacuated: false,
     };
-    replica.submit(1, command, Duration::from_millis(20));
+    replica.submit(1, command, Duration::ZERO, Duration::from_millis(20));
     let effects = replica.take_effects();
     assert!(
         effects.contains(&Effect::Reply(1, CommandReply::Done)),
@@ -137,13 +147,13 @@
             }
         })
         .collect();
-    disk.keep(&writes).expect("kept");
+    disk.persist(&writes).expect("kept");
     drop(disk);
-    let (kept, ..) = Disk::open(folder.path())
+    let StoredState { durable: kept, .. } = Disk::open(folder.path())
         .and_then(|disk| disk.read())
         .expect("opens again");
-    let evacuation = item(&kept.decided, Kind::Evacuation, "manila-a");
+    let evacuation = item(&kept.committed, ItemKind::Evacuation, "manila-a");
     assert_eq!((evacuation.version, &evacuation.body), (2, &None));
     assert!(kept.promised > promised_before);
-    assert_eq!(kept.decided.items().len(), 13);
+    assert_eq!(kept.committed.items().len(), 13);
 }
--- a/crates/config-store/tests/worlds/main.rs
+++ b/crates/config-store/tests/worlds/main.rs
@@ -6,10 +6,13 @@
 
 mod world;
 
+use std::time::Duration;
+
 use damsonbeam_config_store::consensus::voters::{Voter, VoterSet};
 use damsonbeam_config_store::consensus::{DurableState, DurableWrite, Effect, Replica};
-use damsonbeam_control::items::{Ballot, Change, Item, Key, Kind};
-use damsonbeam_control::messages::{Command, CommandReply, Ip, Message, pack};
+use damsonbeam_control::address::Ip;
+use damsonbeam_control::config::{ConfigChange, Item, ItemKey, ItemKind, ProposalNumber};
+use damsonbeam_control::messages::{Command, CommandReply, Message, encode};
 use rand::Rng;
 use world::{Event, World, at, ip, service};
 
@@ -33,20 +36,20 @@
             )
             .into_bytes()
         });
-        let key = Key {
-            kind: Kind::Route,
+        let key = ItemKey {
+            kind: ItemKind::Route,
             name,
         };
         items.push(Item {
             key,
             version,
-            ballot: Default::default(),
+            proposal_number: Default::default(),
             body,
         });
     }
     items.dedup_by(|a, b| a.key == b.key);
     let n = any(w);
-    w.order(n, Command::Change(Change { items }));
+    w.order(n, Command::Change(ConfigChange { items }));
 }
 
 fn any(w: &mut World) -> usize {
@@ -204,27 +207,29 @@
 fn founder(n: usize) -> DurableState {
     let mut disk = DurableState::default();
     let seeds: Vec<Ip> = (0..3).map(ip).collect();
-    disk.found(ip(n), &seeds)
+    disk.founding_writes(ip(n), &seeds)
         .expect("empty")
         .iter()
-        .for_each(|write| disk.keep(write));
+        .for_each(|write| disk.apply(write));
     disk
 }
 
-fn prepared(effects: &[Effect]) -> Option<(Ballot, Item)> {
+fn prepared(effects: &[Effect]) -> Option<(ProposalNumber, Item)> {
     effects.iter().find_map(|effect| match effect {
-        Effect::Broadcast(Message::Prepare { ballot, voters, .. }) => {
-            Some((*ballot, voters.clone()))
-        }
+        Effect::Broadcast(Message::Prepare {
+            proposal_number,
+            voters,
+            ..
+        }) => Some((*proposal_number, voters.clone())),
         _ => None,
     })
 }
 
-fn promise(ballot: Ballot, disk: u64) -> Message {
+fn promise(proposal_number: ProposalNumber, disk: u64) -> Message {
     Message::Promise {
-        ballot,
-        promised: ballot,
-        disk,
+        proposal_number,
+        promised: proposal_number,
+        disk_id: disk,
         items: None,
     }
 }
@@ -240,20 +245,20 @@
 #[test]
 fn at_the_first_start_a_majority_of_the_founders_agrees_whoever_is_known() {
     let mut a = Replica::new(ip(0), founder(0), 1, at(0));
-    a.roster(&[ip(0), ip(3)]);
-    a.submit(1, Command::Read, at(100));
-    let (ballot, _) = prepared(&a.take_effects()).expect("a prepare");
+    a.set_roster(&[ip(0), ip(3)]);
+    a.submit(1, Command::Read, Duration::ZERO, at(100));
+    let (proposal_number, _) = prepared(&a.take_effects()).expect("a prepare");
     for n in 3..6 {
-        a.receive(ip(n), promise(ballot, 9), at(110));
-        a.receive(ip(n), promise(ballot, 0), at(110));
+        a.receive(ip(n), promise(proposal_number, 9), at(110));
+        a.receive(ip(n), promise(proposal_number, 0), at(110));
     }
     assert!(!reads(&mut a), "those without a vote count");
-    a.receive(ip(1), promise(ballot, 9), at(110));
+    a.receive(ip(1), promise(proposal_number, 9), at(110));
     assert!(
         !reads(&mut a),
         "a founder's machine with another disk counts"
     );
-    a.receive(ip(1), promise(ballot, 0), at(120));
+    a.receive(ip(1), promise(proposal_number, 0), at(120));
     assert!(reads(&mut a), "two of three founders are a majority");
 }
 
@@ -262,31 +267,33 @@
 #[test]
 fn an_empty_disk_and_one_stale_member_of_six_acknowledge_nothing() {
     let service = Item {
-        key: Key {
-            kind: Kind::Service,
+        key: ItemKey {
+            kind: ItemKind::Service,
             name: "s".into(),
         },
         version: 1,
-        ballot: Ballot::default(),
+        proposal_number: ProposalNumber::default(),
         body: Some(br#"{"name":"s"}"#.to_vec()),
     };
     let mut stale = founder(0);
     let six = (3..6).fold(VoterSet::founding(&[ip(0), ip(1), ip(2)]), |set, n| {
         set.with(Voter {
             ip: ip(n),
-            disk: 100 + n as u64,
+            disk_id: 100 + n as u64,
         })
     });
-    stale.keep(&DurableWrite::Accepted(vec![six.to_item(Ballot {
+    stale.apply(&DurableWrite::Accepted(vec![six.to_item(ProposalNumber {
         round: 5,
-        writer: 1,
-    })]));
-    stale.keep(&DurableWrite::Decided(vec![six.to_item(Ballot {
-        round: 5,
-        writer: 1,
+        proposer: 1,
     })]));
+    stale.apply(&DurableWrite::Committed(vec![six.to_item(
+        ProposalNumber {
+            round: 5,
+            proposer: 1,
+        },
+    )]));
     let emptied = DurableState {
-        disk: 77,
+        disk_id: 77,
         ..DurableState::default()
     };
     let mut two = [
@@ -294,16 +301,17 @@
         Replica::new(ip(4), emptied, 2, at(0)),
     ];
     for replica in &mut two {
-        replica.roster(&[ip(0), ip(4)]);
+        replica.set_roster(&[ip(0), ip(4)]);
     }
     two[1].submit(
         1,
-        Command::Change(Change {
+        Command::Change(ConfigChange {
             items: vec![service],
         }),
+        Duration::ZERO,
         at(0),
     );
-    two[0].submit(2, Command::Read, at(0));
+    two[0].submit(2, Command::Read, Duration::ZERO, at(0));
     for ms in (20..20_000).step_by(20) {
         for (n, other) in [(0, 1), (1, 0)] {
             two[n].tick(at(ms));
@@ -316,7 +324,7 @@
                     Effect::Broadcast(message) => two[other].receive(from, message, at(ms)),
                     Effect::Reply(_, reply) => {
                         assert!(
-                            matches!(reply, CommandReply::Unsettled(_)),
+                            matches!(reply, CommandReply::Unavailable(_)),
                             "two of six: {reply:?}"
                         );
                     }
@@ -341,37 +349,37 @@
             let body = format!(
                 r#"{{"name":"{name}","host_name":"h","path_prefix":"/{n}/","route_type":"read_only"}}"#
             );
-            let key = Key {
-                kind: Kind::Route,
+            let key = ItemKey {
+                kind: ItemKind::Route,
                 name,
             };
             let item = Item {
                 key,
                 version: 1,
-                ballot: Default::default(),
+                proposal_number: Default::default(),
                 body: Some(body.into_bytes()),
             };
-            kept.accepted.set(item.clone());
-            kept.decided.set(item);
+            kept.accepted.insert(item.clone());
+            kept.committed.insert(item);
         }
         let mut newer = kept.clone();
-        let key = Key {
-            kind: Kind::Route,
+        let key = ItemKey {
+            kind: ItemKind::Route,
             name: "route-7".into(),
         };
         let item = Item {
             version: 2,
-            ballot: Ballot {
+            proposal_number: ProposalNumber {
                 round: 1,
-                writer: 1,
+                proposer: 1,
             },
-            ..kept.decided.get(&key).expect("there").clone()
+            ..kept.committed.get(&key).expect("there").clone()
         };
-        newer.accepted.set(item.clone());
-        newer.decided.set(item);
+        newer.accepted.insert(item.clone());
+        newer.committed.insert(item);
         let new = |n: usize, kept: &DurableState| {
             let mut a = Replica::new(ip(n), kept.clone(), 1, at(0));
-            a.roster(&[ip(0), ip(1)]);
+            a.set_roster(&[ip(0), ip(1)]);
             a
         };
         let (mut a, mut b) = (new(0, &newer), new(1, &kept));
@@ -388,21 +396,21 @@
         let compare = sent(b.take_effects()).expect("a comparison");
         a.receive(ip(1), compare.clone(), at(2010));
         let mend = sent(a.take_effects()).expect("what differs");
-        let Message::RepairItems { decided, .. } = &mend else {
+        let Message::RepairItems { committed, .. } = &mend else {
             panic!("{mend:?}")
         };
         assert!(
-            decided.len() < count / 8,
+            committed.len() < count / 8,
             "{} of {count} items for one",
-            decided.len()
+            committed.len()
         );
         println!(
             "{count} items: comparison {} bytes, mend {} bytes",
-            pack(&compare).len(),
-            pack(&mend).len()
+            encode(&compare).len(),
+            encode(&mend).len()
         );
         b.receive(ip(0), mend, at(2020));
-        assert_eq!(b.durable().decided.get(&key).expect("there").version, 2);
+        assert_eq!(b.durable().committed.get(&key).expect("there").version, 2);
         a.tick(at(4000));
         b.receive(
             ip(0),
@@ -443,19 +451,19 @@
                 let body = format!(
                     r#"{{"name":"{name}","host_name":"h","path_prefix":"/{burst}-{k}/","route_type":"read_only","timeout_ms":900,"target_latency_ms":500,"target_service":"s","config_version":"r1"}}"#
                 );
-                let key = Key {
-                    kind: Kind::Route,
+                let key = ItemKey {
+                    kind: ItemKind::Route,
                     name,
                 };
                 let item = Item {
                     key,
                     version: 1,
-                    ballot: Default::default(),
+                    proposal_number: Default::default(),
                     body: Some(body.into_bytes()),
                 };
                 w.order(
                     k as usize % 6,
-                    Command::Change(Change { items: vec![item] }),
+                    Command::Change(ConfigChange { items: vec![item] }),
                 );
             }
             while w.done < done + 8 && w.now < began + 10_000 {
@@ -515,29 +523,30 @@
 fn an_evacuation_whose_caller_has_gone_elsewhere_is_not_carried_out() {
     let start = || {
         let mut a = Replica::new(ip(0), founder(0), 1, at(0));
-        a.roster(&[ip(0), ip(1), ip(2)]);
+        a.set_roster(&[ip(0), ip(1), ip(2)]);
         a.tick(at(2000));
         a.take_effects();
         a.submit(
             1,
             Command::Evacuate {
                 zone: "z".into(),
-                on: true,
+                evacuated: true,
             },
+            Duration::ZERO,
             at(2000),
         );
-        let (ballot, _) = prepared(&a.take_effects()).expect("it is carried out here");
-        (a, ballot)
+        let (proposal_number, _) = prepared(&a.take_effects()).expect("it is carried out here");
+        (a, proposal_number)
     };
     let proposes = |ms: u64| {
-        let (mut a, ballot) = start();
+        let (mut a, proposal_number) = start();
         a.tick(at(ms));
         a.take_effects();
-        a.receive(ip(1), promise(ballot, 0), at(ms));
+        a.receive(ip(1), promise(proposal_number, 0), at(ms));
         let acts = a.take_effects();
         let unsettled = acts
             .iter()
-            .any(|act| matches!(act, Effect::Reply(1, CommandReply::Unsettled(_))));
+            .any(|act| matches!(act, Effect::Reply(1, CommandReply::Unavailable(_))));
         (
             acts.iter()
                 .any(|act| matches!(act, Effect::Broadcast(Message::Accept { .. }))),
--- a/crates/config-store/tests/worlds/world.rs
+++ b/crates/config-store/tests/worlds/world.rs
@@ -5,8 +5,9 @@
 
 use damsonbeam_config_store::consensus::voters::{Voter, VoterSet};
 use damsonbeam_config_store::consensus::{DurableState, Effect, Replica};
-use damsonbeam_control::items::{Change, ConfigSnapshot, Item, Key, Kind};
-use damsonbeam_control::messages::{Command, CommandReply, Ip, Message};
+use damsonbeam_control::address::Ip;
+use damsonbeam_control::config::{ConfigChange, ConfigSnapshot, Item, ItemKey, ItemKind};
+use damsonbeam_control::messages::{Command, CommandReply, Message};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
@@ -123,11 +124,11 @@
             w.empty(n);
             let writes = w.machines[n]
                 .disk
-                .found(ip(n), &seeds)
+                .founding_writes(ip(n), &seeds)
                 .expect("an empty disk");
             writes
                 .iter()
-                .for_each(|write| w.machines[n].disk.keep(write));
+                .for_each(|write| w.machines[n].disk.apply(write));
             w.machines[n].known = (0..3).map(|seed| (seed, 0)).collect();
             w.start(n);
         }
@@ -137,7 +138,7 @@
     /// Gives a machine an empty disk.
     pub fn empty(&mut self, n: usize) {
         self.machines[n].disk = DurableState {
-            disk: self.rng.random_range(1 << 32..u64::MAX),
+            disk_id: self.rng.random_range(1 << 32..u64::MAX),
             ..Default::default()
         };
     }
@@ -212,7 +213,7 @@
     fn tell_roster(&mut self, n: usize) {
         let alive: Vec<Ip> = self.alive(n).into_iter().map(ip).collect();
         if let Some(store) = &mut self.machines[n].store {
-            store.roster(&alive);
+            store.set_roster(&alive);
         }
     }
 
@@ -243,12 +244,12 @@
         };
         for effect in &effects {
             if let Effect::Persist(write) = effect {
-                self.machines[n].disk.keep(write);
+                self.machines[n].disk.apply(write);
             }
         }
         for effect in effects {
             match effect {
-                Effect::Persist(_) | Effect::News(_) => {}
+                Effect::Persist(_) | Effect::Committed(_) => {}
                 Effect::Send(to, message) => self.send(n, machine(to), &message),
                 Effect::Broadcast(message) => {
                     (0..self.machines.len()).for_each(|to| self.send(n, to, &message));
@@ -282,18 +283,18 @@
                     .for_each(|item| *self.open.entry(content(item)).or_default() -= 1);
             }
             // Its caller sends it again, to another.
-            (order, CommandReply::Unsettled(_)) => self.again.push(order),
+            (order, CommandReply::Unavailable(_)) => self.again.push(order),
             _ => {}
         }
     }
 
     /// Of two contents of one version one is confirmed at most, but for one that was overtaken before.
     fn confirm(&mut self, item: &Item) {
-        let decided = self
+        let committed = self
             .machines
             .iter()
-            .filter_map(|m| m.disk.decided.get(&item.key));
-        if decided
+            .filter_map(|m| m.disk.committed.get(&item.key));
+        if committed
             .map(|i| i.version)
             .max()
             .is_some_and(|latest| latest > item.version)
@@ -313,10 +314,10 @@
     fn check_read(&mut self, items: Vec<Item>, floor: &BTreeMap<String, u64>) {
         let mut snapshot = ConfigSnapshot::default();
         for i in &items {
-            snapshot.set(i.clone());
+            snapshot.insert(i.clone());
         }
         assert_eq!(
-            snapshot.check(),
+            snapshot.validate(),
             Ok(()),
             "what is read is no valid configuration"
         );
@@ -366,7 +367,7 @@
             let contents = change.items.iter().cloned().map(content);
             contents.for_each(|content| *self.open.entry(content).or_default() += 1);
         }
-        store.submit(self.next, order.clone(), at(self.now));
+        store.submit(self.next, order.clone(), Duration::ZERO, at(self.now));
         self.orders.insert(self.next, (order, floor));
         self.carry_out(n);
     }
@@ -393,13 +394,13 @@
         let all = self
             .machines
             .iter()
-            .flat_map(|m| [&m.disk.decided, &m.disk.accepted]);
-        let sets: Vec<VoterSet> = all.filter_map(VoterSet::decided).collect();
-        let decided = self
+            .flat_map(|m| [&m.disk.committed, &m.disk.accepted]);
+        let sets: Vec<VoterSet> = all.filter_map(VoterSet::committed).collect();
+        let committed = self
             .machines
             .iter()
-            .filter_map(|m| VoterSet::decided(&m.disk.decided));
-        let latest = decided.map(|s| s.epoch).max().unwrap_or(0);
+            .filter_map(|m| VoterSet::committed(&m.disk.committed));
+        let latest = committed.map(|s| s.epoch).max().unwrap_or(0);
         sets.into_iter().filter(|s| s.epoch >= latest).collect()
     }
 
@@ -411,7 +412,7 @@
 
     fn is_there(&self, voter: &Voter) -> bool {
         let m = &self.machines[machine(voter.ip)];
-        !m.removed && m.disk.disk == voter.disk
+        !m.removed && m.disk.disk_id == voter.disk_id
     }
 
     /// Whether the disk of one machine more may be lost: of each set in question, a majority has its disks then.
@@ -498,14 +499,15 @@
         let running = self.running();
         let all: BTreeSet<u64> = running
             .iter()
-            .map(|n| self.machines[*n].disk.decided.digest())
+            .map(|n| self.machines[*n].disk.committed.digest())
             .collect();
         assert_eq!(all.len(), 1, "copies differ after a quiet time");
-        let set = VoterSet::decided(&self.machines[running[0]].disk.decided).expect("a voter set");
+        let set =
+            VoterSet::committed(&self.machines[running[0]].disk.committed).expect("a voter set");
         for n in &running {
             let voter = Voter {
                 ip: ip(*n),
-                disk: self.machines[*n].disk.disk,
+                disk_id: self.machines[*n].disk.disk_id,
             };
             assert!(
                 set.contains(&voter),
@@ -523,16 +525,16 @@
 
 /// A service that the routes of all calls go to.
 pub fn service(w: &mut World) {
-    let key = Key {
-        kind: Kind::Service,
+    let key = ItemKey {
+        kind: ItemKind::Service,
         name: "s".into(),
     };
     let body = Some(br#"{"name":"s","health_path":"/health","config_version":"r1"}"#.to_vec());
     let item = Item {
         key,
         version: 1,
-        ballot: Default::default(),
+        proposal_number: Default::default(),
         body,
     };
-    w.order(0, Command::Change(Change { items: vec![item] }));
+    w.order(0, Command::Change(ConfigChange { items: vec![item] }));
 }
--- a/crates/control/examples/catch_up.rs
+++ b/crates/control/examples/catch_up.rs
@@ -6,9 +6,9 @@
 use std::time::Duration;
 
 use cap::Cap;
-use damsonbeam_control::items::{Ballot, ConfigSnapshot, Item, Key, Kind};
-use damsonbeam_control::messages::{Message, pack, unpack};
-use damsonbeam_control::transfer::{Receiver, TransferMessage, answer};
+use damsonbeam_control::config::{ConfigSnapshot, Item, ItemKey, ItemKind, ProposalNumber};
+use damsonbeam_control::messages::{Message, TransferMessage, decode, encode};
+use damsonbeam_control::transfer::{Receiver, answer};
 use rustix::time::{ClockId, clock_gettime};
 
 #[global_allocator]
@@ -22,29 +22,29 @@
 fn item(number: usize, version: u64) -> Item {
     let (kind, name, body) = match number % 1000 {
         n if n < ROUTES => (
-            Kind::Route,
+            ItemKind::Route,
             format!("r-{number:07}"),
             route(number, version),
         ),
         n if n < ROUTES + SERVICES => (
-            Kind::Service,
+            ItemKind::Service,
             format!("s{number:06}"),
             service(number, version),
         ),
         _ => (
-            Kind::Tenant,
+            ItemKind::Tenant,
             format!("t{number:06}"),
             tenant(number, version),
         ),
     };
-    let ballot = Ballot {
+    let proposal_number = ProposalNumber {
         round: version,
-        writer: 7,
+        proposer: 7,
     };
     Item {
-        key: Key { kind, name },
+        key: ItemKey { kind, name },
         version,
-        ballot,
+        proposal_number,
         body: Some(body.into_bytes()),
     }
 }
@@ -137,7 +137,7 @@
     let mut receiver = Receiver::default();
     let mut arrivals: BTreeMap<(u64, usize), (To, Vec<u8>)> = BTreeMap::new();
     let mut now = 0.0;
-    let mut outgoing = vec![pack(&Message::Transfer(
+    let mut outgoing = vec![encode(&Message::Transfer(
         receiver.begin(held, Duration::ZERO),
     ))];
     loop {
@@ -155,7 +155,7 @@
             To::Provider => {
                 let began = processor_time();
                 let reply = answer(provider, &read(&bytes)).expect("an answer");
-                let bytes = pack(&Message::Transfer(reply));
+                let bytes = encode(&Message::Transfer(reply));
                 cost.provider += processor_time() - began;
                 let at = cost.down.arrival(now, bytes.len(), round_trip / 2.0);
                 cost.messages += 1;
@@ -173,7 +173,7 @@
                 outgoing = cost.receive(|| {
                     requests
                         .into_iter()
-                        .map(|m| pack(&Message::Transfer(m)))
+                        .map(|m| encode(&Message::Transfer(m)))
                         .collect()
                 });
             }
@@ -184,7 +184,7 @@
 }
 
 fn read(bytes: &[u8]) -> TransferMessage {
-    match unpack::<Message>(bytes) {
+    match decode::<Message>(bytes) {
         Ok(Message::Transfer(message)) => message,
         other => panic!("{other:?}"),
     }
@@ -192,7 +192,7 @@
 
 fn measure(items: usize, missed: Option<usize>, round_trip: f64) {
     let mut provider = ConfigSnapshot::default();
-    (0..items).for_each(|n| provider.set(item(n, 1)));
+    (0..items).for_each(|n| provider.insert(item(n, 1)));
     let mut held = if missed.is_some() {
         provider.clone()
     } else {
@@ -201,16 +201,16 @@
     let missed = missed.unwrap_or(items);
     if !held.items().is_empty() {
         // Spread over all items.
-        (0..missed).for_each(|n| provider.set(item(n * items / missed, 2)));
+        (0..missed).for_each(|n| provider.insert(item(n * items / missed, 2)));
     }
     let case = if held.items().is_empty() {
         "fresh"
     } else {
         "missed"
     };
-    let all = pack(&Message::Decided {
+    let all = encode(&Message::Committed {
         items: provider.items().values().cloned().collect(),
-        whole: true,
+        complete: true,
     });
     let whole_list = all.len();
     drop(all);
--- a/crates/control/examples/tombstones.rs
+++ b/crates/control/examples/tombstones.rs
@@ -4,26 +4,27 @@
 use std::time::{Duration, Instant};
 
 use cap::Cap;
-use damsonbeam_control::items::{Ballot, ConfigSnapshot, Item, Key, Kind};
-use damsonbeam_control::messages::{Message, pack};
-use damsonbeam_control::transfer::{Receiver, TransferMessage, answer};
+use damsonbeam_control::config::{ConfigSnapshot, Item, ItemKey, ItemKind, ProposalNumber};
+use damsonbeam_control::messages::TransferMessage;
+use damsonbeam_control::messages::{Message, encode};
+use damsonbeam_control::transfer::{Receiver, answer};
 
 #[global_allocator]
 static ALLOCATOR: Cap<System> = Cap::new(System, usize::MAX);
 
 fn tombstone(number: usize) -> Item {
-    let ballot = Ballot {
+    let proposal_number = ProposalNumber {
         round: number as u64,
-        writer: 7,
+        proposer: 7,
     };
-    let key = Key {
-        kind: Kind::Tenant,
+    let key = ItemKey {
+        kind: ItemKind::Tenant,
         name: format!("t{:07}", number),
     };
     Item {
         key,
         version: 2 + number as u64 % 9,
-        ballot,
+        proposal_number,
         body: None,
     }
 }
@@ -35,7 +36,7 @@
     let mut bytes = 0;
     while let Some(request) = requests.pop() {
         let reply: TransferMessage = answer(provider, &request).expect("an answer");
-        bytes += pack(&Message::Transfer(reply.clone())).len();
+        bytes += encode(&Message::Transfer(reply.clone())).len();
         let received = receiver.receive(&held, reply, Duration::ZERO);
         received.items.into_iter().for_each(|item| {
             held.merge(item);
@@ -51,7 +52,7 @@
     for count in [6_000, 60_000, 600_000, 2_190_000] {
         let before = ALLOCATOR.allocated();
         let mut snapshot = ConfigSnapshot::default();
-        (0..count).for_each(|n| snapshot.set(tombstone(n)));
+        (0..count).for_each(|n| snapshot.insert(tombstone(n)));
         let memory = ALLOCATOR.allocated() - before;
         let began = Instant::now();
         let bytes = transferred(&snapshot);
--- /dev/null
+++ b/crates/control/src/config/validation.rs
@@ -0,0 +1,120 @@
+//! Which items may be in force together.
+
+use std::collections::BTreeMap;
+
+use simd_json::prelude::*;
+
+use super::{
+    ConfigSnapshot, ConnectionLimits, InvalidConfig, Item, ItemKey, ItemKind, MirrorRule, Route,
+    Tenant,
+};
+
+impl ConfigSnapshot {
+    /// Whether all items together are a configuration that may be in force.
+    ///
+    /// # Errors
+    /// The first item that is wrong, or clashes with another.
+    pub fn validate(&self) -> Result<(), InvalidConfig> {
+        self.validate_services()?;
+        self.validate_routes()?;
+        self.validate_tenants()?;
+        for item in self.present_items(ItemKind::Limits) {
+            ConnectionLimits::try_from(item)?;
+        }
+        Ok(())
+    }
+
+    fn validate_services(&self) -> Result<(), InvalidConfig> {
+        for item in self.present_items(ItemKind::Service) {
+            let value = item.json()?;
+            if value.get("health_path").is_some_and(|path| !path.is_str()) {
+                return Err(InvalidConfig::item(
+                    &item.key.name,
+                    "health_path: not a text",
+                ));
+            }
+        }
+        Ok(())
+    }
+
+    /// Each route's services exist, and no two routes have the same host and prefix.
+    fn validate_routes(&self) -> Result<(), InvalidConfig> {
+        let mut names_by_prefix: BTreeMap<(String, String), &str> = BTreeMap::new();
+        for item in self.present_items(ItemKind::Route) {
+            let route = Route::try_from(item)?;
+            let name = &item.key.name;
+            for target in &route.services {
+                if !self.has_service(&target.service) {
+                    let reason = format!("target_service: no `{}`", target.service);
+                    return Err(InvalidConfig::item(name, reason));
+                }
+            }
+            if let Some(other) = names_by_prefix.insert((route.host, route.prefix), name) {
+                let reason = format!("host and prefix are those of `{other}`");
+                return Err(InvalidConfig::item(name, reason));
+            }
+        }
+        Ok(())
+    }
+
+    fn has_service(&self, service: &str) -> bool {
+        let key = ItemKey {
+            kind: ItemKind::Service,
+            name: service.into(),
+        };
+        self.get(&key).is_some_and(|item| !item.is_removed())
+    }
+
+    /// No key belongs to two tenants.
+    fn validate_tenants(&self) -> Result<(), InvalidConfig> {
+        let mut owners: BTreeMap<String, &str> = BTreeMap::new();
+        for item in self.present_items(ItemKind::Tenant) {
+            let name = item.key.name.as_str();
+            for key in Tenant::try_from(item)?.api_keys {
+                let other = owners.insert(key, name).filter(|other| *other != name);
+                if let Some(other) = other {
+                    let reason = format!("a key is that of `{other}`");
+                    return Err(InvalidConfig::item(name, reason));
+                }
+            }
+        }
+        Ok(())
+    }
+
+    /// Whether the mirror rules may be in force beside each other and the configuration. Only calls that set mirror rules
+    /// are validated so: an operator's configuration is never rejected because of them.
+    ///
+    /// # Errors
+    /// The first rule that is wrong or clashes with something.
+    pub fn validate_mirror_rules(&self) -> Result<(), InvalidConfig> {
+        let rules = self
+            .present_items(ItemKind::MirrorRule)
+            .map(MirrorRule::try_from);
+        let rules = rules.collect::<Result<Vec<_>, _>>()?;
+        for rule in &rules {
+            if let Some(reason) = self.mirror_clash(rule, &rules) {
+                let reason = format!("trial_service: {reason}");
+                return Err(InvalidConfig::item(&rule.name, reason));
+            }
+        }
+        Ok(())
+    }
+
+    /// Why requests must not be mirrored to the rule's trial service.
+    fn mirror_clash(&self, rule: &MirrorRule, rules: &[MirrorRule]) -> Option<String> {
+        let is_trial = |service: &&Item| service.key.name == rule.trial_service;
+        if self
+            .present_items(ItemKind::Service)
+            .any(|service| is_trial(&service))
+        {
+            return Some(format!("`{}` is a real service", rule.trial_service));
+        }
+        if rule.service == rule.trial_service {
+            return Some("is the service itself".into());
+        }
+        let next = rules
+            .iter()
+            .find(|other| other.service == rule.trial_service)?;
+        Some(format!("`{}` copies it on", next.name))
+    }
+}
--- a/crates/control/src/link.rs
+++ b/crates/control/src/link.rs
@@ -1,4 +1,4 @@
-//! Held connections between the system's own processes: messages of bounded length, each with its length first.
+//! Held connections between the system's own processes: messages of bounded length, each preceded by its length.
 
 use std::io;
 use std::net::{IpAddr, SocketAddr};
@@ -13,124 +13,155 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-use crate::messages::{MAX_MESSAGE_BYTES, pack, unpack};
-
-/// A connection on which nothing is acknowledged for this long is dead: a cut or a machine without power says nothing.
-pub const SILENT: Duration = Duration::from_millis(2000);
-/// Messages that wait to be written at most: a peer that reads nothing loses its connection.
-const ROOM: usize = 4096;
+use crate::messages::{DecodeError, MAX_MESSAGE_BYTES, decode, encode};
+
+/// A connection on which nothing is acknowledged for this long is dead: behind a partition, or from a machine without
+/// power, nothing comes that would end it.
+pub const SILENCE_TIMEOUT: Duration = Duration::from_millis(2000);
+/// Messages that wait to be written at most: a peer that does not read loses its connection.
+const SEND_QUEUE_CAPACITY: usize = 4096;
+/// Messages written at once.
+const WRITE_BATCH: usize = 64;
+/// Connections that may wait to be accepted.
+const LISTEN_BACKLOG: u32 = 1024;
+/// TCP keep-alive probes go out at this interval, and so many may be lost.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+const KEEPALIVE_RETRIES: u32 = 2;
+
+/// Why a connection does not come up, or ends.
+#[derive(Debug, thiserror::Error)]
+pub enum LinkError {
+    /// An address can't be listened on.
+    #[error("listening on {address}: {source}")]
+    Listen {
+        /// The address.
+        address: SocketAddr,
+        /// What the system says.
+        source: io::Error,
+    },
+    /// No connection came up in time.
+    #[error("no connection in time")]
+    ConnectTimeout,
+    /// Nothing came for too long.
+    #[error("silent")]
+    Silent,
+    /// The peer announced a message that is too long.
+    #[error("a message of {0} bytes")]
+    TooLong(usize),
+    /// What came is no message.
+    #[error(transparent)]
+    Decode(#[from] DecodeError),
+    /// The connection could not be made, or broke.
+    #[error(transparent)]
+    Io(#[from] io::Error),
+}
 
 /// Which way a message goes over a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Direction {
+    /// Received.
     In,
+    /// Sent.
     Out,
 }
 
-/// Told of each message's bytes, without their length.
+/// Called with the bytes of each message, without their length.
 pub type Observer = fn(Direction, &[u8]);
 
 static OBSERVER: OnceLock<Observer> = OnceLock::new();
 
-/// For tools that measure: the observer is told of all messages of this process from now on. The first one stays.
+/// Has all messages of this process observed from now on, for tools that measure. The first observer stays.
 pub fn observe(observer: Observer) {
     OBSERVER.set(observer).ok();
 }
 
-fn tell_observer(direction: Direction, bytes: &[u8]) {
+fn notify_observer(direction: Direction, bytes: &[u8]) {
     if let Some(observer) = OBSERVER.get() {
         observer(direction, bytes);
     }
 }
 
+/// Connects to a process.
+///
 /// # Errors
 /// Where no connection comes up in time.
-pub async fn dial(at: SocketAddr, within: Duration) -> Result<TcpStream, String> {
-    up(within, TcpStream::connect(at)).await
+pub async fn connect(to: SocketAddr, within: Duration) -> Result<TcpStream, LinkError> {
+    configured(within, TcpStream::connect(to)).await
 }
 
-/// The same from an address of this machine's, by which the other side knows who calls: a machine may have several.
+/// Connects to a process from a given address of this machine, which may have several: the peer identifies the caller
+/// by it.
 ///
 /// # Errors
 /// Where no connection comes up in time.
-pub async fn dial_from(ip: IpAddr, at: SocketAddr, within: Duration) -> Result<TcpStream, String> {
-    up(within, async {
+pub async fn connect_from(
+    from: IpAddr,
+    to: SocketAddr,
+    within: Duration,
+) -> Result<TcpStream, LinkError> {
+    let connecting = async {
         let socket = TcpSocket::new_v4()?;
-        socket.bind((ip, 0).into())?;
-        socket.connect(at).await
-    })
-    .await
+        socket.bind((from, 0).into())?;
+        socket.connect(to).await
+    };
+    configured(within, connecting).await
 }
 
-async fn up(
+async fn configured(
     within: Duration,
-    connect: impl Future<Output = io::Result<TcpStream>>,
-) -> Result<TcpStream, String> {
-    match timeout(within, connect).await {
-        Ok(Ok(stream)) => {
-            tend(&stream);
-            Ok(stream)
-        }
-        Ok(Err(e)) => Err(e.to_string()),
-        Err(_) => Err("no connection in time".into()),
-    }
+    connecting: impl Future<Output = io::Result<TcpStream>>,
+) -> Result<TcpStream, LinkError> {
+    let connected = timeout(within, connecting).await;
+    let stream = connected.map_err(|_| LinkError::ConnectTimeout)??;
+    configure(&stream);
+    Ok(stream)
 }
 
+/// Listens on an address.
+///
 /// # Errors
 /// Where the address can't be listened on.
-pub fn listen(at: SocketAddr) -> Result<TcpListener, String> {
-    let bound = || {
+pub fn listen(address: SocketAddr) -> Result<TcpListener, LinkError> {
+    let listening = || {
         let socket = TcpSocket::new_v4()?;
         socket.set_reuseaddr(true)?;
-        socket.bind(at)?;
-        socket.listen(1024)
+        socket.bind(address)?;
+        socket.listen(LISTEN_BACKLOG)
     };
-    bound().map_err(|e: std::io::Error| format!("listening on {at}: {e}"))
+    listening().map_err(|source| LinkError::Listen { address, source })
 }
 
-pub fn tend(stream: &TcpStream) {
+/// Sets a connection's options: no delay, and an end where the peer acknowledges nothing.
+pub fn configure(stream: &TcpStream) {
     stream.set_nodelay(true).ok();
     let socket = SockRef::from(stream);
-    socket.set_tcp_user_timeout(Some(SILENT)).ok();
-    let probes = TcpKeepalive::new()
-        .with_time(Duration::from_secs(1))
-        .with_interval(Duration::from_secs(1));
-    socket.set_tcp_keepalive(&probes.with_retries(2)).ok();
-}
-
-/// The end on which messages go out.
-#[derive(Clone)]
-pub struct Out(mpsc::Sender<Vec<u8>>);
-
-impl Out {
-    /// False where the peer reads too slowly, or is gone.
-    pub fn send<T: Encode>(&self, note: &T) -> bool {
-        self.bytes(pack(note))
-    }
-
-    pub fn bytes(&self, bytes: Vec<u8>) -> bool {
-        tell_observer(Direction::Out, &bytes);
-        self.0.try_send(bytes).is_ok()
-    }
+    socket.set_tcp_user_timeout(Some(SILENCE_TIMEOUT)).ok();
+    let keepalive = TcpKeepalive::new()
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(KEEPALIVE_RETRIES);
+    socket.set_tcp_keepalive(&keepalive).ok();
 }
 
-pub struct In(BufReader<OwnedReadHalf>);
-
-/// The two ends of a connection; what goes out is written by a task of its own, until either end is gone.
-pub fn split(stream: TcpStream) -> (In, Out) {
+/// The two ends of a connection. Messages are written by a task of their own, until either end is dropped.
+pub fn split(stream: TcpStream) -> (MessageReader, MessageSender) {
     let (read, write) = stream.into_split();
-    let (out, mail) = mpsc::channel(ROOM);
-    tokio::task::spawn_local(write_all(write, mail));
-    (In(BufReader::new(read)), Out(out))
+    let (sender, queue) = mpsc::channel(SEND_QUEUE_CAPACITY);
+    tokio::task::spawn_local(write_queued(write, queue));
+    (MessageReader(BufReader::new(read)), MessageSender(sender))
 }
 
-async fn write_all(mut write: OwnedWriteHalf, mut mail: mpsc::Receiver<Vec<u8>>) {
+async fn write_queued(mut write: OwnedWriteHalf, mut queue: mpsc::Receiver<Vec<u8>>) {
     let mut batch = Vec::new();
-    while mail.recv_many(&mut batch, 64).await > 0 {
-        let mut bytes = Vec::with_capacity(batch.iter().map(|b| b.len() + 4).sum());
-        for one in batch.drain(..) {
-            bytes.extend_from_slice(&(one.len() as u32).to_be_bytes());
-            bytes.extend_from_slice(&one);
+    while queue.recv_many(&mut batch, WRITE_BATCH).await > 0 {
+        let length = batch
+            .iter()
+            .map(|message| message.len() + size_of::<u32>())
+            .sum();
+        let mut bytes = Vec::with_capacity(length);
+        for message in batch.drain(..) {
+            bytes.extend_from_slice(&(message.len() as u32).to_be_bytes());
+            bytes.extend_from_slice(&message);
         }
         if write.write_all(&bytes).await.is_err() {
             return;
@@ -139,30 +170,48 @@
     write.shutdown().await.ok();
 }
 
-impl In {
-    /// The next message; one that takes longer than `silent` to come is no message.
+/// The end of a connection on which messages are sent.
+#[derive(Clone)]
+pub struct MessageSender(mpsc::Sender<Vec<u8>>);
+
+impl MessageSender {
+    /// Queues a message; `false` where the peer reads too slowly, or is gone.
+    pub fn send<T: Encode>(&self, message: &T) -> bool {
+        self.send_encoded(encode(message))
+    }
+
+    /// Queues a message that is encoded already; `false` where the peer reads too slowly, or is gone.
+    pub fn send_encoded(&self, bytes: Vec<u8>) -> bool {
+        notify_observer(Direction::Out, &bytes);
+        self.0.try_send(bytes).is_ok()
+    }
+}
+
+/// The end of a connection on which messages are received.
+pub struct MessageReader(BufReader<OwnedReadHalf>);
+
+impl MessageReader {
+    /// The next message.
     ///
     /// # Errors
-    /// Where the connection ends, is silent, or says what can't be read.
-    pub async fn next<T: for<'a> Decode<'a>>(&mut self, silent: Duration) -> Result<T, String> {
-        let bytes = match timeout(silent, self.frame()).await {
-            Ok(bytes) => bytes?,
-            Err(_) => return Err("silent".into()),
-        };
-        unpack(&bytes)
+    /// Where the connection ends, nothing comes within `silence_timeout`, or what comes is no message.
+    pub async fn next<T: for<'a> Decode<'a>>(
+        &mut self,
+        silence_timeout: Duration,
+    ) -> Result<T, LinkError> {
+        let frame = timeout(silence_timeout, self.frame()).await;
+        let bytes = frame.map_err(|_| LinkError::Silent)??;
+        Ok(decode(&bytes)?)
     }
 
-    async fn frame(&mut self) -> Result<Vec<u8>, String> {
-        let length = self.0.read_u32().await.map_err(|e| e.to_string())? as usize;
+    async fn frame(&mut self) -> Result<Vec<u8>, LinkError> {
+        let length = self.0.read_u32().await? as usize;
         if length > MAX_MESSAGE_BYTES {
-            return Err(format!("a message of {length} bytes"));
+            return Err(LinkError::TooLong(length));
         }
         let mut bytes = vec![0; length];
-        self.0
-            .read_exact(&mut bytes)
-            .await
-            .map_err(|e| e.to_string())?;
-        tell_observer(Direction::In, &bytes);
+        self.0.read_exact(&mut bytes).await?;
+        notify_observer(Direction::In, &bytes);
         Ok(bytes)
     }
 }
--- a/crates/control/src/membership.rs
+++ b/crates/control/src/membership.rs
@@ -1,400 +1,377 @@
-//! Which registries there are: probes to a few in turn, second opinions through third parties, suspicion before
-//! removal. Free of I/O: time and datagrams come in, datagrams go out.
+//! Which registries there are, by the SWIM protocol: each probes one other at a time, asks a few more to probe it where
+//! it does not answer, and suspects it before it declares it dead. Free of I/O: time and datagrams come in, datagrams go
+//! out.
 //!
-//! A registry is known by its machine's address. What is said of it carries a number that only it raises: one that
-//! hears itself suspected or dead says it is alive with the next number, and so does one that comes back.
+//! A registry is known by its machine's address. Every update on it bears an incarnation, which only the registry itself
+//! raises: one that hears that it is suspected or dead refutes it with the next incarnation, and so does one that comes
+//! back after a restart.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use bitcode::{Decode, Encode};
+use crate::address::Ip;
+use crate::messages::{GossipBody, MemberState, MemberUpdate};
 
-use crate::messages::{GossipBody, Ip};
-
-/// Between two probes of one registry's.
-const EVERY: Duration = Duration::from_millis(300);
-/// A probe unanswered for this long is asked of others: twice the way there and back between regions.
-const FIRST: Duration = Duration::from_millis(250);
-/// Unanswered by then, it is suspected.
-const SECOND: Duration = Duration::from_millis(700);
-/// So long it may clear itself before it is held for dead.
-const SUSPECT: Duration = Duration::from_millis(1500);
-/// Others asked for a second opinion.
-const OPINIONS: usize = 2;
-/// A update is passed on so often.
-const TELLS: u32 = 8;
-/// Updates a datagram: it stays under a packet.
+/// Between two probes of one registry.
+const PROBE_INTERVAL: Duration = Duration::from_millis(300);
+/// Others are asked to probe a member that has not answered by then: twice the round trip between regions.
+const INDIRECT_PROBE_AFTER: Duration = Duration::from_millis(250);
+/// A member that has not answered by then, to nobody, is suspected.
+const SUSPECT_AFTER: Duration = Duration::from_millis(700);
+/// A suspected member may refute it for this long before it is declared dead.
+const SUSPICION_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Members that are asked to probe another.
+const INDIRECT_PROBES: usize = 2;
+/// An update is sent along with this many datagrams.
+const TRANSMISSIONS: u32 = 8;
+/// Updates in one datagram, which stays below a packet's size.
 const MAX_UPDATES: usize = 16;
-/// The dead are asked now and then: a cut heals, a machine comes back.
-const REVISIT: u32 = 4;
-/// What has been dead for so long is forgotten.
-const FORGET: Duration = Duration::from_secs(60);
-
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
-pub enum MemberState {
-    Alive,
-    Suspect,
-    Dead,
-}
+/// Dead members are probed once in this many probes: partitions heal, machines come back.
+const PROBES_PER_REVISIT: u32 = 4;
+/// A member that has been dead for this long is forgotten.
+const DEAD_RETENTION: Duration = Duration::from_secs(60);
 
-#[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct MemberUpdate {
+/// A member whose state changed, for the log.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct MembershipChange {
+    /// The member.
     pub ip: Ip,
-    pub number: u64,
+    /// Its new state.
     pub state: MemberState,
 }
 
+/// What a call to the membership brought about.
+#[derive(Debug, Default)]
+pub struct MembershipOutput {
+    /// Datagrams to send, and to whom.
+    pub datagrams: Vec<(Ip, GossipBody)>,
+    /// Members whose state changed.
+    pub changes: Vec<MembershipChange>,
+}
+
+impl MembershipOutput {
+    fn send(&mut self, to: Ip, body: GossipBody) {
+        self.datagrams.push((to, body));
+    }
+}
+
 #[derive(Debug)]
 struct Member {
-    number: u64,
+    incarnation: u64,
     state: MemberState,
     since: Duration,
-    tells: u32,
+    /// How many more datagrams its update goes along with.
+    transmissions_left: u32,
+}
+
+impl Member {
+    fn enter(&mut self, state: MemberState, now: Duration) {
+        self.state = state;
+        self.since = now;
+        self.transmissions_left = TRANSMISSIONS;
+    }
+}
+
+/// On whose behalf a probe is made, and by which number it is answered there.
+#[derive(Clone, Copy, Debug)]
+struct ProbeRequester {
+    ip: Ip,
+    number: u64,
 }
 
 #[derive(Debug)]
 struct Probe {
-    whom: Ip,
-    at: Duration,
-    asked: bool,
-    /// On whose behalf, and by which number.
-    behalf: Option<(Ip, u64)>,
+    target: Ip,
+    sent_at: Duration,
+    /// Others were asked to probe the target, too.
+    is_indirect: bool,
+    /// `None`: the probe is this registry's own.
+    requester: Option<ProbeRequester>,
 }
 
+/// The members as one registry knows them.
 #[derive(Debug)]
-pub struct Members {
-    me: Ip,
-    number: u64,
-    all: BTreeMap<Ip, Member>,
+pub struct Membership {
+    own_ip: Ip,
+    own_incarnation: u64,
+    members: BTreeMap<Ip, Member>,
+    /// Addresses to be probed like the dead as long as they are no members.
     seeds: Vec<Ip>,
+    /// Probes without an answer, by number.
     probes: BTreeMap<u64, Probe>,
-    next_no: u64,
-    next: Duration,
+    last_number: u64,
+    next_probe_at: Duration,
+    /// Counts the members probed, which are taken in turn.
     turn: usize,
-    rounds: u32,
+    probe_rounds: u32,
 }
 
-/// What changed, for the log.
-pub type Change = (Ip, MemberState);
-
-impl Members {
-    pub fn new(me: Ip, seeds: Vec<Ip>, now: Duration) -> Self {
-        let seeds = seeds.into_iter().filter(|s| *s != me).collect();
-        Members {
-            me,
-            number: 0,
-            all: BTreeMap::new(),
+impl Membership {
+    /// A registry that knows nobody but its seeds.
+    pub fn new(own_ip: Ip, seeds: Vec<Ip>, now: Duration) -> Self {
+        let seeds = seeds.into_iter().filter(|seed| *seed != own_ip).collect();
+        Membership {
+            own_ip,
+            own_incarnation: 0,
+            members: BTreeMap::new(),
             seeds,
             probes: BTreeMap::new(),
-            next_no: 0,
-            next: now,
+            last_number: 0,
+            next_probe_at: now,
             turn: 0,
-            rounds: 0,
+            probe_rounds: 0,
         }
     }
 
-    /// Those that are not held for dead, this one among them.
+    /// Those that are not dead, this one among them, in order.
     pub fn alive(&self) -> Vec<Ip> {
-        let mut out: Vec<Ip> = self
-            .all
-            .iter()
-            .filter(|(_, m)| m.state != MemberState::Dead)
-            .map(|(ip, _)| *ip)
-            .collect();
-        out.push(self.me);
-        out.sort_unstable();
-        out
+        let members = self.members.iter();
+        let alive = members.filter(|(_, member)| member.state != MemberState::Dead);
+        let mut alive: Vec<Ip> = alive.map(|(ip, _)| *ip).collect();
+        alive.push(self.own_ip);
+        alive.sort_unstable();
+        alive
     }
 
-    /// Addresses known from elsewhere, to be asked in turn like the dead.
-    pub fn hint(&mut self, ips: impl IntoIterator<Item = Ip>) {
+    /// Adds addresses known from elsewhere, to be probed like the dead.
+    pub fn add_seeds(&mut self, ips: impl IntoIterator<Item = Ip>) {
         for ip in ips {
-            if ip != self.me && !self.all.contains_key(&ip) && !self.seeds.contains(&ip) {
+            let is_known = self.members.contains_key(&ip) || self.seeds.contains(&ip);
+            if ip != self.own_ip && !is_known {
                 self.seeds.push(ip);
             }
         }
     }
 
-    /// What to say along to that one: of itself, of whoever changed, and what is held of the one it goes to, which
-    /// alone can clear itself.
-    pub fn updates(&mut self, to: Ip) -> Vec<MemberUpdate> {
-        let mut out = vec![MemberUpdate {
-            ip: self.me,
-            number: self.number,
+    /// The updates to send along with a datagram: of this registry, of its receiver where that is not taken to be alive,
+    /// for it alone can refute that, and of the members that changed last.
+    pub fn updates_for(&mut self, receiver: Ip) -> Vec<MemberUpdate> {
+        let mut updates = vec![MemberUpdate {
+            ip: self.own_ip,
+            incarnation: self.own_incarnation,
             state: MemberState::Alive,
         }];
-        let held = self.all.get(&to).filter(|m| m.state != MemberState::Alive);
-        out.extend(held.map(|m| MemberUpdate {
-            ip: to,
-            number: m.number,
-            state: m.state,
-        }));
-        let mut fresh: Vec<(&Ip, &mut Member)> =
-            self.all.iter_mut().filter(|(_, m)| m.tells > 0).collect();
-        fresh.sort_by_key(|(_, m)| std::cmp::Reverse(m.tells));
-        for (ip, m) in fresh.into_iter().take(MAX_UPDATES) {
-            m.tells -= 1;
-            out.push(MemberUpdate {
-                ip: *ip,
-                number: m.number,
-                state: m.state,
-            });
+        let update = |ip: Ip, member: &Member| MemberUpdate {
+            ip,
+            incarnation: member.incarnation,
+            state: member.state,
+        };
+        let to_refute = self.members.get(&receiver);
+        let to_refute = to_refute.filter(|member| member.state != MemberState::Alive);
+        updates.extend(to_refute.map(|member| update(receiver, member)));
+        let members = self.members.iter_mut();
+        let mut recent: Vec<(&Ip, &mut Member)> = members
+            .filter(|(_, member)| member.transmissions_left > 0)
+            .collect();
+        recent.sort_by_key(|(_, member)| std::cmp::Reverse(member.transmissions_left));
+        for (ip, member) in recent.into_iter().take(MAX_UPDATES) {
+            member.transmissions_left -= 1;
+            updates.push(update(*ip, member));
         }
-        out
+        updates
     }
 
-    fn take(&mut self, r: &MemberUpdate, now: Duration) -> Option<Change> {
-        if r.ip == self.me {
-            if r.state != MemberState::Alive && r.number >= self.number {
-                self.number = r.number + 1;
+    /// Takes an update in if it is later than what is known.
+    fn apply(&mut self, update: &MemberUpdate, now: Duration) -> Option<MembershipChange> {
+        let MemberUpdate {
+            ip,
+            incarnation,
+            state,
+        } = *update;
+        if ip == self.own_ip {
+            if state != MemberState::Alive && incarnation >= self.own_incarnation {
+                self.own_incarnation = incarnation + 1;
             }
             return None;
         }
-        let tells = TELLS;
-        let known = self.all.get(&r.ip).map(|m| (m.number, m.state));
-        if known.is_some_and(|k| k >= (r.number, r.state))
-            || known.is_none() && r.state == MemberState::Dead
-        {
+        let known = self.members.get(&ip);
+        let known = known.map(|member| (member.incarnation, member.state));
+        let is_old = known.is_some_and(|known| known >= (incarnation, state));
+        if is_old || (known.is_none() && state == MemberState::Dead) {
             return None;
         }
-        self.all.insert(
-            r.ip,
-            Member {
-                number: r.number,
-                state: r.state,
-                since: now,
-                tells,
-            },
-        );
-        (known.map(|k| k.1) != Some(r.state)).then_some((r.ip, r.state))
+        let member = Member {
+            incarnation,
+            state,
+            since: now,
+            transmissions_left: TRANSMISSIONS,
+        };
+        self.members.insert(ip, member);
+        let has_changed = known.map(|(_, state)| state) != Some(state);
+        has_changed.then_some(MembershipChange { ip, state })
     }
 
-    /// A datagram came: what to send back, and who changed.
-    pub fn heard(
+    /// Takes a datagram of another registry.
+    pub fn receive(
         &mut self,
         from: Ip,
-        what: &GossipBody,
+        body: &GossipBody,
         updates: &[MemberUpdate],
         now: Duration,
-    ) -> (Vec<(Ip, GossipBody)>, Vec<Change>) {
-        let mut changes: Vec<Change> = updates.iter().filter_map(|r| self.take(r, now)).collect();
-        let out = match *what {
-            GossipBody::Ping { no } => vec![(from, GossipBody::Pong { no })],
-            GossipBody::Pong { no } => match self.probes.remove(&no) {
-                Some(Probe {
-                    behalf: Some((asker, number)),
-                    ..
-                }) => {
-                    vec![(asker, GossipBody::Pong { no: number })]
-                }
-                Some(probe) => {
-                    changes.extend(self.answered(probe.whom, now));
-                    vec![]
-                }
-                None => vec![],
-            },
-            GossipBody::Second { no, whom } => {
-                let mine = self.probe(whom, now, Some((from, no)));
-                vec![(whom, GossipBody::Ping { no: mine })]
+    ) -> MembershipOutput {
+        let mut output = MembershipOutput::default();
+        for update in updates {
+            output.changes.extend(self.apply(update, now));
+        }
+        match *body {
+            GossipBody::Ping { number } => output.send(from, GossipBody::Pong { number }),
+            GossipBody::Pong { number } => self.receive_pong(number, now, &mut output),
+            GossipBody::PingRequest { number, target } => {
+                let requester = ProbeRequester { ip: from, number };
+                let number = self.start_probe(target, now, Some(requester));
+                output.send(target, GossipBody::Ping { number });
             }
-            GossipBody::Lease(_) => vec![],
+            GossipBody::Lease(_) => {}
+        }
+        output
+    }
+
+    fn receive_pong(&mut self, number: u64, now: Duration, output: &mut MembershipOutput) {
+        let Some(probe) = self.probes.remove(&number) else {
+            return;
         };
-        (out, changes)
+        match probe.requester {
+            Some(ProbeRequester { ip, number }) => output.send(ip, GossipBody::Pong { number }),
+            None => output
+                .changes
+                .extend(self.clear_suspicion(probe.target, now)),
+        }
     }
 
-    /// It lives, whatever is said of it: it will clear itself with a number of its own; here it counts at once.
-    fn answered(&mut self, whom: Ip, now: Duration) -> Option<Change> {
-        let m = self.all.get_mut(&whom)?;
-        if m.state == MemberState::Suspect {
-            (m.state, m.since, m.tells) = (MemberState::Alive, now, 0);
-            return Some((whom, MemberState::Alive));
+    /// A member that answers is alive, whatever the updates say. It will refute them with an incarnation of its own; here
+    /// it counts at once.
+    fn clear_suspicion(&mut self, ip: Ip, now: Duration) -> Option<MembershipChange> {
+        let member = self.members.get_mut(&ip)?;
+        if member.state != MemberState::Suspect {
+            return None;
         }
-        None
+        let state = MemberState::Alive;
+        member.state = state;
+        member.since = now;
+        member.transmissions_left = 0;
+        Some(MembershipChange { ip, state })
     }
 
-    fn probe(&mut self, whom: Ip, now: Duration, behalf: Option<(Ip, u64)>) -> u64 {
-        self.next_no += 1;
-        self.probes.insert(
-            self.next_no,
-            Probe {
-                whom,
-                at: now,
-                asked: false,
-                behalf,
-            },
-        );
-        self.next_no
+    fn start_probe(&mut self, target: Ip, now: Duration, requester: Option<ProbeRequester>) -> u64 {
+        self.last_number += 1;
+        let probe = Probe {
+            target,
+            sent_at: now,
+            is_indirect: false,
+            requester,
+        };
+        self.probes.insert(self.last_number, probe);
+        self.last_number
     }
 
-    /// Time passed: what to send, and who changed.
-    pub fn tick(&mut self, now: Duration) -> (Vec<(Ip, GossipBody)>, Vec<Change>) {
-        let (mut out, mut changes) = (Vec::new(), Vec::new());
+    /// Time has passed.
+    pub fn tick(&mut self, now: Duration) -> MembershipOutput {
+        let mut output = MembershipOutput::default();
         let alive = self.alive();
-        let due: Vec<(u64, Ip, bool)> = self
+        self.check_probes(now, &alive, &mut output);
+        self.declare_dead(now, &mut output);
+        if now >= self.next_probe_at {
+            self.next_probe_at = now + PROBE_INTERVAL;
+            self.probe_rounds += 1;
+            self.probe_members(now, alive, &mut output);
+        }
+        output
+    }
+
+    /// Probes that have had no answer for some time: others are asked to probe the target, then it is suspected.
+    fn check_probes(&mut self, now: Duration, alive: &[Ip], output: &mut MembershipOutput) {
+        let overdue = self
             .probes
             .iter()
-            .filter(|(_, p)| now >= p.at + FIRST)
-            .map(|(no, p)| (*no, p.whom, p.behalf.is_some()))
-            .collect();
-        for (no, whom, behalf) in due {
-            let p = &self.probes[&no];
-            if now >= p.at + SECOND {
-                self.probes.remove(&no);
-                if !behalf
-                    && let Some(m) = self.all.get_mut(&whom)
-                    && m.state == MemberState::Alive
-                {
-                    (m.state, m.since, m.tells) = (MemberState::Suspect, now, TELLS);
-                    changes.push((whom, MemberState::Suspect));
+            .filter(|(_, probe)| now >= probe.sent_at + INDIRECT_PROBE_AFTER);
+        let overdue: Vec<u64> = overdue.map(|(number, _)| *number).collect();
+        for number in overdue {
+            let probe = &self.probes[&number];
+            let is_own = probe.requester.is_none();
+            let target = probe.target;
+            if now >= probe.sent_at + SUSPECT_AFTER {
+                self.probes.remove(&number);
+                if is_own {
+                    output.changes.extend(self.suspect(target, now));
                 }
-            } else if !p.asked && !behalf {
-                self.probes.get_mut(&no).expect("seen above").asked = true;
-                let others = alive.iter().filter(|a| **a != self.me && **a != whom);
-                let others: Vec<Ip> = others.copied().collect();
-                let from = self.turn % others.len().max(1);
-                let few = others
-                    .iter()
-                    .cycle()
-                    .skip(from)
-                    .take(OPINIONS.min(others.len()));
-                out.extend(few.map(|o| (*o, GossipBody::Second { no, whom })));
-            }
-        }
-        for (ip, m) in &mut self.all {
-            if m.state == MemberState::Suspect && now >= m.since + SUSPECT {
-                (m.state, m.since, m.tells) = (MemberState::Dead, now, TELLS);
-                changes.push((*ip, MemberState::Dead));
-            }
-        }
-        self.all
-            .retain(|_, m| m.state != MemberState::Dead || now < m.since + FORGET);
-        if now >= self.next {
-            self.next = now + EVERY;
-            self.rounds += 1;
-            let live: Vec<Ip> = alive.into_iter().filter(|a| *a != self.me).collect();
-            if !live.is_empty() {
-                self.turn += 1;
-                let whom = live[self.turn % live.len()];
-                let no = self.probe(whom, now, None);
-                out.push((whom, GossipBody::Ping { no }));
-            }
-            let mut lost: Vec<Ip> = self
-                .all
-                .iter()
-                .filter(|(_, m)| m.state == MemberState::Dead)
-                .map(|(ip, _)| *ip)
-                .collect();
-            lost.extend(
-                self.seeds
-                    .iter()
-                    .filter(|s| !live.contains(s) && !self.all.contains_key(*s)),
-            );
-            if !lost.is_empty() && (live.is_empty() || self.rounds.is_multiple_of(REVISIT)) {
-                for whom in lost {
-                    let no = self.probe(whom, now, None);
-                    out.push((whom, GossipBody::Ping { no }));
+            } else if is_own && !probe.is_indirect {
+                self.probes
+                    .get_mut(&number)
+                    .expect("seen above")
+                    .is_indirect = true;
+                for helper in self.probe_helpers(target, alive) {
+                    output.send(helper, GossipBody::PingRequest { number, target });
                 }
             }
         }
-        (out, changes)
     }
-}
 
-#[cfg(test)]
-mod tests {
-    use super::*;
+    fn suspect(&mut self, ip: Ip, now: Duration) -> Option<MembershipChange> {
+        let member = self.members.get_mut(&ip)?;
+        if member.state != MemberState::Alive {
+            return None;
+        }
+        let state = MemberState::Suspect;
+        member.enter(state, now);
+        Some(MembershipChange { ip, state })
+    }
 
-    fn at(ms: u64) -> Duration {
-        Duration::from_millis(ms)
+    /// A few members that are asked to probe another, taken in turn.
+    fn probe_helpers(&self, target: Ip, alive: &[Ip]) -> Vec<Ip> {
+        let others = alive
+            .iter()
+            .filter(|ip| **ip != self.own_ip && **ip != target);
+        let others: Vec<Ip> = others.copied().collect();
+        let count = INDIRECT_PROBES.min(others.len());
+        let first = self.turn % others.len().max(1);
+        others
+            .iter()
+            .cycle()
+            .skip(first)
+            .take(count)
+            .copied()
+            .collect()
     }
 
-    /// Registries with datagrams of 30 ms; `lost` says which way is cut when.
-    fn play(
-        all: &mut BTreeMap<Ip, Members>,
-        lost: &dyn Fn(Ip, Ip, u64) -> bool,
-        ms: std::ops::Range<u64>,
-    ) {
-        let mut mail: Vec<(u64, Ip, Ip, GossipBody, Vec<MemberUpdate>)> = Vec::new();
-        for t in ms.step_by(10) {
-            let ips: Vec<Ip> = all.keys().copied().collect();
-            for ip in ips {
-                let m = all.get_mut(&ip).expect("listed");
-                let (out, _) = m.tick(at(t));
-                for (to, what) in out {
-                    let updates = m.updates(to);
-                    mail.push((t + 30, ip, to, what, updates));
-                }
-            }
-            let (due, rest): (Vec<_>, Vec<_>) = mail.drain(..).partition(|m| m.0 <= t);
-            mail = rest;
-            for (_, from, to, what, updates) in due {
-                if lost(from, to, t) {
-                    continue;
-                }
-                let Some(m) = all.get_mut(&to) else { continue };
-                let (out, _) = m.heard(from, &what, &updates, at(t));
-                for (back, what) in out {
-                    let updates = m.updates(back);
-                    mail.push((t + 30, to, back, what, updates));
-                }
+    fn declare_dead(&mut self, now: Duration, output: &mut MembershipOutput) {
+        for (ip, member) in &mut self.members {
+            if member.state == MemberState::Suspect && now >= member.since + SUSPICION_TIMEOUT {
+                let state = MemberState::Dead;
+                member.enter(state, now);
+                output.changes.push(MembershipChange { ip: *ip, state });
             }
         }
+        self.members.retain(|_, member| {
+            member.state != MemberState::Dead || now < member.since + DEAD_RETENTION
+        });
     }
 
-    fn six() -> BTreeMap<Ip, Members> {
-        let ips: Vec<Ip> = (1..=6).map(|i| [10, 0, 0, i]).collect();
-        ips.iter()
-            .map(|ip| (*ip, Members::new(*ip, ips[..3].to_vec(), at(0))))
-            .collect()
-    }
-
-    #[test]
-    fn all_find_each_other_from_three_seeds_and_a_second_opinion_saves_one_that_is_cut_off_from_one()
-     {
-        let mut all = six();
-        play(&mut all, &|_, _, _| false, 0..3000);
-        assert!(
-            all.values().all(|m| m.alive().len() == 6),
-            "not found within 3 s"
-        );
-        let (a, b) = ([10, 0, 0, 1], [10, 0, 0, 5]);
-        play(
-            &mut all,
-            &|f, t, _| (f, t) == (a, b) || (f, t) == (b, a),
-            3000..12_000,
-        );
-        assert!(
-            all.values().all(|m| m.alive().len() == 6),
-            "one bad link condemned a registry"
-        );
+    /// Probes the next living member, and now and then all that are lost.
+    fn probe_members(&mut self, now: Duration, alive: Vec<Ip>, output: &mut MembershipOutput) {
+        let others: Vec<Ip> = alive.into_iter().filter(|ip| *ip != self.own_ip).collect();
+        if !others.is_empty() {
+            self.turn += 1;
+            self.probe(others[self.turn % others.len()], now, output);
+        }
+        let is_revisit = self.probe_rounds.is_multiple_of(PROBES_PER_REVISIT);
+        if others.is_empty() || is_revisit {
+            for lost in self.lost_members(&others) {
+                self.probe(lost, now, output);
+            }
+        }
     }
 
-    #[test]
-    fn the_lost_are_removed_on_both_sides_of_a_cut_and_known_again_after_it() {
-        let mut all = six();
-        play(&mut all, &|_, _, _| false, 0..3000);
-        let side = |ip: Ip| ip[3] <= 2;
-        play(&mut all, &|f, t, _| side(f) != side(t), 3000..9000);
-        assert!(
-            all.iter()
-                .all(|(ip, m)| m.alive().len() == if side(*ip) { 2 } else { 4 })
-        );
-        play(&mut all, &|_, _, _| false, 9000..14_000);
-        assert!(
-            all.values().all(|m| m.alive().len() == 6),
-            "the cut healed unseen"
-        );
+    fn probe(&mut self, target: Ip, now: Duration, output: &mut MembershipOutput) {
+        let number = self.start_probe(target, now, None);
+        output.send(target, GossipBody::Ping { number });
     }
 
-    #[test]
-    fn one_that_comes_back_under_its_address_with_a_new_life_clears_itself() {
-        let mut all = six();
-        play(&mut all, &|_, _, _| false, 0..3000);
-        let lost = [10, 0, 0, 2];
-        play(&mut all, &|f, t, _| f == lost || t == lost, 3000..9000);
-        assert_eq!(all[&[10, 0, 0, 1]].alive().len(), 5);
-        all.insert(lost, Members::new(lost, vec![[10, 0, 0, 1]], at(9000)));
-        play(&mut all, &|_, _, _| false, 9000..13_000);
-        assert!(all.values().all(|m| m.alive().len() == 6));
+    /// Dead members, and seeds that are no members.
+    fn lost_members(&self, alive: &[Ip]) -> Vec<Ip> {
+        let members = self.members.iter();
+        let dead = members.filter(|(_, member)| member.state == MemberState::Dead);
+        let is_member = |ip: &Ip| alive.contains(ip) || self.members.contains_key(ip);
+        let seeds = self.seeds.iter().filter(|seed| !is_member(seed));
+        dead.map(|(ip, _)| *ip).chain(seeds.copied()).collect()
     }
 }
--- a/crates/control/src/transfer/provider.rs
+++ b/crates/control/src/transfer/provider.rs
@@ -2,22 +2,23 @@
 
 use std::collections::HashSet;
 
-use super::{CHUNK_BYTES, GroupSums, PartRequest, Position, TransferMessage, shorten};
-use crate::items::{ConfigSnapshot, Item, mark};
-use crate::part_index::GROUPS;
+use super::shorten;
+use crate::config::{ConfigSnapshot, GROUPS, Item};
+use crate::messages::{CHUNK_BYTES, Position, ShardDigests, ShardRequest, TransferMessage};
 
-/// The answer to a receiver's message; none to a provider's.
+/// The answer to a receiver's message; `None` to a provider's.
 pub fn answer(snapshot: &ConfigSnapshot, message: &TransferMessage) -> Option<TransferMessage> {
     match message {
-        TransferMessage::Compare { round, group_sums } => {
-            Some(differences(snapshot, *round, group_sums))
-        }
+        TransferMessage::Compare {
+            round,
+            group_digests,
+        } => Some(differences(snapshot, *round, group_digests)),
         TransferMessage::Request {
             round,
             chunk,
-            parts,
+            shards,
         } => {
-            let (items, stopped) = missing_items(snapshot, *round, parts);
+            let (items, stopped) = missing_items(snapshot, *round, shards);
             Some(TransferMessage::Chunk {
                 round: *round,
                 chunk: *chunk,
@@ -29,66 +30,45 @@
     }
 }
 
-/// Cuts a list of items into pieces of at most [`CHUNK_BYTES`] each.
-pub fn split_items(items: Vec<Item>) -> Vec<Vec<Item>> {
-    let mut pieces: Vec<Vec<Item>> = Vec::new();
-    let mut bytes = 0;
-    for item in items {
-        bytes += item.wire_bytes();
-        match pieces.last_mut() {
-            Some(piece) if bytes <= CHUNK_BYTES => piece.push(item),
-            _ => {
-                bytes = item.wire_bytes();
-                pieces.push(vec![item]);
-            }
-        }
-    }
-    pieces
-}
-
 fn differences(snapshot: &ConfigSnapshot, round: u32, theirs: &[u32]) -> TransferMessage {
-    let ours = snapshot.index().group_sums();
-    let differs = |group: &usize| theirs.get(*group) != Some(&shorten(ours[*group], round));
-    let sums = |group: usize| GroupSums {
+    let index = snapshot.index();
+    let own = index.group_digests();
+    let differs = |group: &usize| theirs.get(*group) != Some(&shorten(own[*group], round));
+    let digests = |group: usize| ShardDigests {
         group: group as u8,
-        part_sums: snapshot
-            .index()
-            .part_sums(group)
-            .map(|sum| shorten(sum, round))
+        digests: index
+            .shard_digests(group)
+            .map(|digest| shorten(digest, round))
             .collect(),
     };
-    let groups = (0..GROUPS).filter(differs).map(sums).collect();
     TransferMessage::Differences {
         round,
         digest: snapshot.digest(),
-        groups,
+        groups: (0..GROUPS).filter(differs).map(digests).collect(),
     }
 }
 
+/// As many of the missing items as fit into a chunk, and where they stop if these are not all.
 fn missing_items(
     snapshot: &ConfigSnapshot,
     round: u32,
-    parts: &[PartRequest],
+    shards: &[ShardRequest],
 ) -> (Vec<Item>, Option<Position>) {
     let mut items = Vec::new();
     let mut bytes = 0;
-    for PartRequest { from, marks } in parts {
-        let held: HashSet<u32> = marks.iter().copied().collect();
+    for ShardRequest { from, fingerprints } in shards {
+        let known: HashSet<u32> = fingerprints.iter().copied().collect();
+        let is_missing = |item: &&Item| !known.contains(&shorten(item.fingerprint(), round));
         let mut after = from.after.as_ref();
-        for key in snapshot.index().keys(from.part, from.after.as_ref()) {
-            let missing = snapshot
-                .get(key)
-                .filter(|item| !held.contains(&shorten(mark(item), round)));
-            if let Some(item) = missing {
+        for key in snapshot.index().keys(from.shard, from.after.as_ref()) {
+            if let Some(item) = snapshot.get(key).filter(is_missing) {
                 bytes += item.wire_bytes();
                 if bytes > CHUNK_BYTES && !items.is_empty() {
-                    return (
-                        items,
-                        Some(Position {
-                            part: from.part,
-                            after: after.cloned(),
-                        }),
-                    );
+                    let stopped = Position {
+                        shard: from.shard,
+                        after: after.cloned(),
+                    };
+                    return (items, Some(stopped));
                 }
                 items.push(item.clone());
             }
--- a/crates/control/tests/contact.rs
+++ b/crates/control/tests/contact.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use damsonbeam_control::contact::{CONTACT_BOUND, Contact};
-use damsonbeam_control::messages::Ip;
+use damsonbeam_control::address::Ip;
+use damsonbeam_control::contact::{CONTACT_TIMEOUT, Contact};
 use damsonbeam_control::voters::VoterSet;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -52,7 +52,7 @@
     assert!(!is(0) && is(300), "contact takes long at the start");
     assert!(is(4950) && is(7000));
     assert!(
-        !is(5000 + CONTACT_BOUND.as_millis() as u64) && !is(24_950),
+        !is(5000 + CONTACT_TIMEOUT.as_millis() as u64) && !is(24_950),
         "in contact with two of six"
     );
     assert!(is(25_700), "the cut healed and contact did not");
--- a/crates/control/tests/lease.rs
+++ b/crates/control/tests/lease.rs
@@ -2,8 +2,9 @@
 
 use std::time::Duration;
 
-use damsonbeam_control::lease::{LEASE, LeaseElection, LeaseMessage};
-use damsonbeam_control::messages::Ip;
+use damsonbeam_control::address::Ip;
+use damsonbeam_control::lease::{LEASE, LeaseElection};
+use damsonbeam_control::messages::{LeaseHolder, LeaseMessage};
 use damsonbeam_control::voters::VoterSet;
 
 /// Clocks show no whole microseconds, as real ones.
@@ -57,7 +58,7 @@
             }
         }
         let holders: Vec<usize> = (0..all.len())
-            .filter(|n| all[*n].holds(at(t)).is_some())
+            .filter(|n| all[*n].held_term(at(t)).is_some())
             .collect();
         assert!(holders.len() <= 1, "two holders at {t}: {holders:?}");
         holders.iter().for_each(|h| held.push((t, *h)));
@@ -103,7 +104,9 @@
                 mail.push((t + 20, to, from, back));
             }
         }
-        let holders = (0..5).filter(|n| all[*n].holds(at(t)).is_some()).count();
+        let holders = (0..5)
+            .filter(|n| all[*n].held_term(at(t)).is_some())
+            .count();
         assert!(holders <= 1, "two holders at {t}");
         if holders == 1 && t > 8000 {
             (held, last) = (held + 1, t);
@@ -119,7 +122,7 @@
 fn a_holder_that_leaves_is_followed_at_once() {
     let mut all: Vec<LeaseElection> = registries(3);
     play(&mut all, &|_, _| false, 0..4000);
-    let vote = all[0].leave(at(4000), &ips(3)).expect("it holds");
+    let vote = all[0].transfer(at(4000), &ips(3)).expect("it holds");
     for claims in &mut all[1..3] {
         assert_eq!(claims.receive([10, 0, 0, 1], &vote, at(4010)), None);
     }
@@ -134,13 +137,13 @@
 fn a_holder_keeps_its_term_over_a_change_of_epoch_and_gives_it_up_where_it_is_two_behind() {
     let mut all = registries(3);
     play(&mut all, &|_, _| false, 0..4000);
-    let term = all[0].holds(at(4000)).expect("the first holds it");
+    let term = all[0].held_term(at(4000)).expect("the first holds it");
     let next = VoterSet::new(2, ips(3)[..2].to_vec());
     all[..2]
         .iter_mut()
         .for_each(|election| election.set_voters(next.clone()));
     assert_eq!(
-        all[0].holds(at(4001)),
+        all[0].held_term(at(4001)),
         Some(term),
         "the lease is broken off by a change of epoch"
     );
@@ -162,13 +165,13 @@
         .expect("an answer");
     all[0].receive(ips(3)[1], &grant, at(4320));
     assert_eq!(
-        all[0].holds(at(5150)),
+        all[0].held_term(at(5150)),
         Some(term),
         "nothing was gained by the grant in the new epoch"
     );
     // Epoch 4 is seen: two ahead.
     all[0].observe_epoch(4);
-    assert_eq!(all[0].holds(at(4330)), None);
+    assert_eq!(all[0].held_term(at(4330)), None);
 }
 
 #[test]
@@ -177,7 +180,7 @@
     for t in (0..20_000).step_by(50) {
         fresh.confirm_epoch(0, at(t));
         assert_eq!(fresh.tick(at(t), &[ips(1)[0]]), None);
-        assert_eq!(fresh.holds(at(t)), None, "it holds the lease alone");
+        assert_eq!(fresh.held_term(at(t)), None, "it holds the lease alone");
     }
     // A voter whose store has been silent for the time that its word counts.
     let mut voter = registries(3).remove(0);
@@ -201,7 +204,7 @@
 fn a_term_belongs_to_one_candidate_and_a_grant_to_a_claim_of_this_life() {
     let mut all = registries(3);
     play(&mut all, &|_, _| false, 0..4000);
-    let term = all[0].holds(at(4000)).expect("the first holds it");
+    let term = all[0].held_term(at(4000)).expect("the first holds it");
     // Long after the lease another claims by the very term.
     all[2].confirm_epoch(1, at(9000));
     let claim = LeaseMessage::Claim {
@@ -226,7 +229,7 @@
         );
     }
     assert_eq!(
-        all[0].holds(at(4000) + LEASE),
+        all[0].held_term(at(4000) + LEASE),
         None,
         "grants of another life prolong the lease"
     );
@@ -266,7 +269,7 @@
         }
         let holders: Vec<u64> = all
             .iter()
-            .filter_map(|election| election.holds(at(t)))
+            .filter_map(|election| election.held_term(at(t)))
             .collect();
         assert!(holders.len() <= 1, "two holders at {t}");
         terms.extend(holders.into_iter().filter(|_| t > 4000));
@@ -295,7 +298,7 @@
 #[test]
 fn claims_and_grants_of_another_epoch_count_for_nothing() {
     let (mut holder, mut voter) = holder_and_voter();
-    let term = holder.holds(at(4000)).expect("the first holds it");
+    let term = holder.held_term(at(4000)).expect("the first holds it");
     let next = VoterSet::new(2, ips(3));
     voter.set_voters(next.clone());
     voter.confirm_epoch(2, at(4000));
@@ -327,7 +330,7 @@
         );
     }
     assert_eq!(
-        holder.holds(at(5150)),
+        holder.held_term(at(5150)),
         None,
         "a grant of the old epoch prolongs the lease"
     );
@@ -357,7 +360,7 @@
             voter.clone().receive(ips(3)[2], &claim, at_voter),
             Some(LeaseMessage::Grant { .. })
         );
-        let holds = holder.holds(by_clock(elapsed, 0.95)).is_some();
+        let holds = holder.held_term(by_clock(elapsed, 0.95)).is_some();
         assert!(
             !(is_free && holds),
             "two may hold it {elapsed} ms after the grant"
@@ -387,7 +390,7 @@
             .expect("an answer");
         all[1].receive(ips[voter], &refusal, at(2025));
     }
-    let term = all[0].holds(at(2030)).expect("the first holds it");
+    let term = all[0].held_term(at(2030)).expect("the first holds it");
     // The second, refused, grants the first one's next claim instead of claiming by a later term.
     all[0].confirm_epoch(1, at(2240));
     let next = all[0].tick(at(2240), &ips).expect("it claims again");
@@ -395,5 +398,8 @@
         all[1].receive(ips[0], &next, at(2250)),
         Some(LeaseMessage::Grant { .. })
     ));
-    assert_eq!(all[1].holder(at(2260)), Some((ips[0], term)));
+    assert_eq!(
+        all[1].holder(at(2260)),
+        Some(LeaseHolder { ip: ips[0], term })
+    );
 }
--- a/crates/control/tests/lease_model.rs
+++ b/crates/control/tests/lease_model.rs
@@ -6,8 +6,9 @@
 
 use std::time::Duration;
 
-use damsonbeam_control::lease::{EPOCH_SPACING, LEASE, LeaseElection, LeaseMessage};
-use damsonbeam_control::messages::Ip;
+use damsonbeam_control::address::Ip;
+use damsonbeam_control::lease::{EPOCH_SPACING, LEASE, LeaseElection};
+use damsonbeam_control::messages::LeaseMessage;
 use damsonbeam_control::voters::VoterSet;
 use stateright::{Checker, Model, Property};
 
@@ -135,7 +136,7 @@
 
     fn holders(&self, s: &State) -> Vec<usize> {
         (0..s.elections.len())
-            .filter(|n| s.elections[*n].holds(self.clock(s, *n)).is_some())
+            .filter(|n| s.elections[*n].held_term(self.clock(s, *n)).is_some())
             .collect()
     }
 
@@ -424,7 +425,7 @@
             Step::Leave(n, hear) => {
                 s.budget.leaves -= 1;
                 let now = self.clock(&s, n);
-                let message = s.elections[n].leave(now, &self.alive())?;
+                let message = s.elections[n].transfer(now, &self.alive())?;
                 for to in hear {
                     self.deliver(&mut s, n, to, &message);
                 }
--- a/crates/control/tests/transfer.rs
+++ b/crates/control/tests/transfer.rs
@@ -4,10 +4,9 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use damsonbeam_control::items::{Ballot, ConfigSnapshot, Item, Key, Kind};
-use damsonbeam_control::transfer::{
-    CHUNK_BYTES, CHUNKS_IN_FLIGHT, Received, Receiver, TransferMessage, answer, split_items,
-};
+use damsonbeam_control::config::{ConfigSnapshot, Item, ItemKey, ItemKind, ProposalNumber};
+use damsonbeam_control::messages::{CHUNK_BYTES, TransferMessage, split_items};
+use damsonbeam_control::transfer::{CHUNKS_IN_FLIGHT, Received, Receiver, answer};
 use quickcheck::{QuickCheck, TestResult};
 
 type Versions = Vec<(u16, u8)>;
@@ -16,15 +15,15 @@
 const NOW: Duration = Duration::ZERO;
 
 fn item(number: u16, version: u64) -> Item {
-    let key = Key {
-        kind: Kind::Tenant,
+    let key = ItemKey {
+        kind: ItemKind::Tenant,
         name: format!("tenant-{number}"),
     };
     let body = (!version.is_multiple_of(5)).then(|| vec![b'x'; usize::from(number % 7) * 5_000]);
     Item {
         key,
         version,
-        ballot: Ballot::default(),
+        proposal_number: ProposalNumber::default(),
         body,
     }
 }
@@ -198,11 +197,11 @@
 fn one_changed_item_of_many_costs_little() {
     let mut world = World::default();
     for n in 0..20_000 {
-        world.provider.set(item(n - n % 7, 1));
+        world.provider.insert(item(n - n % 7, 1));
     }
     world.held = world.provider.clone();
     merge_all(&mut world.provider, vec![item(7, 2)]);
-    let bytes = |message: &TransferMessage| damsonbeam_control::messages::pack(message).len();
+    let bytes = |message: &TransferMessage| damsonbeam_control::messages::encode(message).len();
     let mut sent = 0;
     world.reconnect();
     while let Some(message) = world.to_provider.pop() {
--- a/crates/control/tests/wire_format.rs
+++ b/crates/control/tests/wire_format.rs
@@ -1,48 +1,47 @@
 //! The bytes of stored and sent types. They were recorded by the version of 2 December 2026 before its types were renamed: a
 //! process of that version and one of this must understand each other, and read each other's records.
 
-use damsonbeam_control::items::{Ballot, Change, Item, Key, Kind};
-use damsonbeam_control::lease::LeaseMessage;
-use damsonbeam_control::membership::{MemberState, MemberUpdate};
+use damsonbeam_control::address::Endpoint;
+use damsonbeam_control::config::{ConfigChange, Item, ItemKey, ItemKind, ProposalNumber, ShardId};
 use damsonbeam_control::messages::{
-    AcceptAnswer, BackendSnapshot, Command, CommandReply, Datagram, GossipBody, Heartbeat, Message,
-    NamedCount, ProxyStatus, Server, pack, unpack,
+    AcceptAnswer, Backend, BackendList, BackendListVersion, Command, CommandReply, Datagram,
+    GossipBody, Heartbeat, LeaseHolder, LeaseMessage, MemberState, MemberUpdate, Message,
+    NamedCount, Position, ProxyStatus, ReplicaItems, ShardDigests, ShardRequest, StateDigest,
+    StateGroupDigests, TransferMessage, decode, encode,
 };
-use damsonbeam_control::part_index::PartId;
-use damsonbeam_control::transfer::{GroupSums, PartRequest, Position, TransferMessage};
 
 const RECORDED: &str = include_str!("data/wire-format.txt");
 
-fn item(kind: Kind, name: &str, version: u64) -> Item {
+fn item(kind: ItemKind, name: &str, version: u64) -> Item {
     let body = (version % 2 == 1).then(|| format!("{{\"name\":\"{name}\"}}").into_bytes());
     Item {
-        key: Key {
+        key: ItemKey {
             kind,
             name: name.into(),
         },
         version,
-        ballot: ballot(version + 2),
+        proposal_number: number(version + 2),
         body,
     }
 }
 
-fn ballot(round: u64) -> Ballot {
-    Ballot {
+fn number(round: u64) -> ProposalNumber {
+    ProposalNumber {
         round,
-        writer: 0x0a00_0007,
+        proposer: 0x0a00_0007,
     }
 }
 
 /// An item of each kind.
 fn items() -> Vec<Item> {
     let kinds = [
-        Kind::Route,
-        Kind::Tenant,
-        Kind::Service,
-        Kind::Limits,
-        Kind::Evacuation,
-        Kind::Copy,
-        Kind::Voters,
+        ItemKind::Route,
+        ItemKind::Tenant,
+        ItemKind::Service,
+        ItemKind::Limits,
+        ItemKind::Evacuation,
+        ItemKind::MirrorRule,
+        ItemKind::Voters,
     ];
     (3..)
         .zip(kinds)
@@ -50,20 +49,25 @@
         .collect()
 }
 
-fn backends() -> BackendSnapshot {
-    let server = Server {
+fn backends() -> BackendList {
+    let backend = Backend {
         id: "i-1".into(),
         service: "tiles".into(),
-        at: ([10, 128, 0, 9], 8080),
+        address: Endpoint {
+            ip: [10, 128, 0, 9],
+            port: 8080,
+        },
         zone: "manila-a".into(),
         slots: 6,
         draining: true,
-        cold_ms: 1500,
+        warm_up_left_ms: 1500,
     };
-    BackendSnapshot {
-        term: 7,
-        reading: 11,
-        servers: vec![server],
+    BackendList {
+        version: BackendListVersion {
+            term: 7,
+            revision: 11,
+        },
+        backends: vec![backend],
     }
 }
 
@@ -72,22 +76,31 @@
         time_ms: 1_796_199_592_497,
         registries: vec![[10, 1, 0, 1], [10, 1, 0, 2]],
         in_contact: true,
-        coordinator: Some(([10, 1, 0, 2], 9)),
-        proxies: 69,
-        attached: 67,
-        near: 23,
-        place: 4,
-        items: 0xfeed_beef,
-        list: (9, 3),
+        coordinator: Some(LeaseHolder {
+            ip: [10, 1, 0, 2],
+            term: 9,
+        }),
+        known_proxies: 69,
+        attached_proxies: 67,
+        nearby_proxies: 23,
+        position: 4,
+        config_digest: 0xfeed_beef,
+        backend_list: BackendListVersion {
+            term: 9,
+            revision: 3,
+        },
     }
 }
 
 fn status() -> ProxyStatus {
     ProxyStatus {
         node: "edge-manila-a-1".into(),
-        life: 0x1234_5678_9abc_def0,
+        incarnation: 0x1234_5678_9abc_def0,
         zone: "manila-a".into(),
-        front: ([10, 1, 0, 33], 8686),
+        address: Endpoint {
+            ip: [10, 1, 0, 33],
+            port: 8686,
+        },
         ready: true,
         term: 9,
     }
@@ -96,23 +109,23 @@
 fn counts() -> Vec<NamedCount> {
     vec![NamedCount {
         name: "12/house".into(),
-        held: 3.5,
-        asked: 4.0,
+        admitted: 3.5,
+        requested: 4.0,
     }]
 }
 
 fn messages_of_proxies_and_registries() -> Vec<Message> {
     let position = Position {
-        part: PartId::in_group(3, 5),
+        shard: ShardId::in_group(3, 5),
         after: Some(items()[0].key.clone()),
     };
-    let parts = vec![PartRequest {
+    let shards = vec![ShardRequest {
         from: position.clone(),
-        marks: vec![5, 6],
+        fingerprints: vec![5, 6],
     }];
-    let groups = vec![GroupSums {
+    let groups = vec![ShardDigests {
         group: 3,
-        part_sums: vec![1, 2, 3],
+        digests: vec![1, 2, 3],
     }];
     vec![
         Message::Status {
@@ -122,7 +135,7 @@
         Message::CountReport(counts()),
         Message::Transfer(TransferMessage::Compare {
             round: 1,
-            group_sums: vec![7, 8],
+            group_digests: vec![7, 8],
         }),
         Message::Transfer(TransferMessage::Differences {
             round: 1,
@@ -132,7 +145,7 @@
         Message::Transfer(TransferMessage::Request {
             round: 1,
             chunk: 2,
-            parts,
+            shards,
         }),
         Message::Transfer(TransferMessage::Chunk {
             round: 1,
@@ -141,14 +154,14 @@
             stopped: Some(position),
         }),
         Message::PullBackends,
-        Message::Ack { no: 3 },
+        Message::Ack { number: 3 },
         Message::Heartbeat(heartbeat()),
         Message::ConfigUpdate {
-            no: 4,
+            number: 4,
             items: items(),
         },
         Message::BackendUpdate {
-            no: 5,
+            number: 5,
             list: backends(),
             page: 0,
             pages: 1,
@@ -167,7 +180,7 @@
 }
 
 fn messages_of_registry_and_store() -> Vec<Message> {
-    let change = Command::Change(Change { items: items() });
+    let change = Command::Change(ConfigChange { items: items() });
     let invalid = CommandReply::Invalid("r-1: path_prefix: must start and end with a slash".into());
     vec![
         Message::Roster {
@@ -177,107 +190,122 @@
             epoch: 2,
             voters: vec![[10, 1, 0, 1], [10, 1, 0, 2]],
         },
-        Message::ConfirmEpoch { no: 6 },
-        Message::EpochConfirmed { no: 6, epoch: 2 },
+        Message::ConfirmEpoch { number: 6 },
+        Message::EpochConfirmed {
+            number: 6,
+            epoch: 2,
+        },
         Message::Submit {
-            no: 7,
-            order: change,
+            number: 7,
+            command: change,
         },
         Message::Submit {
-            no: 8,
-            order: Command::Evacuate {
+            number: 8,
+            command: Command::Evacuate {
                 zone: "manila-a".into(),
-                on: true,
+                evacuated: true,
             },
         },
         Message::Submit {
-            no: 9,
-            order: Command::Read,
+            number: 9,
+            command: Command::Read,
         },
         Message::Reply {
-            no: 7,
+            number: 7,
             reply: CommandReply::Done,
         },
         Message::Reply {
-            no: 8,
+            number: 8,
             reply: CommandReply::Config(items()),
         },
         Message::Reply {
-            no: 9,
+            number: 9,
             reply: invalid,
         },
         Message::Reply {
-            no: 9,
-            reply: CommandReply::Unsettled("no majority in time".into()),
+            number: 9,
+            reply: CommandReply::Unavailable("no majority in time".into()),
         },
-        Message::ConfirmSubmit { no: 8 },
+        Message::ConfirmSubmit { number: 8 },
         Message::SubmitConfirmed {
-            no: 8,
+            number: 8,
             waited_ms: 120,
         },
-        Message::Decided {
+        Message::Committed {
             items: items(),
-            whole: true,
+            complete: true,
         },
         Message::StoreBackends(backends()),
     ]
 }
 
 fn messages_among_stores() -> Vec<Message> {
-    let voters = item(Kind::Voters, "voters", 3);
+    let voters = item(ItemKind::Voters, "voters", 3);
     let accepted = |answer| Message::Accepted {
-        ballot: ballot(5),
+        proposal_number: number(5),
         step: 2,
-        disk: 77,
+        disk_id: 77,
         answer,
     };
     vec![
         Message::Forward {
-            life: 1,
-            no: 2,
-            order: Command::Read,
+            incarnation: 1,
+            number: 2,
+            command: Command::Read,
         },
         Message::Forwarded {
-            life: 1,
-            no: 2,
+            incarnation: 1,
+            number: 2,
             reply: None,
         },
-        Message::ForwardAck { life: 1, no: 2 },
+        Message::ForwardAck {
+            incarnation: 1,
+            number: 2,
+        },
         Message::Prepare {
-            ballot: ballot(5),
+            proposal_number: number(5),
             voters: voters.clone(),
-            digest: (1, 2),
+            digest: StateDigest {
+                accepted: 1,
+                committed: 2,
+            },
         },
         Message::Promise {
-            ballot: ballot(5),
-            promised: ballot(6),
-            disk: 77,
-            items: Some((items(), vec![voters.clone()])),
+            proposal_number: number(5),
+            promised: number(6),
+            disk_id: 77,
+            items: Some(ReplicaItems {
+                accepted: items(),
+                committed: vec![voters.clone()],
+            }),
         },
         Message::Accept {
-            ballot: ballot(5),
+            proposal_number: number(5),
             step: 2,
             voters: voters.clone(),
             items: items(),
-            decided: vec![],
-            level: Some(8),
+            committed: vec![],
+            required_digest: Some(8),
         },
         accepted(AcceptAnswer::Accepted),
-        accepted(AcceptAnswer::Promised(ballot(9))),
+        accepted(AcceptAnswer::Promised(number(9))),
         accepted(AcceptAnswer::Behind),
         Message::NewerVoters {
-            ballot: ballot(5),
+            proposal_number: number(5),
             voters,
         },
         Message::Commit { items: items() },
         Message::CompareDigests {
-            digests: (vec![1, 2], vec![3]),
+            digests: StateGroupDigests {
+                accepted: vec![1, 2],
+                committed: vec![3],
+            },
             learner: Some(77),
         },
         Message::RepairItems {
             items: items(),
-            decided: items(),
-            ballot: ballot(5),
+            committed: items(),
+            promised: number(5),
         },
     ]
 }
@@ -286,15 +314,15 @@
     let updates =
         [MemberState::Alive, MemberState::Suspect, MemberState::Dead].map(|state| MemberUpdate {
             ip: [10, 1, 0, 5],
-            number: 3,
+            incarnation: 3,
             state,
         });
     let bodies = [
-        GossipBody::Ping { no: 1 },
-        GossipBody::Pong { no: 1 },
-        GossipBody::Second {
-            no: 2,
-            whom: [10, 1, 0, 9],
+        GossipBody::Ping { number: 1 },
+        GossipBody::Pong { number: 1 },
+        GossipBody::PingRequest {
+            number: 2,
+            target: [10, 1, 0, 9],
         },
         GossipBody::Lease(LeaseMessage::Claim {
             epoch: 2,
@@ -307,7 +335,7 @@
             sent_us: 1234,
         }),
         GossipBody::Lease(LeaseMessage::Refuse { epoch: 2, term: 10 }),
-        GossipBody::Lease(LeaseMessage::Yield {
+        GossipBody::Lease(LeaseMessage::Transfer {
             epoch: 2,
             term: 9,
             to: [10, 1, 0, 2],
@@ -339,9 +367,9 @@
     let recorded = recorded(section);
     assert_eq!(recorded.len(), messages.len(), "{section}");
     for (message, recorded) in messages.iter().zip(recorded) {
-        let bytes = pack(message);
+        let bytes = encode(message);
         assert_eq!(hex(&bytes), recorded, "{message:?}");
-        assert_eq!(unpack::<Message>(&bytes).as_ref(), Ok(message));
+        assert_eq!(decode::<Message>(&bytes).ok().as_ref(), Some(message));
     }
 }
 
@@ -357,9 +385,9 @@
     let recorded = recorded("datagram");
     assert_eq!(recorded.len(), datagrams().len());
     for (datagram, recorded) in datagrams().iter().zip(recorded) {
-        let bytes = pack(datagram);
+        let bytes = encode(datagram);
         assert_eq!(hex(&bytes), recorded, "{datagram:?}");
-        assert_eq!(unpack::<Datagram>(&bytes).as_ref(), Ok(datagram));
+        assert_eq!(decode::<Datagram>(&bytes).ok().as_ref(), Some(datagram));
     }
 }
 
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -10,11 +10,12 @@
 use std::time::Duration;
 
 use damsonbeam_config_store::consensus::voters::VoterSet;
-use damsonbeam_config_store::disk::Disk;
-use damsonbeam_control::items::{Change, ConfigSnapshot, Item, Kind};
-use damsonbeam_control::messages::addr;
+use damsonbeam_config_store::disk::{Disk, StoredState};
+use damsonbeam_control::address::ip_addr;
+use damsonbeam_control::config::{ConfigChange, ConfigSnapshot, Item, ItemKind};
+use damsonbeam_control::json::{Value, parse};
+use damsonbeam_control::messages::BackendListVersion;
 use damsonbeam_control::settings::Settings;
-use damsonbeam_control::value::{Value, parse};
 use simd_json::prelude::*;
 
 /// A registry answers within this, or it is held for gone.
@@ -39,14 +40,14 @@
 pub fn check_settings(path: &Path) -> Result<String, Fault> {
     let text = std::fs::read(path).map_err(|e| file(path, e))?;
     // The error names the file itself.
-    let s = Settings::check(&path.display().to_string(), text)
+    let s = Settings::parse(&path.display().to_string(), text)
         .map_err(|e| Fault::Asked(e.to_string()))?;
     Ok(format!(
         "{}: {} in {}, {} seeds",
         path.display(),
-        s.node,
+        s.node_name,
         s.zone,
-        s.seeds.len()
+        s.seed_nodes.len()
     ))
 }
 
@@ -58,19 +59,19 @@
     let mut snapshot = ConfigSnapshot::default();
     for path in paths {
         let text = std::fs::read(path).map_err(|e| file(path, e))?;
-        let change = Change::read(text).map_err(|e| file(path, e))?;
+        let change = ConfigChange::from_json(text).map_err(|e| file(path, e))?;
         let mut next = snapshot.clone();
-        for item in snapshot.news(&change) {
+        for item in snapshot.effective_items(&change) {
             next.merge(item);
         }
-        next.check().map_err(|e| file(path, e))?;
+        next.validate().map_err(|e| file(path, e))?;
         snapshot = next;
     }
-    let count = |kind| snapshot.standing(kind).count();
+    let count = |kind| snapshot.present_items(kind).count();
     let (routes, tenants, services) = (
-        count(Kind::Route),
-        count(Kind::Tenant),
-        count(Kind::Service),
+        count(ItemKind::Route),
+        count(ItemKind::Tenant),
+        count(ItemKind::Service),
     );
     Ok(format!(
         "valid: {routes} routes, {tenants} tenants, {services} services"
@@ -87,12 +88,12 @@
     let Item {
         key,
         version,
-        ballot,
+        proposal_number,
         ..
     } = item;
     format!(
         "{:?} {} r{version}, ballot {}.{}{state}{known}",
-        key.kind, key.name, ballot.round, ballot.writer
+        key.kind, key.name, proposal_number.round, proposal_number.proposer
     )
 }
 
@@ -101,7 +102,12 @@
 /// # Errors
 /// Where there is none, or a record can't be read.
 pub fn show_store(dir: &Path) -> Result<String, Fault> {
-    let (kept, roster, backends) = open(dir)?;
+    let StoredState {
+        durable: kept,
+        roster,
+        backends,
+    } = open(dir)?;
+    let BackendListVersion { term, revision } = backends.version;
     let vote = if kept.has_vote() {
         "has a vote"
     } else {
@@ -109,24 +115,24 @@
     };
     let mut out = vec![format!(
         "{vote}, promised ballot {}.{}",
-        kept.promised.round, kept.promised.writer
+        kept.promised.round, kept.promised.proposer
     )];
-    if let Some(set) = VoterSet::decided(&kept.decided) {
+    if let Some(set) = VoterSet::committed(&kept.committed) {
         let ips: Vec<String> = set
             .voters()
             .iter()
-            .map(|v| addr(v.ip).to_string())
+            .map(|v| ip_addr(v.ip).to_string())
             .collect();
         out.push(format!("voters of epoch {}: {}", set.epoch, ips.join(", ")));
     }
     out.push(format!("{} stores known", roster.len()));
     out.push(format!(
         "list of term {}, reading {}: {} backends",
-        backends.term,
-        backends.reading,
-        backends.servers.len()
+        term,
+        revision,
+        backends.backends.len()
     ));
-    let decided = |i: &Item| kept.decided.items().get(&i.key) == Some(i);
+    let decided = |i: &Item| kept.committed.items().get(&i.key) == Some(i);
     out.extend(kept.accepted.items().values().map(|i| line(i, decided(i))));
     Ok(out.join("\n"))
 }
@@ -136,8 +142,8 @@
 /// # Errors
 /// What is wrong with it.
 pub fn verify_store(dir: &Path) -> Result<String, Fault> {
-    let (kept, ..) = open(dir)?;
-    kept.decided.check().map_err(|e| file(dir, e))?;
+    let kept = open(dir)?.durable;
+    kept.committed.validate().map_err(|e| file(dir, e))?;
     if !kept.has_vote() {
         return Err(file(
             dir,
@@ -148,11 +154,11 @@
         .accepted
         .items()
         .values()
-        .filter(|i| kept.decided.items().get(&i.key) != Some(i))
+        .filter(|i| kept.committed.items().get(&i.key) != Some(i))
         .count();
     Ok(format!(
         "sound: {} items, {left} not known to be decided",
-        kept.decided.items().len()
+        kept.committed.items().len()
     ))
 }
 
@@ -161,18 +167,12 @@
 /// # Errors
 /// Where it can't be read.
 pub fn export_store(dir: &Path) -> Result<String, Fault> {
-    let (kept, ..) = open(dir)?;
-    let body = String::from_utf8(kept.decided.show()).map_err(|e| file(dir, e))?;
+    let kept = open(dir)?.durable;
+    let body = String::from_utf8(kept.committed.to_json()).map_err(|e| file(dir, e))?;
     Ok(format!("{{\"upserts\":{body}}}"))
 }
 
-type DurableState = (
-    damsonbeam_config_store::consensus::DurableState,
-    damsonbeam_config_store::disk::Roster,
-    damsonbeam_control::messages::BackendSnapshot,
-);
-
-fn open(dir: &Path) -> Result<DurableState, Fault> {
+fn open(dir: &Path) -> Result<StoredState, Fault> {
     if !dir.join("items.redb").exists() {
         return Err(file(dir, "no store here (items.redb)"));
     }
--- a/crates/ctl/src/mirror.rs
+++ b/crates/ctl/src/mirror.rs
@@ -4,9 +4,9 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-use damsonbeam_control::items::Change;
-use damsonbeam_control::mirror_rules::Rule;
-use damsonbeam_control::value::{Value, parse};
+use damsonbeam_control::config::ConfigChange;
+use damsonbeam_control::config::MirrorRule;
+use damsonbeam_control::json::{Value, parse};
 use simd_json::prelude::*;
 
 use crate::{Fault, ask, file, get};
@@ -17,9 +17,10 @@
 /// What is wrong with the file, by rule and field, or what the system says.
 pub fn set(at: SocketAddr, path: &Path) -> Result<String, Fault> {
     let text = std::fs::read_to_string(path).map_err(|e| file(path, e))?;
-    let change = Change::read_copies(text.clone().into_bytes()).map_err(|e| file(path, e))?;
+    let change = ConfigChange::from_mirror_rules_json(text.clone().into_bytes())
+        .map_err(|e| file(path, e))?;
     for item in change.items.iter().filter(|i| i.body.is_some()) {
-        Rule::read(item).map_err(|e| file(path, e))?;
+        MirrorRule::try_from(item).map_err(|e| file(path, e))?;
     }
     ask(at, "PATCH", "/-/copies", &text)?;
     Ok(format!("{} rules set", change.items.len()))
@@ -77,7 +78,7 @@
     let mut rules: BTreeMap<(String, u64), Sums> = BTreeMap::new();
     for at in proxies {
         let wrong = |why: &str| Fault::Asked(format!("{at}: {why}"));
-        let body = parse(get(*at, "/-/copies")?.into_bytes()).map_err(|e| wrong(&e))?;
+        let body = parse(get(*at, "/-/copies")?.into_bytes()).map_err(|e| wrong(&e.to_string()))?;
         let all = body
             .get("copies")
             .and_then(|c| c.as_array())
--- a/crates/ctl/tests/files.rs
+++ b/crates/ctl/tests/files.rs
@@ -5,7 +5,7 @@
 use damsonbeam_config_store::consensus::DurableWrite;
 use damsonbeam_config_store::consensus::voters::VoterSet;
 use damsonbeam_config_store::disk::Disk;
-use damsonbeam_control::items::{Ballot, Change};
+use damsonbeam_control::config::{ConfigChange, ProposalNumber};
 use damsonbeam_ctl::{
     check_calls, check_settings, explain::explain, export_store, show_store, verify_store,
 };
@@ -152,34 +152,35 @@
         told(show_store(&dir.0), &dir),
         "DIR: no store here (items.redb)"
     );
-    let mut items = Change::read(call(&[route("r-1", "/x/", "")]).into_bytes())
+    let mut items = ConfigChange::from_json(call(&[route("r-1", "/x/", "")]).into_bytes())
         .expect("reads")
         .items;
     items.iter_mut().for_each(|i| {
-        i.ballot = Ballot {
+        i.proposal_number = ProposalNumber {
             round: 3,
-            writer: 7,
+            proposer: 7,
         }
     });
     let store = Disk::open(&dir.0).expect("opens");
     store
-        .keep(&[
+        .persist(&[
             DurableWrite::Accepted(items.clone()),
-            DurableWrite::Decided(items),
+            DurableWrite::Committed(items),
         ])
         .expect("kept");
     drop(store);
     assert!(told(verify_store(&dir.0), &dir).contains("has no vote yet"));
-    let voters =
-        vec![VoterSet::founding(&[[10, 0, 0, 1], [10, 0, 0, 2]]).to_item(Ballot::default())];
+    let voters = vec![
+        VoterSet::founding(&[[10, 0, 0, 1], [10, 0, 0, 2]]).to_item(ProposalNumber::default()),
+    ];
     let writes = [
         DurableWrite::Accepted(voters.clone()),
-        DurableWrite::Decided(voters),
-        DurableWrite::Disk(0),
+        DurableWrite::Committed(voters),
+        DurableWrite::DiskId(0),
     ];
     Disk::open(&dir.0)
         .expect("opens")
-        .keep(&writes)
+        .persist(&writes)
         .expect("kept");
     assert_eq!(
         verify_store(&dir.0),
--- a/crates/hollow/src/cluster.rs
+++ b/crates/hollow/src/cluster.rs
@@ -167,7 +167,7 @@
     pub fn proxy_settings(&self, n: usize) -> Result<Settings, Error> {
         let ip = format!("127.0.{}.{}", n / 250, n % 250 + 1);
         let text = self.text(&format!("edge-{n}"), ip, n, "null", false);
-        Ok(Settings::check(
+        Ok(Settings::parse(
             "a hollow proxy's settings",
             text.into_bytes(),
         )?)
--- a/crates/hollow/src/meter.rs
+++ b/crates/hollow/src/meter.rs
@@ -5,8 +5,9 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use damsonbeam_control::link::{self, Direction};
-use damsonbeam_control::messages::{BackendSnapshot, Heartbeat, Message, ProxyStatus, pack};
-use damsonbeam_control::transfer::TransferMessage;
+use damsonbeam_control::messages::{
+    BackendList, Heartbeat, Message, ProxyStatus, TransferMessage, encode,
+};
 
 /// Kinds of messages between proxies and registries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -59,7 +60,7 @@
         let kinds = KINDS_BY_VARIANT.get_or_init(|| {
             let samples = samples().into_iter();
             samples
-                .filter_map(|(message, kind)| Some((*pack(&message).get(VARIANT_AT)?, kind)))
+                .filter_map(|(message, kind)| Some((*encode(&message).get(VARIANT_AT)?, kind)))
                 .collect()
         });
         bytes
@@ -79,26 +80,26 @@
         status: ProxyStatus::default(),
         time_ms: None,
     };
-    let list = BackendSnapshot::default();
+    let list = BackendList::default();
     vec![
         (status, MessageKind::Status),
         (Message::CountReport(Vec::new()), MessageKind::CountReport),
         (Message::PullBackends, MessageKind::Pull),
-        (Message::Ack { no: 0 }, MessageKind::Ack),
+        (Message::Ack { number: 0 }, MessageKind::Ack),
         (
             Message::Heartbeat(Heartbeat::default()),
             MessageKind::Heartbeat,
         ),
         (
             Message::ConfigUpdate {
-                no: 0,
+                number: 0,
                 items: Vec::new(),
             },
             MessageKind::ConfigUpdate,
         ),
         (
             Message::BackendUpdate {
-                no: 0,
+                number: 0,
                 list,
                 page: 0,
                 pages: 1,
@@ -116,7 +117,7 @@
         (
             Message::Transfer(TransferMessage::Compare {
                 round: 0,
-                group_sums: Vec::new(),
+                group_digests: Vec::new(),
             }),
             MessageKind::Transfer,
         ),
