--- a/crates/hollow/src/proxies.rs
+++ b/crates/hollow/src/proxies.rs
@@ -8,10 +8,11 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-use damsonbeam_control::items::{Key, Kind};
-use damsonbeam_control::messages::{Message, ProxyStatus, ip};
+use damsonbeam_control::address::{Endpoint, octets};
+use damsonbeam_control::config::{ItemKey, ItemKind};
+use damsonbeam_control::messages::{Message, ProxyStatus};
 use damsonbeam_control::settings::Settings;
-use damsonbeam_proxy::control_client::{self, ControlEvent, ControlState};
+use damsonbeam_proxy::control_client::{self, ControlEvent, ControlState, SharedControlState};
 use damsonbeam_proxy::quota::QuotaCounter;
 use damsonbeam_proxy::routing_table::RoutingTable;
 use rand::rngs::SmallRng;
@@ -202,7 +203,7 @@
 }
 
 struct HollowProxy {
-    known: control_client::Shared,
+    known: SharedControlState,
     progress: Arc<Progress>,
     quota: QuotaCounter,
     began: Instant,
@@ -225,10 +226,13 @@
 
 async fn run_proxy(settings: Rc<Settings>, progress: Arc<Progress>) {
     let status = ProxyStatus {
-        node: settings.node.clone(),
-        life: rand::random(),
+        node: settings.node_name.clone(),
+        incarnation: rand::random(),
         zone: settings.zone.clone(),
-        front: (ip(settings.ip), crate::topology::FRONT_PORT),
+        address: Endpoint {
+            ip: octets(settings.ip_address),
+            port: crate::topology::FRONT_PORT,
+        },
         ready: false,
         term: 0,
     };
@@ -273,27 +277,29 @@
 
     fn take(&mut self, event: ControlEvent) {
         match event {
-            ControlEvent::Items => self.take_items(),
-            ControlEvent::List(servers) => {
-                self.backends = servers.len();
+            ControlEvent::Config => self.take_items(),
+            ControlEvent::Backends(backends) => {
+                self.backends = backends.len();
                 self.progress.lists.fetch_add(1, Ordering::Relaxed);
             }
-            ControlEvent::Heartbeat(beat) if beat.proxies > 0 => {
-                self.quota.share(beat.proxies, beat.attached, self.now());
+            ControlEvent::CoordinatorHeartbeat(heartbeat) if heartbeat.known_proxies > 0 => {
+                let now = self.now();
+                self.quota
+                    .set_proxies(heartbeat.known_proxies, heartbeat.attached_proxies, now);
                 let known = self.known.borrow();
-                if let Some(time) = known.coordinator.time() {
+                if let Some(time) = known.common_time() {
                     let common = Duration::from_millis(time.now_ms());
                     self.quota
-                        .clock(common.as_secs_f64() - self.began.elapsed().as_secs_f64());
+                        .set_time_offset(common.as_secs_f64() - self.began.elapsed().as_secs_f64());
                     self.quota
-                        .link_coordinator(time.term, known.coordinator_link().is_some());
+                        .set_coordinator(time.term, known.coordinator_link().is_some());
                 }
             }
-            ControlEvent::Totals { term, totals } => {
+            ControlEvent::CountTotals { term, totals } => {
                 self.quota
                     .receive_totals(term, &totals, self.began.elapsed());
             }
-            ControlEvent::CoordinatorLost => self.quota.unlink(),
+            ControlEvent::CoordinatorLost => self.quota.disconnect(),
             _ => {}
         }
         self.become_ready();
@@ -301,8 +307,8 @@
 
     fn take_items(&mut self) {
         let known = self.known.borrow();
-        let probe = known.snapshot.get(&Key {
-            kind: Kind::Route,
+        let probe = known.snapshot().get(&ItemKey {
+            kind: ItemKind::Route,
             name: PROBE.into(),
         });
         let version = probe.map_or(0, |i| i.version);
@@ -315,17 +321,18 @@
     fn become_ready(&mut self) {
         let goal = self.progress.goal;
         let mut known = self.known.borrow_mut();
-        if self.ready || self.backends < goal.backends || known.snapshot.items().len() < goal.items
+        if self.ready
+            || self.backends < goal.backends
+            || known.snapshot().items().len() < goal.items
         {
             return;
         }
         self.ready = true;
-        known.status.ready = true;
-        known.tell(true);
+        known.set_ready(true);
         let first = self.progress.ready.fetch_add(1, Ordering::Relaxed) == 0;
         if first {
             let began = Instant::now();
-            drop(RoutingTable::read(&known.snapshot));
+            drop(RoutingTable::from_snapshot(known.snapshot()));
             if let Ok(mut all) = self.progress.apply.lock() {
                 all.push(began.elapsed());
             }
@@ -346,18 +353,18 @@
                 .min(self.progress.tenants - 1);
             let name = tenant_name(tenant);
             if self.limited.insert(tenant) {
-                self.quota.limit(&name, TENANT_RATE, SLOT.as_secs_f64());
+                self.quota.set_rate(&name, TENANT_RATE, SLOT.as_secs_f64());
             }
             let slot = (now.as_secs_f64() / SLOT.as_secs_f64()) as u64;
-            self.quota.count(&format!("{slot}/{name}"), 1.0, now);
+            self.quota.add(&format!("{slot}/{name}"), 1.0, now);
             self.progress.counted.fetch_add(1, Ordering::Relaxed);
         }
-        let fresh = self.quota.fresh(now);
-        if !fresh.is_empty() {
+        let reports = self.quota.take_reports(now);
+        if !reports.is_empty() {
             let known = self.known.borrow();
             known
                 .coordinator_link()
-                .map(|out| out.send(&Message::CountReport(fresh)));
+                .map(|out| out.send(&Message::CountReport(reports)));
         }
     }
 }
--- a/crates/hollow/tests/small.rs
+++ b/crates/hollow/tests/small.rs
@@ -4,7 +4,7 @@
 use std::process::Command;
 
 use damsonbeam_control::messages::{
-    BackendSnapshot, Heartbeat, Message, NamedCount, ProxyStatus, pack,
+    BackendList, Heartbeat, Message, NamedCount, ProxyStatus, encode,
 };
 use damsonbeam_hollow::meter::{self, MessageKind};
 use damsonbeam_hollow::process::{StoreBytes, read_listing};
@@ -123,8 +123,8 @@
     let list = || {
         vec![NamedCount {
             name: "1/x".into(),
-            held: 1.0,
-            asked: 2.0,
+            admitted: 1.0,
+            requested: 2.0,
         }]
     };
     let cases = [
@@ -137,22 +137,22 @@
         ),
         (Message::CountReport(list()), MessageKind::CountReport),
         (Message::PullBackends, MessageKind::Pull),
-        (Message::Ack { no: 300 }, MessageKind::Ack),
+        (Message::Ack { number: 300 }, MessageKind::Ack),
         (
             Message::Heartbeat(Heartbeat::default()),
             MessageKind::Heartbeat,
         ),
         (
             Message::ConfigUpdate {
-                no: 1,
+                number: 1,
                 items: vec![],
             },
             MessageKind::ConfigUpdate,
         ),
         (
             Message::BackendUpdate {
-                no: 1,
-                list: BackendSnapshot::default(),
+                number: 1,
+                list: BackendList::default(),
                 page: 0,
                 pages: 1,
             },
@@ -167,11 +167,15 @@
         ),
         (Message::PullPartners, MessageKind::Other),
         (
-            Message::StoreBackends(BackendSnapshot::default()),
+            Message::StoreBackends(BackendList::default()),
             MessageKind::Other,
         ),
     ];
     for (message, kind) in cases {
-        assert_eq!(MessageKind::of_packed(&pack(&message)), kind, "{message:?}");
+        assert_eq!(
+            MessageKind::of_packed(&encode(&message)),
+            kind,
+            "{message:?}"
+        );
     }
 }
--- a/crates/mirror/src/budget.rs
+++ b/crates/mirror/src/budget.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use damsonbeam_control::mirror_rules::Rule;
+use damsonbeam_control::config::MirrorRule;
 
 /// Saved up for this long at most.
 const BURST_S: f64 = 1.0;
@@ -76,7 +76,7 @@
     /// Why not.
     pub fn admit(
         &mut self,
-        rule: &Rule,
+        rule: &MirrorRule,
         bytes: usize,
         proxies: u32,
         now: Duration,
--- a/crates/mirror/src/selection.rs
+++ b/crates/mirror/src/selection.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use damsonbeam_control::mirror_rules::{By, Rule, Trial};
+use damsonbeam_control::config::{MirrorRule, SelectionKey, TrialInstance};
 use siphasher::sip::SipHasher24;
 
 /// A caller as far as anybody has to tell it from others: a hash by the rule's name.
@@ -14,18 +14,18 @@
 
 /// The same at every proxy and in every life: by the rule's name and the caller alone, so that another version of a rule
 /// chooses the same, and two rules choose apart.
-pub fn caller(rule: &Rule, tenant: &str, key: &str) -> Caller {
+pub fn caller(rule: &MirrorRule, tenant: &str, key: &str) -> Caller {
     let mut hash = SipHasher24::new_with_keys(0x6d75_6d6d_6572, rule.name.len() as u64);
     hash.write(rule.name.as_bytes());
     hash.write_u8(0);
-    hash.write(match rule.by {
-        By::Tenant => tenant.as_bytes(),
-        By::Caller => key.as_bytes(),
+    hash.write(match rule.select_by {
+        SelectionKey::Tenant => tenant.as_bytes(),
+        SelectionKey::Caller => key.as_bytes(),
     });
     hash.finish()
 }
 
-pub fn is_chosen(rule: &Rule, caller: Caller) -> bool {
+pub fn is_chosen(rule: &MirrorRule, caller: Caller) -> bool {
     (caller as f64) < rule.share * 2f64.powi(64)
 }
 
@@ -33,12 +33,12 @@
 /// know it switch together; one that learns of it late marks its copies with the version it has.
 #[derive(Debug, Default)]
 pub struct ActiveRules {
-    rules: HashMap<String, (Option<Rule>, Option<Rule>)>,
+    rules: HashMap<String, (Option<MirrorRule>, Option<MirrorRule>)>,
 }
 
 impl ActiveRules {
     /// The rules as they stand; what is gone is gone at once.
-    pub fn update(&mut self, rules: Vec<Rule>, common_ms: u64) {
+    pub fn update(&mut self, rules: Vec<MirrorRule>, common_ms: u64) {
         self.rules
             .retain(|name, _| rules.iter().any(|r| r.name == *name));
         for rule in rules {
@@ -57,14 +57,15 @@
     }
 
     /// The rules by which that service's requests are copied at that time.
-    pub fn rules_for(&mut self, service: &str, common_ms: u64) -> Vec<&Rule> {
+    pub fn rules_for(&mut self, service: &str, common_ms: u64) -> Vec<&MirrorRule> {
         for (now, next) in self.rules.values_mut() {
             if next.as_ref().is_some_and(|n| n.from_ms <= common_ms) {
                 *now = next.take();
             }
         }
         let rules = self.rules.values().filter_map(|r| r.0.as_ref());
-        let on = |r: &&Rule| r.service == service && (r.until_ms == 0 || common_ms < r.until_ms);
+        let on =
+            |r: &&MirrorRule| r.service == service && (r.until_ms == 0 || common_ms < r.until_ms);
         rules.filter(on).collect()
     }
 
@@ -79,12 +80,12 @@
 
 /// The instance that a caller's copies go to: always the same while the list stands, of the regions that its homes allow.
 pub fn instance<'a>(
-    rule: &'a Rule,
+    rule: &'a MirrorRule,
     caller: Caller,
     homes: &dyn Fn(&str) -> bool,
     is_real: &dyn Fn(SocketAddr) -> bool,
-) -> Option<(&'a Trial, SocketAddr)> {
-    let all: Vec<(&Trial, SocketAddr)> = rule
+) -> Option<(&'a TrialInstance, SocketAddr)> {
+    let all: Vec<(&TrialInstance, SocketAddr)> = rule
         .instances
         .iter()
         .filter(|t| homes(&t.region))
--- a/crates/proxy/src/backend_pool.rs
+++ b/crates/proxy/src/backend_pool.rs
@@ -6,332 +6,294 @@
 use std::time::Duration;
 
 use damsonbeam::interface::{Entry, Health, TgtId};
-use damsonbeam_control::items::hashed;
-use damsonbeam_control::messages::{Server, addr};
+use damsonbeam_control::config::stable_hash;
+use damsonbeam_control::messages::Backend;
 
 use crate::load_reports::LoadReports;
-use crate::routing_table::{Homes, RoutingTable};
-use crate::slow_start::SlowStart;
+use crate::routing_table::{HomeRegions, RoutingTable};
+use crate::slow_start::{SlowStart, WarmUp};
 
-/// How much a backend counts by where it is: the way between regions takes longer than most work and is paid for;
-/// another zone costs a little; of many in the region this proxy keeps to its part, so that its connections are used.
-const ZONE: f64 = 10.0;
-const NEAR: f64 = 8.0;
-const REST: f64 = 1.0;
-const FAR: f64 = 0.1;
-/// A proxy's part of its region's backends has so many times the slots that are its by number, and at least so many
-/// backends: enough for its surges and for the loss of some.
-const ROOM: f64 = 1.5;
-const FEW: usize = 8;
-/// Places of a backend at all gateways that the module reckons with at least, and how many a slot is to have:
-/// some wait in its queue, so that no slot stands idle for the way there and back.
-const PLACES: f64 = 5.0;
-const A_SLOT: f64 = 1.5;
-/// A zone that was evacuated may have turned cold just before it was taken back: the list tells so this late.
-const UNTOLD: Duration = Duration::from_millis(2200);
+/// A backend's weight by where it is: a round trip between regions takes longer than most work and is paid for; another
+/// zone costs a little; of many in the region this proxy keeps to its subset, so that its connections are used.
+const SAME_ZONE_WEIGHT: f64 = 10.0;
+const SAME_REGION_WEIGHT: f64 = 8.0;
+const OUTSIDE_SUBSET_WEIGHT: f64 = 1.0;
+const OTHER_REGION_WEIGHT: f64 = 0.1;
+/// A proxy's subset of its region's backends has so many times the slots that are its share by number, and at least so
+/// many backends: enough for its surges and for the loss of some.
+const SUBSET_HEADROOM: f64 = 1.5;
+const LEAST_SUBSET: usize = 8;
+/// Requests that the module reckons with at a backend at least, from all gateways, and how many a slot is to have: some
+/// wait in the backend's queue, so that no slot is idle for a round trip.
+const LEAST_REQUESTS: f64 = 5.0;
+const REQUESTS_PER_SLOT: f64 = 1.5;
+/// A zone that was evacuated may have begun to warm up just before it was taken back: the list reports it this late.
+const EVACUATION_WARM_UP: Duration = Duration::from_millis(2200);
 
+/// This proxy's position among the ready ones of its region.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct RegionPosition {
+    /// From 0, in the order of their names.
+    pub position: u32,
+    /// How many they are.
+    pub proxies: u32,
+}
+
+/// The backends that this proxy knows.
 #[derive(Debug, Default)]
 pub struct BackendPool {
-    pub zone: String,
-    pub region: String,
-    pub zones: BTreeMap<String, String>,
-    servers: Vec<Server>,
+    zone: String,
+    region: String,
+    regions: BTreeMap<String, String>,
+    backends: Vec<Backend>,
+    /// The module's numbers for the backends.
     ids: HashMap<String, TgtId>,
-    next: u32,
-    pub slow_start: SlowStart,
-    evacuated: Vec<String>,
-    /// This proxy's place among the ready ones of its region, and their number.
-    pub place: (u32, u32),
-    /// What all proxies tell each other of the backends, where they do.
-    pub load_reports: Option<LoadReports>,
+    last_id: u32,
+    slow_start: SlowStart,
+    evacuated_zones: Vec<String>,
+    region_position: RegionPosition,
+    /// What all proxies report to each other of the backends, where they do.
+    load_reports: Option<LoadReports>,
 }
 
-/// A backend and what the module is told of it.
-pub struct Line {
+/// A backend, and what the module is told of it.
+pub struct PooledBackend {
+    /// What the module is told.
     pub entry: Entry,
-    pub at: SocketAddr,
+    /// Where it takes requests.
+    pub address: SocketAddr,
+    /// Its id in the platform's list.
     pub name: Arc<str>,
 }
 
 impl BackendPool {
-    pub fn new(zone: &str, region: &str, zones: BTreeMap<String, String>) -> Self {
+    /// An empty pool of a proxy in that zone and region; `regions`: the region of each zone.
+    pub fn new(zone: &str, region: &str, regions: BTreeMap<String, String>) -> Self {
         BackendPool {
             zone: zone.into(),
             region: region.into(),
-            zones,
+            regions,
             ..BackendPool::default()
         }
     }
 
-    /// A new list: a new life is another backend, at whatever address.
-    pub fn take(
+    /// Takes a new list: a backend that was restarted is another one, at whatever address. `random` gives numbers from 0
+    /// to 1.
+    pub fn update(
         &mut self,
-        servers: Vec<Server>,
+        backends: Vec<Backend>,
         routing_table: &RoutingTable,
         now: Duration,
-        lot: &mut dyn FnMut() -> f64,
+        random: &mut dyn FnMut() -> f64,
     ) {
-        self.servers = servers;
-        let stay: HashMap<String, TgtId> = self
-            .servers
-            .iter()
-            .filter_map(|s| Some((s.id.clone(), *self.ids.get(&s.id)?)))
-            .collect();
-        self.ids = stay;
-        for s in &self.servers {
-            let tgt = *self.ids.entry(s.id.clone()).or_insert_with(|| {
-                self.next += 1;
-                TgtId(self.next)
+        self.backends = backends;
+        let known = |backend: &Backend| {
+            let id = *self.ids.get(&backend.id)?;
+            Some((backend.id.clone(), id))
+        };
+        self.ids = self.backends.iter().filter_map(known).collect();
+        for backend in &self.backends {
+            let id = *self.ids.entry(backend.id.clone()).or_insert_with(|| {
+                self.last_id += 1;
+                TgtId(self.last_id)
             });
-            let rate = routing_table
-                .services
-                .get(&s.service)
-                .map_or(0.0, |c| c.cold_rate);
-            self.slow_start
-                .learn(tgt, Duration::from_millis(s.cold_ms), rate, lot(), now);
+            let warm_up = WarmUp {
+                left: Duration::from_millis(backend.warm_up_left_ms),
+                rate_per_s: routing_table.warm_up_rate(&backend.service),
+            };
+            self.slow_start.learn(id, warm_up, random(), now);
         }
-        self.slow_start.forget(now);
+        self.slow_start.forget_warm(now);
         if let Some(load_reports) = &mut self.load_reports {
-            load_reports.take(&self.servers, &self.ids);
+            load_reports.update_backends(&self.backends, &self.ids);
         }
     }
 
-    /// Zones that are to get nothing; one taken back is cold until the list has had time to tell.
+    /// Takes the zones that are evacuated; one that is taken back warms up until the list has had time to report it.
     pub fn evacuate(
         &mut self,
         routing_table: &RoutingTable,
         now: Duration,
-        lot: &mut dyn FnMut() -> f64,
+        random: &mut dyn FnMut() -> f64,
     ) {
-        let back: Vec<String> = self
-            .evacuated
+        let before = std::mem::take(&mut self.evacuated_zones);
+        let is_taken_back =
+            |zone: &String| before.contains(zone) && !routing_table.evacuated.contains(zone);
+        for backend in self
+            .backends
             .iter()
-            .filter(|z| !routing_table.evacuated.contains(*z))
-            .cloned()
-            .collect();
-        for s in self.servers.iter().filter(|s| back.contains(&s.zone)) {
-            let rate = routing_table
-                .services
-                .get(&s.service)
-                .map_or(0.0, |c| c.cold_rate);
+            .filter(|backend| is_taken_back(&backend.zone))
+        {
+            let warm_up = WarmUp {
+                left: EVACUATION_WARM_UP,
+                rate_per_s: routing_table.warm_up_rate(&backend.service),
+            };
             self.slow_start
-                .learn(self.ids[&s.id], UNTOLD, rate, lot(), now);
+                .learn(self.ids[&backend.id], warm_up, random(), now);
         }
-        self.evacuated = routing_table.evacuated.iter().cloned().collect();
+        self.evacuated_zones = routing_table.evacuated.iter().cloned().collect();
+    }
+
+    /// Backends that warm up share their rates among so many proxies.
+    pub fn set_proxies(&mut self, proxies: u32) {
+        self.slow_start.set_proxies(proxies);
+    }
+
+    /// The backends that warm up, by the rules of the slow start.
+    pub fn slow_start(&mut self) -> &mut SlowStart {
+        &mut self.slow_start
+    }
+
+    /// What proxies report to each other of the backends; `None` where they do not.
+    pub fn load_reports(&mut self) -> Option<&mut LoadReports> {
+        self.load_reports.as_mut()
+    }
+
+    /// Has load reports change the weights from now on.
+    pub fn enable_load_reports(&mut self, load_reports: LoadReports) {
+        self.load_reports = Some(load_reports);
+    }
+
+    /// Sets this proxy's position in its region, by which it has its subset of the backends.
+    pub fn set_region_position(&mut self, region_position: RegionPosition) {
+        self.region_position = region_position;
     }
 
     /// Whether a real backend has that address now.
-    pub fn is_real(&self, at: SocketAddr) -> bool {
-        self.servers
+    pub fn is_real(&self, address: SocketAddr) -> bool {
+        self.backends
             .iter()
-            .any(|s| SocketAddr::new(addr(s.at.0), s.at.1) == at)
+            .any(|backend| SocketAddr::from(backend.address) == address)
     }
 
     fn region_of(&self, zone: &str) -> &str {
-        self.zones.get(zone).map_or("", |r| r)
+        self.regions.get(zone).map_or("", |region| region)
     }
 
-    /// Whether any backend of a service may serve what has these homes.
-    pub fn has(&self, service: &str, homes: &Homes) -> bool {
-        let may = |s: &Server| {
-            homes
-                .as_ref()
-                .is_none_or(|h| h.contains(self.region_of(&s.zone)))
-        };
-        self.servers.iter().any(|s| s.service == service && may(s))
+    /// Whether a backend may serve what has these home regions.
+    fn is_allowed(&self, backend: &Backend, homes: &HomeRegions) -> bool {
+        let homes = homes.as_ref();
+        homes.is_none_or(|homes| homes.contains(self.region_of(&backend.zone)))
     }
 
-    /// The backends of a service that may serve what has these homes.
-    pub fn lines(&self, service: &str, homes: &Homes, now: Duration) -> Vec<Line> {
-        let may = |s: &&Server| {
-            s.service == service
-                && homes
-                    .as_ref()
-                    .is_none_or(|h| h.contains(self.region_of(&s.zone)))
-        };
-        let part = self.part(service);
-        self.servers
-            .iter()
-            .filter(may)
-            .map(|s| self.line(s, &part, now))
-            .collect()
+    /// Whether any backend of a service may serve what has these home regions.
+    pub fn has(&self, service: &str, homes: &HomeRegions) -> bool {
+        let mut backends = self.backends.iter();
+        backends.any(|backend| backend.service == service && self.is_allowed(backend, homes))
     }
 
-    /// This proxy's part of a service's backends in its region: in a row by hash, so that zones and speeds mix, each
-    /// proxy takes its places from where the one before it ended. All are covered as evenly as can be.
-    fn part(&self, service: &str) -> HashSet<&str> {
-        let home = self
-            .servers
+    /// The backends of a service that may serve what has these home regions.
+    pub fn backends(
+        &self,
+        service: &str,
+        homes: &HomeRegions,
+        now: Duration,
+    ) -> Vec<PooledBackend> {
+        let subset = self.subset(service);
+        let backends = self
+            .backends
             .iter()
-            .filter(|s| s.service == service && self.region_of(&s.zone) == self.region);
-        let mut row: Vec<(u64, &Server)> = home.map(|s| (hashed(&s.id), s)).collect();
-        row.sort_unstable_by_key(|r| r.0);
-        let slots: f64 = row.iter().map(|r| f64::from(r.1.slots)).sum();
-        let (place, near) = (self.place.0 as usize, self.place.1.max(1));
-        let take = ((ROOM * slots / f64::from(near)).ceil() as usize)
-            .max(FEW)
-            .min(row.len());
-        (0..take)
-            .map(|n| &*row[(place * take + n) % row.len()].1.id)
+            .filter(|backend| backend.service == service);
+        let backends = backends.filter(|backend| self.is_allowed(backend, homes));
+        backends
+            .map(|backend| self.pooled(backend, &subset, now))
             .collect()
     }
 
-    fn line(&self, s: &Server, part: &HashSet<&str>, now: Duration) -> Line {
-        let tgt = self.ids[&s.id];
-        let shut =
-            s.draining || self.evacuated.contains(&s.zone) || !self.slow_start.open(tgt, now);
-        let weight = match () {
-            () if self.region_of(&s.zone) != self.region => FAR,
-            () if !part.contains(&*s.id) => REST,
-            () if s.zone == self.zone => ZONE,
-            () => NEAR,
+    /// This proxy's subset of a service's backends in its region: in an order by hash, so that zones and speeds mix, each
+    /// proxy takes its backends from where the one before it ended. All are covered as evenly as can be.
+    pub fn subset(&self, service: &str) -> HashSet<&str> {
+        let is_in_region = |backend: &&Backend| {
+            backend.service == service && self.region_of(&backend.zone) == self.region
         };
-        let told = self
-            .load_reports
-            .as_ref()
-            .map_or(1.0, |c| c.factor(&s.service, &s.id));
-        let weight = weight * told;
-        let zone = self
-            .zones
-            .keys()
-            .position(|z| *z == s.zone)
-            .unwrap_or(self.zones.len()) as u32;
-        let health = if shut { Health::Draining } else { Health::Up };
+        let backends = self.backends.iter().filter(is_in_region);
+        let mut ring: Vec<(u64, &Backend)> = backends
+            .map(|backend| (stable_hash(&backend.id), backend))
+            .collect();
+        ring.sort_unstable_by_key(|(hash, _)| *hash);
+        let slots: f64 = ring
+            .iter()
+            .map(|(_, backend)| f64::from(backend.slots))
+            .sum();
+        let RegionPosition { position, proxies } = self.region_position;
+        let share = SUBSET_HEADROOM * slots / f64::from(proxies.max(1));
+        let size = (share.ceil() as usize).max(LEAST_SUBSET).min(ring.len());
+        let first = position as usize * size;
+        let indices = (first..first + size).map(|index| index % ring.len());
+        indices.map(|index| ring[index].1.id.as_str()).collect()
+    }
+
+    fn pooled(&self, backend: &Backend, subset: &HashSet<&str>, now: Duration) -> PooledBackend {
+        let id = self.ids[&backend.id];
+        let is_evacuated = self.evacuated_zones.contains(&backend.zone);
+        let is_closed = backend.draining || is_evacuated || !self.slow_start.is_open(id, now);
+        let zone = self.regions.keys().position(|zone| *zone == backend.zone);
         let entry = Entry {
-            tgt,
-            health,
+            tgt: id,
+            health: if is_closed {
+                Health::Draining
+            } else {
+                Health::Up
+            },
             since: Duration::ZERO,
             kind: 0,
-            zone,
+            zone: zone.unwrap_or(self.regions.len()) as u32,
             cell: 0,
-            weight,
+            weight: self.weight(backend, subset),
         };
-        Line {
+        PooledBackend {
             entry,
-            at: SocketAddr::new(addr(s.at.0), s.at.1),
-            name: s.id.as_str().into(),
+            address: backend.address.into(),
+            name: backend.id.as_str().into(),
         }
     }
 
-    /// How many gateways the module is to reckon with: it divides a backend's places among them. Those that
-    /// matter are the ones near, for all prefer their own region's backends.
-    pub fn gateways(&self, service: &str, near: u32) -> u32 {
-        let slots: Vec<f64> = self
-            .servers
+    fn weight(&self, backend: &Backend, subset: &HashSet<&str>) -> f64 {
+        let by_place = if self.region_of(&backend.zone) != self.region {
+            OTHER_REGION_WEIGHT
+        } else if !subset.contains(backend.id.as_str()) {
+            OUTSIDE_SUBSET_WEIGHT
+        } else if backend.zone == self.zone {
+            SAME_ZONE_WEIGHT
+        } else {
+            SAME_REGION_WEIGHT
+        };
+        let load_reports = self.load_reports.as_ref();
+        let by_load =
+            load_reports.map_or(1.0, |reports| reports.factor(&backend.service, &backend.id));
+        by_place * by_load
+    }
+
+    /// How many gateways the module is to reckon with: it divides a backend's requests among them. Those that matter are
+    /// the `nearby` ones, for all prefer their own region's backends.
+    pub fn gateways(&self, service: &str, nearby: u32) -> u32 {
+        let backends = self
+            .backends
             .iter()
-            .filter(|s| s.service == service)
-            .map(|s| f64::from(s.slots))
-            .collect();
+            .filter(|backend| backend.service == service);
+        let slots: Vec<f64> = backends.map(|backend| f64::from(backend.slots)).collect();
         let mean = if slots.is_empty() {
             1.0
         } else {
             slots.iter().sum::<f64>() / slots.len() as f64
         };
-        ((PLACES * f64::from(near.max(1)) / (mean * A_SLOT)) as u32).max(1)
+        let gateways = LEAST_REQUESTS * f64::from(nearby.max(1)) / (mean * REQUESTS_PER_SLOT);
+        (gateways as u32).max(1)
     }
 
-    /// An entry as the module holds it once a turn at a cold backend is used up.
-    pub fn closed(&self, tgt: TgtId, now: Duration) -> Option<Entry> {
-        let s = self
-            .servers
-            .iter()
-            .find(|s| self.ids.get(&s.id) == Some(&tgt))?;
+    /// A backend's entry once its turn is used while it warms up.
+    pub fn closed_entry(&self, id: TgtId, now: Duration) -> Option<Entry> {
+        let mut backends = self.backends.iter();
+        let backend = backends.find(|backend| self.ids.get(&backend.id) == Some(&id))?;
+        let subset = self.subset(&backend.service);
         Some(Entry {
             health: Health::Draining,
-            ..self.line(s, &self.part(&s.service), now).entry
+            ..self.pooled(backend, &subset, now).entry
         })
     }
 
+    /// Whether no backend is known.
     pub fn is_empty(&self) -> bool {
-        self.servers.is_empty()
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn server(n: u32, zone: &str) -> Server {
-        let at = ([10, 128, 0, n as u8], 80);
-        let (id, service) = (format!("i-{n}"), "s".to_string());
-        Server {
-            id,
-            service,
-            at,
-            zone: zone.into(),
-            slots: 6,
-            draining: false,
-            cold_ms: 0,
-        }
-    }
-
-    fn backend_pool(place: u32, near: u32, servers: u32) -> BackendPool {
-        let zones =
-            [("a", "x"), ("b", "x"), ("c", "y")].map(|(z, r)| (z.to_string(), r.to_string()));
-        let mut s = BackendPool::new("a", "x", zones.into());
-        s.place = (place, near);
-        let all = (0..servers)
-            .map(|n| server(n, ["a", "b", "c"][n as usize % 3]))
-            .collect();
-        s.take(all, &RoutingTable::default(), Duration::ZERO, &mut || 0.5);
-        s
-    }
-
-    #[test]
-    fn proxies_take_even_parts_of_many_backends_and_all_of_few() {
-        let mut taken: HashMap<String, usize> = HashMap::new();
-        for place in 0..23 {
-            let s = backend_pool(place, 23, 96);
-            s.part("s")
-                .into_iter()
-                .for_each(|id| *taken.entry(id.into()).or_default() += 1);
-        }
-        let (least, most) = (
-            taken.values().min().expect("some"),
-            taken.values().max().expect("some"),
-        );
-        assert_eq!(taken.len(), 64, "a backend of the region is nobody's");
-        assert!(most - least <= 1, "{least} to {most} proxies a backend");
-        assert_eq!(backend_pool(1, 4, 18).part("s").len(), 12);
-    }
-
-    #[test]
-    fn drained_evacuated_and_cold_backends_are_no_choice_and_homes_hold() {
-        let mut s = backend_pool(0, 1, 3);
-        let up = |s: &BackendPool, homes: &Homes, ms| {
-            let lines = s.lines("s", homes, Duration::from_millis(ms));
-            lines
-                .iter()
-                .filter(|l| l.entry.health == Health::Up)
-                .map(|l| l.name.to_string())
-                .collect::<Vec<_>>()
-        };
-        assert_eq!(up(&s, &None, 0), ["i-0", "i-1", "i-2"]);
-        assert_eq!(up(&s, &Some(["y".to_string()].into()), 0), ["i-2"]);
-        let routing_table = RoutingTable {
-            evacuated: ["b".to_string()].into(),
-            ..RoutingTable::default()
-        };
-        s.evacuate(&routing_table, Duration::ZERO, &mut || 0.5);
-        assert_eq!(up(&s, &None, 0), ["i-0", "i-2"]);
-        // Taken back, it may be cold, and nobody has told yet: a turn comes by lot.
-        s.evacuate(
-            &RoutingTable::default(),
-            Duration::from_millis(100),
-            &mut || 0.5,
-        );
-        assert_eq!(up(&s, &None, 100), ["i-0", "i-2"]);
-        assert_eq!(up(&s, &None, 3000), ["i-0", "i-1", "i-2"]);
-        // The same address, another life: another backend.
-        let mut next = vec![server(0, "a"), server(1, "b")];
-        next[0].id = "i-9".into();
-        next[1].draining = true;
-        s.take(
-            next,
-            &RoutingTable::default(),
-            Duration::from_millis(4000),
-            &mut || 0.5,
-        );
-        assert_eq!(up(&s, &None, 4000), ["i-9"]);
+        self.backends.is_empty()
     }
 }
--- a/crates/proxy/src/config_transfer.rs
+++ b/crates/proxy/src/config_transfer.rs
@@ -3,37 +3,38 @@
 
 use std::time::Duration;
 
-use damsonbeam_control::items::ConfigSnapshot;
-use damsonbeam_control::messages::{BackendSnapshot, Ip, Server};
-use damsonbeam_control::transfer::{Received, Receiver, TransferMessage};
+use damsonbeam_control::address::Ip;
+use damsonbeam_control::config::ConfigSnapshot;
+use damsonbeam_control::messages::{Backend, BackendList, BackendListVersion, TransferMessage};
+use damsonbeam_control::transfer::{Received, Receiver};
 
-/// The rounds in which the configuration is caught up with.
+/// The rounds in which the proxy catches up with the configuration.
 #[derive(Default)]
 pub struct ConfigTransfer {
     receiver: Receiver,
     /// The registry of the present round.
     source: Option<Ip>,
     /// The present round brought something.
-    changed: bool,
+    has_changed: bool,
     has_first_snapshot: bool,
 }
 
 /// What came of a registry's message.
 #[derive(Default)]
 pub struct Progress {
-    /// To send to that registry.
+    /// To be sent to that registry.
     pub requests: Vec<TransferMessage>,
     /// The snapshot has changed, and may be put in force.
     pub changed: bool,
 }
 
 impl ConfigTransfer {
-    /// Whether all that one registry had at a time has been received: before that, what is missing here may exist.
+    /// Whether everything that one registry had at a time has been received: before that, what is missing here may exist.
     pub fn has_first_snapshot(&self) -> bool {
         self.has_first_snapshot
     }
 
-    /// The message by which a round with a registry begins; none while another round goes on.
+    /// The message by which a round with a registry begins; `None` while another round goes on.
     pub fn begin(
         &mut self,
         from: Ip,
@@ -47,14 +48,14 @@
         Some(self.receiver.begin(snapshot, now))
     }
 
-    /// The connection to a registry is gone: a round with it will not end.
-    pub fn lost(&mut self, registry: Ip) {
+    /// The connection to a registry is lost: a round with it will not end.
+    pub fn source_lost(&mut self, registry: Ip) {
         if self.source == Some(registry) {
             self.receiver.abort();
         }
     }
 
-    /// A registry's message: its items are merged into the snapshot.
+    /// Takes a registry's message: its items are merged into the snapshot.
     pub fn receive(
         &mut self,
         from: Ip,
@@ -67,12 +68,13 @@
         }
         let Received { items, complete } = self.receiver.receive(snapshot, message, now);
         for item in items {
-            self.changed |= snapshot.merge(item);
+            self.has_changed |= snapshot.merge(item);
         }
-        let changed = complete.is_some() && (self.changed || !self.has_first_snapshot);
-        if complete.is_some() {
+        let is_complete = complete.is_some();
+        let changed = is_complete && (self.has_changed || !self.has_first_snapshot);
+        if is_complete {
             self.has_first_snapshot = true;
-            self.changed = false;
+            self.has_changed = false;
         }
         Progress {
             requests: self.receiver.requests(snapshot),
@@ -81,39 +83,28 @@
     }
 }
 
-/// Pages of a list of backends that has not come as a whole yet.
+/// Pages of a list of backends of which not all have come yet.
 #[derive(Default)]
 pub struct BackendPages {
-    list: (u64, u64),
-    pages: Vec<Option<Vec<Server>>>,
+    version: BackendListVersion,
+    pages: Vec<Option<Vec<Backend>>>,
 }
 
 impl BackendPages {
-    /// Takes a page in; returns the servers of the list once the last is there. Pages of an older list are dropped.
-    pub fn add(
-        &mut self,
-        page: BackendSnapshot,
-        number: usize,
-        count: usize,
-    ) -> Option<Vec<Server>> {
-        let list = (page.term, page.reading);
-        if list < self.list || number >= count {
+    /// Takes a page; returns the backends of the list once the last page has come. Pages of an older list are dropped.
+    pub fn add(&mut self, page: BackendList, number: usize, count: usize) -> Option<Vec<Backend>> {
+        if page.version < self.version || number >= count {
             return None;
         }
-        if list > self.list || self.pages.len() != count {
-            self.list = list;
+        if page.version > self.version || self.pages.len() != count {
+            self.version = page.version;
             self.pages = vec![None; count];
         }
-        self.pages[number] = Some(page.servers);
+        self.pages[number] = Some(page.backends);
         if self.pages.iter().any(Option::is_none) {
             return None;
         }
-        Some(
-            std::mem::take(&mut self.pages)
-                .into_iter()
-                .flatten()
-                .flatten()
-                .collect(),
-        )
+        let pages = std::mem::take(&mut self.pages);
+        Some(pages.into_iter().flatten().flatten().collect())
     }
 }
--- a/crates/proxy/src/control_client.rs
+++ b/crates/proxy/src/control_client.rs
@@ -1,329 +1,438 @@
-//! The links to the registries: what they tell is merged here, item by item and list by list, so that nothing goes
-//! back within a life, whichever of them tells it first.
+//! The connections to the registries: what they send is merged here, item by item and list by list, so that nothing goes
+//! back while the process runs, whichever of them sends it first.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
-use std::net::IpAddr;
+use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 
-use damsonbeam_control::items::{ConfigSnapshot, Item};
-use damsonbeam_control::link::{self, Out};
+use damsonbeam_control::address::{Ip, ip_addr, octets};
+use damsonbeam_control::config::{ConfigSnapshot, Item};
+use damsonbeam_control::link::{self, MessageSender};
 use damsonbeam_control::messages::{
-    Heartbeat, Ip, Message, NamedCount, ProxyStatus, Server, addr, ip,
+    Backend, BackendList, BackendListVersion, Heartbeat, Message, NamedCount, ProxyStatus,
+    TransferMessage, encode,
 };
-use damsonbeam_control::settings::{Port, Settings};
+use damsonbeam_control::settings::{InternalPort, Settings};
+use tokio::net::TcpStream;
 use tokio::sync::mpsc;
+use tokio::task::JoinHandle;
 use tokio::time::{Instant, interval, sleep};
 
 use crate::config_transfer::{BackendPages, ConfigTransfer};
-use crate::coordinator::Coordinator;
+use crate::coordinator::{CommonTime, Coordinator};
 use crate::freshness::Freshness;
 
-const DIAL: Duration = Duration::from_millis(800);
-const REDIAL: Duration = Duration::from_millis(200);
-/// Between two words to each registry.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
+const RETRY_PAUSE: Duration = Duration::from_millis(200);
+/// Between two reports of the status to each registry.
 const STATUS_INTERVAL: Duration = Duration::from_millis(400);
-/// Every so many of them goes to registries of other regions too: the directory there may be that much behind.
-const FAR_STATUSES: u32 = 2;
-/// A registry whose connection comes up within this is near: a fraction of the way between regions.
-const NEAR: Duration = Duration::from_millis(15);
-/// A registry whose items differ for so long is asked for all of them; they may be on their way.
-const DIFFERS: Duration = Duration::from_millis(700);
-const PULL: Duration = Duration::from_millis(2000);
-/// A registry that none has named for so long is not called any more.
-const NAMED: Duration = Duration::from_secs(20);
-
-/// For whoever runs the proxy.
+/// One in so many reports goes to registries of other regions, too: the directory there may be that much behind.
+const FAR_STATUS_EVERY: u32 = 2;
+/// A registry whose connection comes up within this is near: a fraction of a round trip between regions.
+const NEAR_CONNECT_TIME: Duration = Duration::from_millis(15);
+/// A registry whose items differ for this long is asked for them; before that, they may be on their way.
+const DIFFERS_TIMEOUT: Duration = Duration::from_millis(700);
+/// Between two such requests.
+const PULL_INTERVAL: Duration = Duration::from_millis(2000);
+/// A registry that no other has named for this long is not connected to any more.
+const REGISTRY_TIMEOUT: Duration = Duration::from_secs(20);
+
+/// What the registries bring about, for whoever runs the proxy.
 pub enum ControlEvent {
-    Items,
-    List(Vec<Server>),
-    Heartbeat(Heartbeat),
-    /// A registry that is not the coordinator told of itself.
+    /// The configuration has changed.
+    Config,
+    /// The list of backends has changed.
+    Backends(Vec<Backend>),
+    /// The coordinator's heartbeat.
+    CoordinatorHeartbeat(Heartbeat),
+    /// The heartbeat of a registry that is not the coordinator.
     OtherHeartbeat(Heartbeat),
-    Totals {
+    /// Totals of shared counts.
+    CountTotals {
+        /// The term of the coordinator that sent them.
         term: u64,
+        /// The totals by name.
         totals: Vec<NamedCount>,
     },
-    /// The link to the coordinator is lost.
+    /// The connection to the coordinator is lost.
     CoordinatorLost,
-    /// Others to exchange load summaries with: of this region, and of others.
-    Few(Vec<Ip>, Vec<Ip>),
+    /// Other proxies to exchange load reports with.
+    Partners {
+        /// Of this region.
+        near: Vec<Ip>,
+        /// Of other regions.
+        far: Vec<Ip>,
+    },
 }
 
+/// What is known from the registries, shared by the tasks of the one thread. No task holds the borrow over an `await`.
+pub type SharedControlState = Rc<RefCell<ControlState>>;
+
 /// What is known from the registries.
 pub struct ControlState {
-    pub snapshot: ConfigSnapshot,
-    start: Instant,
+    started: Instant,
+    snapshot: ConfigSnapshot,
     config_transfer: ConfigTransfer,
     backend_pages: BackendPages,
-    /// By which term and reading the list came.
-    list: (u64, u64),
-    pub status: ProxyStatus,
+    backend_list: BackendListVersion,
+    status: ProxyStatus,
+    /// When each registry was last named.
     registries: BTreeMap<Ip, Instant>,
     seeds: BTreeSet<Ip>,
-    links: BTreeMap<Ip, Out>,
-    /// Registries that are near: their connections came up quickly.
-    home: BTreeSet<Ip>,
-    pub coordinator: Coordinator,
-    pub freshness: Freshness,
-    /// Whether partners for load summaries are wanted.
-    summaries: bool,
+    links: BTreeMap<Ip, MessageSender>,
+    /// Registries whose connections came up quickly.
+    near_registries: BTreeSet<Ip>,
+    coordinator: Coordinator,
+    freshness: Freshness,
+    wants_partners: bool,
 }
 
 impl ControlState {
-    pub fn new(settings: &Settings, status: ProxyStatus, summaries: bool) -> Self {
-        let seeds: BTreeSet<Ip> = settings.seed_ips().into_iter().map(ip).collect();
+    /// Nothing is known but the seeds. `wants_partners`: whether load reports are exchanged.
+    pub fn new(settings: &Settings, status: ProxyStatus, wants_partners: bool) -> Self {
+        let seeds: BTreeSet<Ip> = settings.seed_ips().into_iter().map(octets).collect();
         let now = Instant::now();
         ControlState {
+            started: now,
             snapshot: ConfigSnapshot::default(),
-            start: now,
             config_transfer: ConfigTransfer::default(),
             backend_pages: BackendPages::default(),
-            list: (0, 0),
+            backend_list: BackendListVersion::default(),
             status,
-            registries: seeds.iter().map(|s| (*s, now)).collect(),
+            registries: seeds.iter().map(|seed| (*seed, now)).collect(),
             seeds,
             links: BTreeMap::new(),
-            home: BTreeSet::new(),
+            near_registries: BTreeSet::new(),
             coordinator: Coordinator::default(),
             freshness: Freshness::default(),
-            summaries,
+            wants_partners,
         }
     }
 
-    /// Term and reading of the list.
-    pub fn list(&self) -> (u64, u64) {
-        self.list
+    /// All items known.
+    pub fn snapshot(&self) -> &ConfigSnapshot {
+        &self.snapshot
+    }
+
+    /// The version of the list of backends.
+    pub fn backend_list(&self) -> BackendListVersion {
+        self.backend_list
+    }
+
+    /// What is reported of this proxy.
+    pub fn status(&self) -> &ProxyStatus {
+        &self.status
     }
 
-    /// The link to the coordinator.
-    pub fn coordinator_link(&self) -> Option<&Out> {
+    /// The common time, once a coordinator has reported it.
+    pub fn common_time(&self) -> Option<CommonTime> {
+        self.coordinator.time()
+    }
+
+    /// Whether what is known may be served with.
+    pub fn freshness(&mut self) -> &mut Freshness {
+        &mut self.freshness
+    }
+
+    /// The connection to the coordinator.
+    pub fn coordinator_link(&self) -> Option<&MessageSender> {
         self.links.get(&self.coordinator.ip()?)
     }
 
-    /// To all registries, or to those of this region and the coordinator alone.
-    pub fn tell(&self, all: bool) {
-        let time_ms = self.coordinator.time().map(|t| t.now_ms());
-        let note = Message::Status {
+    /// Sets whether this proxy takes requests, and reports it to all registries at once.
+    pub fn set_ready(&mut self, ready: bool) {
+        self.status.ready = ready;
+        self.report_status(true);
+    }
+
+    fn status_message(&self) -> Message {
+        Message::Status {
             status: self.status.clone(),
-            time_ms,
-        };
-        let bytes = damsonbeam_control::messages::pack(&note);
-        for (ip, out) in &self.links {
-            if all || self.home.contains(ip) || self.coordinator.ip() == Some(*ip) {
-                out.bytes(bytes.clone());
+            time_ms: self.common_time().map(|time| time.now_ms()),
+        }
+    }
+
+    /// Reports the status to all registries, or to those of this region and the coordinator alone.
+    fn report_status(&self, to_all: bool) {
+        let bytes = encode(&self.status_message());
+        for (ip, link) in &self.links {
+            let is_coordinator = self.coordinator.ip() == Some(*ip);
+            if to_all || is_coordinator || self.near_registries.contains(ip) {
+                link.send_encoded(bytes.clone());
             }
         }
     }
 
     fn merge(&mut self, items: Vec<Item>) -> bool {
-        let mut new = false;
+        let mut has_changed = false;
         for item in items {
-            new |= self.snapshot.merge(item);
+            has_changed |= self.snapshot.merge(item);
+        }
+        has_changed
+    }
+
+    /// The registries to be connected with.
+    fn current_registries(&mut self) -> Vec<Ip> {
+        let seeds = &self.seeds;
+        self.registries
+            .retain(|ip, last_named| seeds.contains(ip) || last_named.elapsed() < REGISTRY_TIMEOUT);
+        self.registries.keys().copied().collect()
+    }
+
+    fn connected(&mut self, registry: Ip, link: MessageSender, is_near: bool) {
+        link.send(&self.status_message());
+        if self.wants_partners {
+            link.send(&Message::PullPartners);
+        }
+        self.links.insert(registry, link);
+        if is_near {
+            self.near_registries.insert(registry);
+        } else {
+            self.near_registries.remove(&registry);
         }
-        new
     }
-}
 
-pub type Shared = Rc<RefCell<ControlState>>;
+    /// A connection has ended; returns whether it was the coordinator's.
+    fn disconnected(&mut self, registry: Ip) -> bool {
+        self.links.remove(&registry);
+        self.config_transfer.source_lost(registry);
+        self.coordinator.ip() == Some(registry)
+    }
+}
 
-/// Holds a link to each registry that is known.
-pub async fn run(settings: Rc<Settings>, known: Shared, to: mpsc::Sender<ControlEvent>) {
-    let mut held: BTreeMap<Ip, tokio::task::JoinHandle<()>> = BTreeMap::new();
+/// Keeps a connection to each registry that is known.
+pub async fn run(
+    settings: Rc<Settings>,
+    state: SharedControlState,
+    events: mpsc::Sender<ControlEvent>,
+) {
+    let mut tasks: BTreeMap<Ip, JoinHandle<()>> = BTreeMap::new();
     let mut tick = interval(STATUS_INTERVAL);
-    let mut turn = 0u32;
+    let mut round = 0u32;
     loop {
         tick.tick().await;
-        turn += 1;
-        held.retain(|_, t| !t.is_finished());
-        let registries: Vec<Ip> = {
-            let mut k = known.borrow_mut();
-            let seeds = k.seeds.clone();
-            k.registries
-                .retain(|w, at| seeds.contains(w) || at.elapsed() < NAMED);
-            k.tell(turn.is_multiple_of(FAR_STATUSES));
-            k.registries.keys().copied().collect()
-        };
-        for w in registries {
-            held.entry(w).or_insert_with(|| {
-                let at = settings.inner(addr(w), Port::Registry);
-                tokio::task::spawn_local(hold(w, at.ip(), at.port(), known.clone(), to.clone()))
-            });
+        round += 1;
+        tasks.retain(|_, task| !task.is_finished());
+        let registries = state.borrow_mut().current_registries();
+        state
+            .borrow()
+            .report_status(round.is_multiple_of(FAR_STATUS_EVERY));
+        for registry in registries {
+            let start = || {
+                let address = settings.internal_address(ip_addr(registry), InternalPort::Registry);
+                let task = keep_connected(registry, address, state.clone(), events.clone());
+                tokio::task::spawn_local(task)
+            };
+            tasks.entry(registry).or_insert_with(start);
         }
     }
 }
 
-async fn hold(registry: Ip, at: IpAddr, port: u16, known: Shared, to: mpsc::Sender<ControlEvent>) {
-    while known.borrow().registries.contains_key(&registry) {
+/// Connects to one registry, again and again while it is known.
+async fn keep_connected(
+    registry: Ip,
+    address: SocketAddr,
+    state: SharedControlState,
+    events: mpsc::Sender<ControlEvent>,
+) {
+    while state.borrow().registries.contains_key(&registry) {
         let began = Instant::now();
-        if let Ok(stream) = link::dial((at, port).into(), DIAL).await {
-            let near = began.elapsed() < NEAR;
-            let (mut from, out) = link::split(stream);
+        if let Ok(stream) = link::connect(address, CONNECT_TIMEOUT).await {
+            let is_near = began.elapsed() < NEAR_CONNECT_TIME;
+            if serve_connection(registry, stream, is_near, &state, &events)
+                .await
+                .is_err()
             {
-                let mut k = known.borrow_mut();
-                let time_ms = k.coordinator.time().map(|t| t.now_ms());
-                out.send(&Message::Status {
-                    status: k.status.clone(),
-                    time_ms,
-                });
-                if k.summaries {
-                    out.send(&Message::PullPartners);
-                }
-                k.links.insert(registry, out.clone());
-                if near {
-                    k.home.insert(registry);
-                } else {
-                    k.home.remove(&registry);
-                }
-            }
-            let mut here = Here {
-                registry,
-                out,
-                differs: None,
-                pulled: None,
-                compared: false,
-            };
-            while let Ok(note) = from.next::<Message>(link::SILENT).await {
-                if let Some(word) = here.heard(&known, note)
-                    && to.send(word).await.is_err()
-                {
-                    return;
-                }
+                return;
             }
-            let lost = {
-                let mut k = known.borrow_mut();
-                k.links.remove(&registry);
-                k.config_transfer.lost(registry);
-                k.coordinator.ip() == Some(registry)
-            };
-            if lost {
-                log::info!("news: the way to the coordinator is lost.");
-                to.send(ControlEvent::CoordinatorLost).await.ok();
+            let was_coordinator = state.borrow_mut().disconnected(registry);
+            if was_coordinator {
+                log::info!("control: the connection to the coordinator is lost.");
+                events.send(ControlEvent::CoordinatorLost).await.ok();
             }
         }
-        sleep(REDIAL).await;
+        sleep(RETRY_PAUSE).await;
+    }
+}
+
+/// Takes all messages of a connection until it ends; an error where nobody takes the events any more.
+async fn serve_connection(
+    registry: Ip,
+    stream: TcpStream,
+    is_near: bool,
+    state: &SharedControlState,
+    events: &mpsc::Sender<ControlEvent>,
+) -> Result<(), mpsc::error::SendError<ControlEvent>> {
+    let (mut reader, sender) = link::split(stream);
+    state
+        .borrow_mut()
+        .connected(registry, sender.clone(), is_near);
+    let mut session = RegistrySession::new(registry, sender);
+    while let Ok(message) = reader.next::<Message>(link::SILENCE_TIMEOUT).await {
+        let event = session.receive(&mut state.borrow_mut(), message);
+        if let Some(event) = event {
+            events.send(event).await?;
+        }
     }
+    Ok(())
 }
 
-struct Here {
+/// One connection to a registry.
+struct RegistrySession {
     registry: Ip,
-    out: Out,
-    differs: Option<Instant>,
-    pulled: Option<Instant>,
+    sender: MessageSender,
+    /// Since when the registry has had something that this proxy lacks.
+    differs_since: Option<Instant>,
+    last_pull: Option<Instant>,
     /// A heartbeat of this connection was compared.
-    compared: bool,
+    has_compared: bool,
 }
 
-impl Here {
-    fn heard(&mut self, known: &Shared, note: Message) -> Option<ControlEvent> {
-        let mut k = known.borrow_mut();
-        match note {
-            Message::Heartbeat(heartbeat) => {
-                let now = Instant::now();
-                for w in &heartbeat.registries {
-                    k.registries.insert(*w, now);
-                }
-                let before = k.coordinator.ip();
-                let is_coordinators = k.coordinator.observe(self.registry, &heartbeat, now);
-                k.status.term = k.coordinator.term();
-                if k.coordinator.ip() != before {
-                    log::info!(
-                        "news: the coordinator is {:?}.",
-                        k.coordinator.ip().map(addr)
-                    );
-                }
-                // What was pushed may be a part: only a round shows that it is all.
-                let unsure = !k.config_transfer.has_first_snapshot();
-                let has_other_items = heartbeat.items != k.snapshot.digest();
-                let differs = heartbeat.items != 0 && (unsure || has_other_items);
-                let behind = heartbeat.list > k.list;
-                let has_items = !unsure && !has_other_items && !k.snapshot.items().is_empty();
-                let has_list = !behind && k.list.0 > 0;
-                k.freshness
-                    .observe(heartbeat.in_contact, has_items, has_list);
-                self.compare(&mut k, differs, behind, now);
-                Some(if is_coordinators {
-                    ControlEvent::Heartbeat(heartbeat)
-                } else {
-                    ControlEvent::OtherHeartbeat(heartbeat)
-                })
-            }
-            Message::ConfigUpdate { no, items } => {
-                self.out.send(&Message::Ack { no });
-                let changed = k.merge(items) && k.config_transfer.has_first_snapshot();
-                changed.then_some(ControlEvent::Items)
+impl RegistrySession {
+    fn new(registry: Ip, sender: MessageSender) -> Self {
+        RegistrySession {
+            registry,
+            sender,
+            differs_since: None,
+            last_pull: None,
+            has_compared: false,
+        }
+    }
+
+    fn receive(&mut self, state: &mut ControlState, message: Message) -> Option<ControlEvent> {
+        match message {
+            Message::Heartbeat(heartbeat) => Some(self.receive_heartbeat(state, heartbeat)),
+            Message::ConfigUpdate { number, items } => {
+                self.sender.send(&Message::Ack { number });
+                let has_changed = state.merge(items);
+                let may_use = state.config_transfer.has_first_snapshot();
+                (has_changed && may_use).then_some(ControlEvent::Config)
             }
             Message::ConfigChanged => {
-                self.catch_up(&mut k);
+                self.catch_up(state);
                 None
             }
-            Message::Transfer(message) => {
-                let ControlState {
-                    config_transfer,
-                    snapshot,
-                    start,
-                    ..
-                } = &mut *k;
-                let progress =
-                    config_transfer.receive(self.registry, snapshot, message, start.elapsed());
-                for request in progress.requests {
-                    self.out.send(&Message::Transfer(request));
-                }
-                progress.changed.then_some(ControlEvent::Items)
-            }
+            Message::Transfer(message) => self.receive_transfer(state, message),
             Message::BackendUpdate {
-                no,
+                number,
                 list,
                 page,
                 pages,
             } => {
-                self.out.send(&Message::Ack { no });
-                let at = (list.term, list.reading);
-                if at <= k.list {
-                    return None;
-                }
-                let servers = k.backend_pages.add(list, page as usize, pages as usize)?;
-                k.list = at;
-                Some(ControlEvent::List(servers))
+                self.sender.send(&Message::Ack { number });
+                receive_page(state, list, page as usize, pages as usize)
+            }
+            Message::CountTotals { term, totals } => {
+                Some(ControlEvent::CountTotals { term, totals })
             }
-            Message::CountTotals { term, totals } => Some(ControlEvent::Totals { term, totals }),
-            Message::Partners { near, far } => Some(ControlEvent::Few(near, far)),
+            Message::Partners { near, far } => Some(ControlEvent::Partners { near, far }),
             _ => None,
         }
     }
 
-    /// Begins to catch up with this registry, unless that goes on with another.
-    fn catch_up(&self, k: &mut ControlState) {
-        let ControlState {
-            config_transfer,
-            snapshot,
-            start,
-            ..
-        } = k;
-        if let Some(message) = config_transfer.begin(self.registry, snapshot, start.elapsed()) {
-            self.out.send(&Message::Transfer(message));
+    fn receive_heartbeat(
+        &mut self,
+        state: &mut ControlState,
+        heartbeat: Heartbeat,
+    ) -> ControlEvent {
+        let now = Instant::now();
+        for registry in &heartbeat.registries {
+            state.registries.insert(*registry, now);
+        }
+        let coordinator_before = state.coordinator.ip();
+        let is_coordinator = state.coordinator.observe(self.registry, &heartbeat, now);
+        state.status.term = state.coordinator.term();
+        let coordinator = state.coordinator.ip();
+        if coordinator != coordinator_before {
+            log::info!(
+                "control: the coordinator is {:?}.",
+                coordinator.map(ip_addr)
+            );
+        }
+        self.compare(state, &heartbeat, now);
+        if is_coordinator {
+            ControlEvent::CoordinatorHeartbeat(heartbeat)
+        } else {
+            ControlEvent::OtherHeartbeat(heartbeat)
         }
     }
 
-    /// News come by themselves; what still differs after a while is asked for. What differs when the connection comes up, or
-    /// before there is a first snapshot, is asked for at once.
-    fn compare(&mut self, k: &mut ControlState, differs: bool, behind: bool, now: Instant) {
-        let is_first = !std::mem::replace(&mut self.compared, true);
-        if !differs && !behind {
-            self.differs = None;
+    /// Finds what this proxy lacks of what the registry has. Updates are pushed; what still differs after a while is asked
+    /// for. What differs when the connection comes up, or before there is a first snapshot, is asked for at once.
+    fn compare(&mut self, state: &mut ControlState, heartbeat: &Heartbeat, now: Instant) {
+        // What was pushed may be a part: only a round of the transfer shows that it is all.
+        let has_first_snapshot = state.config_transfer.has_first_snapshot();
+        let has_its_digest = heartbeat.config_digest == state.snapshot.digest();
+        let has_items = has_first_snapshot && has_its_digest && !state.snapshot.items().is_empty();
+        let lacks_items = heartbeat.config_digest != 0 && (!has_first_snapshot || !has_its_digest);
+        let lacks_list = heartbeat.backend_list > state.backend_list;
+        let has_list = !lacks_list && state.backend_list.term > 0;
+        state
+            .freshness
+            .observe(heartbeat.in_contact, has_items, has_list);
+
+        let is_first = !std::mem::replace(&mut self.has_compared, true);
+        if !lacks_items && !lacks_list {
+            self.differs_since = None;
             return;
         }
-        let since = *self.differs.get_or_insert(now);
-        let due = now - since >= DIFFERS && self.pulled.is_none_or(|p| now - p >= PULL);
-        if differs && (due || is_first || !k.config_transfer.has_first_snapshot()) {
-            self.catch_up(k);
+        let since = *self.differs_since.get_or_insert(now);
+        let may_pull = self
+            .last_pull
+            .is_none_or(|last| now - last >= PULL_INTERVAL);
+        let is_due = now - since >= DIFFERS_TIMEOUT && may_pull;
+        if lacks_items && (is_due || is_first || !has_first_snapshot) {
+            self.catch_up(state);
         }
-        if due {
-            self.pulled = Some(now);
-            if behind {
-                self.out.send(&Message::PullBackends);
+        if is_due {
+            self.last_pull = Some(now);
+            if lacks_list {
+                self.sender.send(&Message::PullBackends);
             }
         }
     }
+
+    /// Begins to catch up with this registry, unless that goes on with another.
+    fn catch_up(&self, state: &mut ControlState) {
+        let now = state.started.elapsed();
+        let message = state
+            .config_transfer
+            .begin(self.registry, &state.snapshot, now);
+        if let Some(message) = message {
+            self.sender.send(&Message::Transfer(message));
+        }
+    }
+
+    fn receive_transfer(
+        &mut self,
+        state: &mut ControlState,
+        message: TransferMessage,
+    ) -> Option<ControlEvent> {
+        let now = state.started.elapsed();
+        let snapshot = &mut state.snapshot;
+        let progress = state
+            .config_transfer
+            .receive(self.registry, snapshot, message, now);
+        for request in progress.requests {
+            self.sender.send(&Message::Transfer(request));
+        }
+        progress.changed.then_some(ControlEvent::Config)
+    }
+}
+
+fn receive_page(
+    state: &mut ControlState,
+    list: BackendList,
+    page: usize,
+    pages: usize,
+) -> Option<ControlEvent> {
+    let version = list.version;
+    if version <= state.backend_list {
+        return None;
+    }
+    let backends = state.backend_pages.add(list, page, pages)?;
+    state.backend_list = version;
+    Some(ControlEvent::Backends(backends))
 }
--- a/crates/proxy/src/coordinator.rs
+++ b/crates/proxy/src/coordinator.rs
@@ -1,60 +1,68 @@
-//! Who the coordinator is, and the common time by its clock, as heartbeats of all registries tell. Free of I/O.
+//! Who the coordinator is, and the common time by its clock, as the heartbeats of all registries report. Free of I/O.
 //!
-//! Terms only rise: what a registry tells under an earlier term than the highest known comes from one that has lost the
-//! duty and does not know it, or from one that has not heard of the change. It changes nothing.
+//! Terms only rise: what a registry reports under an earlier term than the highest known comes from one that has lost the
+//! lease and does not know it, or from one that has not heard of the change. It changes nothing.
 
-use damsonbeam_control::messages::{Heartbeat, Ip};
+use damsonbeam_control::address::Ip;
+use damsonbeam_control::messages::{Heartbeat, LeaseHolder};
 use tokio::time::Instant;
 
-/// The common time as a coordinator told it.
+/// The common time as a coordinator reported it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CommonTime {
-    pub told_at: Instant,
+    /// When the report came.
+    pub received_at: Instant,
+    /// The common time then, in milliseconds.
     pub time_ms: u64,
+    /// The coordinator's term.
     pub term: u64,
 }
 
 impl CommonTime {
+    /// The common time now, in milliseconds.
     pub fn now_ms(&self) -> u64 {
-        self.time_ms + self.told_at.elapsed().as_millis() as u64
+        self.time_ms + self.received_at.elapsed().as_millis() as u64
     }
 }
 
 /// The coordinator of the highest term known.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Coordinator {
-    holder: Option<(Ip, u64)>,
+    holder: Option<LeaseHolder>,
     time: Option<CommonTime>,
 }
 
 impl Coordinator {
+    /// Its machine; `None`: no coordinator is known.
     pub fn ip(&self) -> Option<Ip> {
-        self.holder.map(|h| h.0)
+        self.holder.map(|holder| holder.ip)
     }
 
     /// The highest term known; 0: none.
     pub fn term(&self) -> u64 {
-        self.holder.map_or(0, |h| h.1)
+        self.holder.map_or(0, |holder| holder.term)
     }
 
+    /// The common time; `None`: no coordinator has reported it.
     pub fn time(&self) -> Option<CommonTime> {
         self.time
     }
 
-    /// A heartbeat of a registry; tells whether it is the coordinator's own.
+    /// Takes a heartbeat of a registry; returns whether it is the coordinator's own.
     pub fn observe(&mut self, from: Ip, heartbeat: &Heartbeat, now: Instant) -> bool {
-        let Some((ip, term)) = heartbeat.coordinator else {
+        let Some(holder) = heartbeat.coordinator else {
             return false;
         };
-        if term > self.term() {
-            self.holder = Some((ip, term));
+        if holder.term > self.term() {
+            self.holder = Some(holder);
         }
-        let is_own = ip == from && self.holder == Some((ip, term));
-        if is_own && heartbeat.time_ms > 0 && self.time.is_none_or(|t| t.term < term) {
+        let is_own = holder.ip == from && self.holder == Some(holder);
+        let is_new_term = self.time.is_none_or(|time| time.term < holder.term);
+        if is_own && heartbeat.time_ms > 0 && is_new_term {
             self.time = Some(CommonTime {
-                told_at: now,
+                received_at: now,
                 time_ms: heartbeat.time_ms,
-                term,
+                term: holder.term,
             });
         }
         is_own
--- a/crates/proxy/src/dispatch.rs
+++ b/crates/proxy/src/dispatch.rs
@@ -1,5 +1,5 @@
-//! The decision module as the system runs it: one for each service, homes and number of attempts, each with the
-//! backends that may serve what comes to it. Operations are told apart by what the module reads of a route.
+//! The decision module as the system runs it: one instance for each service, home regions and number of attempts, each
+//! with the backends that may serve what comes to it. Operations are distinguished by what the module reads of a route.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -9,7 +9,7 @@
 use damsonbeam::Rules;
 use damsonbeam::interface::*;
 use damsonbeam_admin::Figures;
-use damsonbeam_control::items::{Route, RouteKind};
+use damsonbeam_control::config::{Route, RouteKind};
 use damsonbeam_gateway::backends::{Backend, Fleet};
 use damsonbeam_gateway::clock::Clock;
 use damsonbeam_gateway::mail::{Listed, ToCounter, ToModule, Unanswered};
@@ -19,337 +19,375 @@
 
 use crate::backend_pool::BackendPool;
 use crate::retry_budget::RetryBudget;
-use crate::routing_table::{Homes, RoutingTable};
+use crate::routing_table::{HomeRegions, RoutingTable};
 
-/// Room in a module's mailbox.
-const ROOM: usize = 4096;
-/// The quota answers at once: the module's time-out for a count only has to be longer than its mailbox.
-const COUNT: Duration = Duration::from_millis(100);
+/// Events that wait for a module at most.
+const EVENT_QUEUE_CAPACITY: usize = 4096;
+/// The counts are answered at once: the module's timeout for one only has to be longer than its queue.
+const COUNT_TIMEOUT: Duration = Duration::from_millis(100);
 /// Slots of a window and the longest in seconds, as the module cuts them.
-const SLOTS: f64 = 2.0;
-const SLOT_MOST: f64 = 8.0;
+const SLOTS_PER_WINDOW: f64 = 2.0;
+const LONGEST_SLOT_S: f64 = 8.0;
 const TICK: Duration = Duration::from_millis(1);
-/// Advice to a client to come back is no longer than this.
-const RETRY_AFTER: Duration = Duration::from_secs(1);
-/// Part of a request's worth that a late answer keeps, where nobody says: some, so late ones are still tried.
-const LATE: f64 = 0.5;
+/// Clients are advised to come back after this at most.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(1);
+/// The part of a request's value that a late answer keeps, where nobody says: some, so that late ones are still tried.
+const LATE_VALUE: f64 = 0.5;
+/// The plan of a request without a tenant.
+pub const NO_PLAN: PlanId = PlanId(usize::MAX);
 
-/// Whose units a count's answer is for.
-pub struct Counted {
+/// A module's call to the shared counts, and where its answer goes.
+pub struct CountCall {
+    /// The call.
     pub call: ToCounter,
-    pub to: mpsc::Sender<ToModule>,
+    /// The module that made it.
+    pub answer_to: mpsc::Sender<ToModule>,
 }
 
+/// What distinguishes module instances.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Key {
+struct DispatcherKey {
     service: String,
     homes: Option<Vec<String>>,
-    attempts: u32,
+    max_attempts: u32,
 }
 
+/// What the module reads of a route.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+struct OperationKey {
+    kind: RouteKind,
+    latency_target_ms: u64,
+    timeout_ms: u64,
+}
+
+/// A module instance.
 struct Dispatcher {
     service: String,
-    homes: Homes,
-    to: mpsc::Sender<ToModule>,
+    homes: HomeRegions,
+    module: mpsc::Sender<ToModule>,
     settings: Settings,
-    /// Names of operations by what the module reads of them.
-    operations: HashMap<(RouteKind, u64, u64), OpId>,
+    operations: HashMap<OperationKey, OpId>,
 }
 
-pub struct Dispatchers {
+impl Dispatcher {
+    /// Sends the settings to the module.
+    fn send_settings(&self) {
+        let settings = Box::new(self.settings.clone());
+        self.module.try_send(ToModule::Settings(settings)).ok();
+    }
+
+    /// The operation of a route; a new one is added to the settings.
+    fn operation(&mut self, route: &Route) -> OpId {
+        let key = OperationKey {
+            kind: route.kind,
+            latency_target_ms: route.latency_target_ms,
+            timeout_ms: route.timeout_ms,
+        };
+        if let Some(known) = self.operations.get(&key) {
+            return *known;
+        }
+        let new = OpId(self.settings.operations.len());
+        self.settings.operations.push(operation_settings(route));
+        self.settings.in_force.operations.push(new);
+        self.operations.insert(key, new);
+        self.send_settings();
+        new
+    }
+}
+
+/// The module that takes a request, and the request's operation there.
+pub struct DispatchTarget {
+    /// The module.
+    pub module: mpsc::Sender<ToModule>,
+    /// The operation.
+    pub operation: OpId,
+}
+
+/// What all module instances share.
+pub struct SharedParts {
+    /// The backends.
     pub backend_pool: Rc<RefCell<BackendPool>>,
+    /// The budget of retries.
     pub retry_budget: Rc<RefCell<RetryBudget>>,
+    /// The connections to backends.
     pub fleet: Rc<Fleet>,
+    /// The modules' clock.
     pub clock: Clock,
+    /// What is counted for operators.
     pub figures: Figures,
-    /// Where counts go.
-    pub quota: mpsc::Sender<Counted>,
+    /// Where calls to the shared counts go.
+    pub counts: mpsc::Sender<CountCall>,
+    /// The phase of the process.
     pub stage: Now,
-    near: u32,
-    place: u32,
+}
+
+/// All module instances.
+pub struct Dispatchers {
+    shared: SharedParts,
+    nearby_proxies: u32,
     plans: Vec<Plan>,
-    all: HashMap<Key, Dispatcher>,
+    dispatchers: HashMap<DispatcherKey, Dispatcher>,
 }
 
-/// What deliveries of one service use up that all proxies share.
-struct Shared {
+/// What the attempts of one service use up that all proxies share.
+struct SharedLimits {
     service: String,
     backend_pool: Rc<RefCell<BackendPool>>,
     retry_budget: Rc<RefCell<RetryBudget>>,
     stage: Now,
 }
 
-impl Guard for Shared {
+impl Guard for SharedLimits {
     fn again(&mut self, _: Duration) -> bool {
         self.retry_budget.borrow_mut().spend(&self.service)
     }
 
-    fn sent(&mut self, tgt: TgtId, now: Duration) -> Sent {
-        let mut backend_pool = self.backend_pool.borrow_mut();
-        let cold = backend_pool.slow_start.is_cold(tgt, now);
-        let go = backend_pool.slow_start.send(tgt, now);
-        if let Some(load_reports) = backend_pool.load_reports.as_mut().filter(|_| go) {
-            load_reports.sent(tgt, now);
-        }
-        Sent {
-            go,
-            entry: if cold {
-                backend_pool.closed(tgt, now)
-            } else {
-                None
-            },
+    fn sent(&mut self, backend: TgtId, now: Duration) -> Sent {
+        let mut pool = self.backend_pool.borrow_mut();
+        let was_warming = pool.slow_start().is_warming(backend, now);
+        let go = pool.slow_start().take_turn(backend, now);
+        if let Some(load_reports) = pool.load_reports().filter(|_| go) {
+            load_reports.attempt_sent(backend, now);
         }
+        let entry = if was_warming {
+            pool.closed_entry(backend, now)
+        } else {
+            None
+        };
+        Sent { go, entry }
     }
 
-    fn ended(&mut self, tgt: TgtId, outcome: Outcome, took: Duration, now: Duration) {
-        if let Some(load_reports) = &mut self.backend_pool.borrow_mut().load_reports {
-            load_reports.ended(tgt, outcome, took, now);
+    fn ended(&mut self, backend: TgtId, outcome: Outcome, took: Duration, now: Duration) {
+        if let Some(load_reports) = self.backend_pool.borrow_mut().load_reports() {
+            load_reports.attempt_ended(backend, outcome, took, now);
         }
     }
 
-    /// Told to end, a proxy waits for what its backends are at work on: the budget may allow no second attempt.
+    /// Told to end, a proxy waits for what its backends work on: the budget may allow no second attempt.
     fn may_give_up(&self) -> bool {
         !self.stage.stage().sends_away()
     }
 }
 
 impl Dispatchers {
-    pub fn new(
-        backend_pool: Rc<RefCell<BackendPool>>,
-        retry_budget: Rc<RefCell<RetryBudget>>,
-        fleet: Rc<Fleet>,
-        clock: Clock,
-        figures: Figures,
-        quota: mpsc::Sender<Counted>,
-        stage: Now,
-    ) -> Self {
-        let (near, place, plans, all) = (1, 0, Vec::new(), HashMap::new());
+    /// No module instances yet; they are made as requests need them.
+    pub fn new(shared: SharedParts) -> Self {
         Dispatchers {
-            backend_pool,
-            retry_budget,
-            fleet,
-            clock,
-            figures,
-            quota,
-            stage,
-            near,
-            place,
-            plans,
-            all,
+            shared,
+            nearby_proxies: 1,
+            plans: Vec::new(),
+            dispatchers: HashMap::new(),
         }
     }
 
-    /// The module for a request on that route to that service, and its operation there.
-    /// None where there is no backend that may serve it.
-    pub fn dispatcher(
+    /// Whether a real backend has that address now.
+    pub fn is_real(&self, address: std::net::SocketAddr) -> bool {
+        self.shared.backend_pool.borrow().is_real(address)
+    }
+
+    /// The module for a request on a route to a service; `None` where there is no backend that may serve it.
+    pub fn dispatch(
         &mut self,
         route: &Route,
         service: String,
-        homes: &Homes,
-    ) -> Option<(mpsc::Sender<ToModule>, OpId)> {
-        if !self.backend_pool.borrow().has(&service, homes) {
+        homes: &HomeRegions,
+    ) -> Option<DispatchTarget> {
+        if !self.shared.backend_pool.borrow().has(&service, homes) {
             return None;
         }
-        self.retry_budget.borrow_mut().earn(&service);
-        let attempts = route.attempts.max(1);
-        let list = homes.as_ref().map(|h| h.iter().cloned().collect());
-        let key = Key {
+        self.shared.retry_budget.borrow_mut().earn(&service);
+        let key = DispatcherKey {
             service,
-            homes: list,
-            attempts,
+            homes: homes.as_ref().map(|homes| homes.iter().cloned().collect()),
+            max_attempts: route.max_attempts.max(1),
         };
-        if !self.all.contains_key(&key) {
-            let dispatcher = self.open(&key, homes.clone());
-            self.all.insert(key.clone(), dispatcher);
+        if !self.dispatchers.contains_key(&key) {
+            let dispatcher = self.start_dispatcher(&key, homes.clone());
+            self.dispatchers.insert(key.clone(), dispatcher);
         }
-        let dispatcher = self.all.get_mut(&key).expect("just made");
-        let row = (route.kind, route.aim_ms, route.timeout_ms);
-        let op = dispatcher.operations.get(&row).copied().unwrap_or_else(|| {
-            let op = OpId(dispatcher.settings.operations.len());
-            dispatcher.settings.operations.push(operation(route));
-            dispatcher.settings.in_force.operations.push(op);
-            dispatcher.operations.insert(row, op);
-            dispatcher
-                .to
-                .try_send(ToModule::Settings(Box::new(dispatcher.settings.clone())))
-                .ok();
-            op
-        });
-        Some((dispatcher.to.clone(), op))
+        let dispatcher = self.dispatchers.get_mut(&key)?;
+        let operation = dispatcher.operation(route);
+        Some(DispatchTarget {
+            module: dispatcher.module.clone(),
+            operation,
+        })
     }
 
-    fn open(&self, key: &Key, homes: Homes) -> Dispatcher {
-        let (to, mailbox) = mpsc::channel(ROOM);
-        let gateways = self.backend_pool.borrow().gateways(&key.service, self.near);
-        let settings = settings(
-            gateways,
-            key.attempts,
-            self.fleet.connect_timeout,
-            self.plans.clone(),
-        );
-        let (to_counter, mut calls) = mpsc::channel(ROOM);
-        let (quota, back) = (self.quota.clone(), to.clone());
-        tokio::task::spawn_local(async move {
-            while let Some(call) = calls.recv().await {
-                if quota
-                    .send(Counted {
-                        call,
-                        to: back.clone(),
-                    })
-                    .await
-                    .is_err()
-                {
-                    return;
-                }
-            }
-        });
-        let fleet = self.fleet.clone();
-        let guard = Shared {
+    fn start_dispatcher(&self, key: &DispatcherKey, homes: HomeRegions) -> Dispatcher {
+        let shared = &self.shared;
+        let (module, events) = mpsc::channel(EVENT_QUEUE_CAPACITY);
+        let gateways = shared
+            .backend_pool
+            .borrow()
+            .gateways(&key.service, self.nearby_proxies);
+        let connect_timeout = shared.fleet.connect_timeout;
+        let plans = self.plans.clone();
+        let settings = module_settings(gateways, key.max_attempts, connect_timeout, plans);
+        let fleet = shared.fleet.clone();
+        let limits = SharedLimits {
             service: key.service.clone(),
-            backend_pool: self.backend_pool.clone(),
-            retry_budget: self.retry_budget.clone(),
-            stage: self.stage.clone(),
+            backend_pool: shared.backend_pool.clone(),
+            retry_budget: shared.retry_budget.clone(),
+            stage: shared.stage.clone(),
         };
-        let module = Module {
-            rules: Rules::new(rand::random(), settings.clone(), self.clock.now()),
-            clock: self.clock,
-            mailbox,
-            hire: Box::new(move |at, name| Backend::hire(&fleet, at, name)),
-            me: to.clone(),
-            guard: Some(Box::new(guard)),
-            counter: Some(to_counter),
+        let actor = Module {
+            rules: Rules::new(rand::random(), settings.clone(), shared.clock.now()),
+            clock: shared.clock,
+            mailbox: events,
+            hire: Box::new(move |address, name| Backend::hire(&fleet, address, name)),
+            me: module.clone(),
+            guard: Some(Box::new(limits)),
+            counter: Some(self.start_count_calls(module.clone())),
             list: mpsc::channel(1).0,
             peers: None,
             witness: None,
             state: State::default(),
-            figures: self.figures.clone(),
+            figures: shared.figures.clone(),
             account: None,
             shown: false,
             carry: None,
         };
-        tokio::task::spawn_local(module.run());
+        tokio::task::spawn_local(actor.run());
         let dispatcher = Dispatcher {
             service: key.service.clone(),
             homes,
-            to,
+            module,
             settings,
             operations: HashMap::new(),
         };
-        self.tell(&dispatcher);
-        let lines = self
-            .backend_pool
-            .borrow()
-            .lines(&key.service, &dispatcher.homes, self.clock.now())
-            .len();
+        let backends = self.send_backends_to(&dispatcher);
         log::info!(
-            "dispatcher: {} for homes {:?}, {} attempts, {lines} backends.",
+            "dispatcher: {} for homes {:?}, {} attempts, {backends} backends.",
             key.service,
             key.homes,
-            key.attempts
+            key.max_attempts
         );
         dispatcher
     }
 
-    /// The backends as they stand.
-    fn tell(&self, dispatcher: &Dispatcher) {
-        let lines = self.backend_pool.borrow().lines(
-            &dispatcher.service,
-            &dispatcher.homes,
-            self.clock.now(),
-        );
-        let addrs = lines.iter().map(|l| l.at).collect();
-        let names = lines.iter().map(|l| l.name.clone()).collect();
-        let entries = lines.into_iter().map(|l| l.entry).collect();
+    /// Marks a module's calls to the counts with where their answers go.
+    fn start_count_calls(&self, module: mpsc::Sender<ToModule>) -> mpsc::Sender<ToCounter> {
+        let (sender, mut calls) = mpsc::channel(EVENT_QUEUE_CAPACITY);
+        let counts = self.shared.counts.clone();
+        tokio::task::spawn_local(async move {
+            while let Some(call) = calls.recv().await {
+                let answer_to = module.clone();
+                if counts.send(CountCall { call, answer_to }).await.is_err() {
+                    return;
+                }
+            }
+        });
+        sender
+    }
+
+    /// Sends a module its backends as they are now; returns how many.
+    fn send_backends_to(&self, dispatcher: &Dispatcher) -> usize {
+        let pool = self.shared.backend_pool.borrow();
+        let now = self.shared.clock.now();
+        let backends = pool.backends(&dispatcher.service, &dispatcher.homes, now);
+        let count = backends.len();
         let listed = Listed {
             form: ListForm::Replace,
-            entries,
-            addrs,
-            names,
+            addrs: backends.iter().map(|backend| backend.address).collect(),
+            names: backends
+                .iter()
+                .map(|backend| backend.name.clone())
+                .collect(),
+            entries: backends.into_iter().map(|backend| backend.entry).collect(),
         };
-        if dispatcher.to.try_send(ToModule::Listed(listed)).is_err() {
+        if dispatcher
+            .module
+            .try_send(ToModule::Listed(listed))
+            .is_err()
+        {
             log::warn!("dispatcher: no room for a new list.");
         }
+        count
     }
 
-    pub fn tell_all(&self) {
-        self.all.values().for_each(|d| self.tell(d));
+    /// Sends all modules their backends as they are now.
+    pub fn send_backends(&self) {
+        for dispatcher in self.dispatchers.values() {
+            self.send_backends_to(dispatcher);
+        }
     }
 
-    /// Tells all modules that the program ends; what they had unanswered comes back.
-    pub fn end(
+    /// Sends all modules a message that the process ends; what they had unanswered comes back.
+    pub fn send_end(
         &self,
         message: impl Fn(oneshot::Sender<Unanswered>) -> ToModule,
     ) -> Vec<oneshot::Receiver<Unanswered>> {
-        let tell = |dispatcher: &Dispatcher| {
-            let (to, told) = oneshot::channel();
-            dispatcher.to.try_send(message(to)).ok().map(|()| told)
+        let send = |dispatcher: &Dispatcher| {
+            let (reply_to, reply) = oneshot::channel();
+            dispatcher.module.try_send(message(reply_to)).ok()?;
+            Some(reply)
         };
-        self.all.values().filter_map(tell).collect()
+        self.dispatchers.values().filter_map(send).collect()
     }
 
-    /// Which plan a tenant has.
+    /// The plan of a tenant.
     pub fn plan(&self, tenant: &str) -> PlanId {
-        PlanId(
-            self.plans
-                .iter()
-                .position(|p| &*p.name == tenant)
-                .unwrap_or(usize::MAX),
-        )
+        let position = self.plans.iter().position(|plan| &*plan.name == tenant);
+        position.map_or(NO_PLAN, PlanId)
     }
 
-    /// A new configuration: rows stay where they are, for what is under way goes by them.
-    pub fn follow(&mut self, routing_table: &RoutingTable) {
-        for t in &routing_table.tenants {
-            let limited = t.rate > 0.0;
-            // A burst of 0 is a second's worth: some must be let in at once.
-            let burst = if t.burst > 0.0 { t.burst } else { t.rate };
+    /// Takes a new configuration. Plans stay at their positions, by which requests under way name them.
+    pub fn follow(&mut self, table: &RoutingTable) {
+        for tenant in &table.tenants {
+            let is_limited = tenant.rate_per_s > 0.0;
+            let burst = if tenant.burst > 0.0 {
+                tenant.burst
+            } else {
+                // A burst of 0 is a second's worth: some must be admitted at once.
+                tenant.rate_per_s
+            };
             let plan = Plan {
-                name: t.name.as_str().into(),
-                rate: if limited { t.rate } else { 0.0 },
-                burst: if limited { burst } else { 0.0 },
+                name: tenant.name.as_str().into(),
+                rate: if is_limited { tenant.rate_per_s } else { 0.0 },
+                burst: if is_limited { burst } else { 0.0 },
                 price: 1.0,
                 over_cost: 1.0,
                 ..Plan::default()
             };
-            match self.plans.iter_mut().find(|p| p.name == plan.name) {
+            match self.plans.iter_mut().find(|known| known.name == plan.name) {
                 Some(known) => *known = plan,
                 None => self.plans.push(plan),
             }
         }
-        self.settle();
+        self.update_settings();
     }
 
-    /// Tenants' rates and the lengths of the slots in which the module counts them, in seconds.
+    /// Tenants with a quota: their rates, and the lengths in seconds of the slots in which the module counts them.
     pub fn slots(&self) -> Vec<(String, f64, f64)> {
-        let limited = self.plans.iter().filter(|p| p.rate > 0.0);
-        let slot = |p: &Plan| (p.burst / p.rate / SLOTS).clamp(TICK.as_secs_f64(), SLOT_MOST);
+        let limited = self.plans.iter().filter(|plan| plan.rate > 0.0);
+        let slot_s = |plan: &Plan| {
+            let window_s = plan.burst / plan.rate;
+            (window_s / SLOTS_PER_WINDOW).clamp(TICK.as_secs_f64(), LONGEST_SLOT_S)
+        };
         limited
-            .map(|p| (p.name.to_string(), p.rate, slot(p)))
+            .map(|plan| (plan.name.to_string(), plan.rate, slot_s(plan)))
             .collect()
     }
 
-    /// So many proxies are near, and this one's place among them; whether that changed.
-    pub fn near(&mut self, near: u32, place: u32) -> bool {
-        let changed = (near, place) != (self.near, self.place);
-        if changed {
-            (self.near, self.place) = (near, place);
-            self.settle();
+    /// Sets the number of proxies in this region.
+    pub fn set_nearby_proxies(&mut self, proxies: u32) {
+        if proxies != self.nearby_proxies {
+            self.nearby_proxies = proxies;
+            self.update_settings();
         }
-        changed
     }
 
-    pub fn settle(&mut self) {
-        let backend_pool = self.backend_pool.borrow();
-        for dispatcher in self.all.values_mut() {
-            let gateways = backend_pool.gateways(&dispatcher.service, self.near);
-            if gateways != dispatcher.settings.gateways || dispatcher.settings.plans != self.plans {
-                dispatcher.settings.gateways = gateways;
-                dispatcher.settings.plans = self.plans.clone();
-                dispatcher.settings.in_force.plans = (0..self.plans.len()).map(PlanId).collect();
-                dispatcher
-                    .to
-                    .try_send(ToModule::Settings(Box::new(dispatcher.settings.clone())))
-                    .ok();
+    /// Sends new settings to the modules whose settings have changed.
+    pub fn update_settings(&mut self) {
+        let pool = self.shared.backend_pool.borrow();
+        for dispatcher in self.dispatchers.values_mut() {
+            let gateways = pool.gateways(&dispatcher.service, self.nearby_proxies);
+            let settings = &mut dispatcher.settings;
+            if gateways != settings.gateways || settings.plans != self.plans {
+                settings.gateways = gateways;
+                settings.plans = self.plans.clone();
+                settings.in_force.plans = (0..self.plans.len()).map(PlanId).collect();
+                dispatcher.send_settings();
             }
         }
     }
@@ -359,45 +397,54 @@
 pub fn repeat(kind: RouteKind) -> Repeat {
     match kind {
         RouteKind::ReadOnly => Repeat::Idempotent,
-        _ => Repeat::NonIdempotent,
+        RouteKind::Mutating | RouteKind::Upload => Repeat::NonIdempotent,
     }
 }
 
-fn operation(route: &Route) -> Operation {
-    let name = format!("{:?}/{}/{}", route.kind, route.aim_ms, route.timeout_ms);
+fn operation_settings(route: &Route) -> Operation {
+    let name = format!(
+        "{:?}/{}/{}",
+        route.kind, route.latency_target_ms, route.timeout_ms
+    );
     Operation {
         name: name.as_str().into(),
         repeat: repeat(route.kind),
-        latency_objective: Duration::from_millis(route.aim_ms),
+        latency_objective: Duration::from_millis(route.latency_target_ms),
         integration_timeout: Duration::from_millis(route.timeout_ms),
         billed_value: 1.0,
-        late_value: LATE,
+        late_value: LATE_VALUE,
         streamed: false,
     }
 }
 
-fn settings(gateways: u32, attempts: u32, connect_timeout: Duration, plans: Vec<Plan>) -> Settings {
+fn module_settings(
+    gateways: u32,
+    max_attempts: u32,
+    connect_timeout: Duration,
+    plans: Vec<Plan>,
+) -> Settings {
     let in_force = InForce {
         operations: vec![],
         plans: (0..plans.len()).map(PlanId).collect(),
     };
+    let limits = Limits {
+        cancel: true,
+        parallel: false,
+        probes: false,
+        tell: false,
+        retry_after: Some(MAX_RETRY_AFTER),
+        tries: max_attempts,
+        open: usize::MAX,
+        connect_timeout,
+    };
     Settings {
         gateways,
         tick: TICK,
         plans,
         in_force,
-        limits: Limits {
-            cancel: true,
-            parallel: false,
-            probes: false,
-            tell: false,
-            retry_after: Some(RETRY_AFTER),
-            tries: attempts,
-            open: usize::MAX,
-            connect_timeout,
-        },
+        limits,
         counter: Some(Counter {
-            timeout: COUNT,
+            timeout: COUNT_TIMEOUT,
             price: 0.0,
         }),
         most_units: 1.0,
--- a/crates/proxy/src/freshness.rs
+++ b/crates/proxy/src/freshness.rs
@@ -1,29 +1,31 @@
-//! Whether a proxy that has just started may serve with what the registries have told it. Free of I/O.
+//! Whether a proxy that has just started may serve with what the registries have sent it. Free of I/O.
 //!
-//! A registry that is out of contact with a majority of the voters may give an old configuration and an old list of backends. A proxy that
-//! has served goes on with what it has, merged by version. A fresh one waits for a registry in contact that has nothing
-//! beyond what it was given; only where none is found in [`FALLBACK_AFTER`] it serves with what there is.
+//! A registry that is out of contact with a majority of the voters may send an old configuration and an old list of
+//! backends. A proxy that has served goes on with what it has, merged by version. A fresh one waits for a registry in
+//! contact that has nothing beyond what it was sent; only where none is found in [`FALLBACK_AFTER`] it serves with what
+//! there is.
 //!
-//! How the rules hold then: each route, key and home that it follows was in force once (ROUTE, HOME); the quotas are
-//! shared among [`crate::quota::UNTOLD`] proxies at least, whatever the registry has met (QUOTA); requests name the
-//! backend's life, so an address used again runs nothing; and a machine whose only registries are cut off from most of the core is
-//! not in touch (CONFIG, EVAC, DRAIN). Once a registry in contact is met, its newer items prevail, and nothing goes back.
+//! How the rules hold then: each route, key and home region that it follows was in force once (ROUTE, HOME); the quotas
+//! are shared among [`crate::quota::ASSUMED_PROXIES`] proxies at least, whatever the registry has met (QUOTA); requests
+//! name the backend's start, so an address used again runs nothing; and a machine whose only registries are cut off from
+//! most of the core is not in touch (CONFIG, EVAC, DRAIN). Once a registry in contact is met, its newer items prevail, and
+//! nothing goes back.
 
 use std::time::Duration;
 
-/// So long a proxy with something to serve looks for a registry in contact.
+/// A proxy that could serve looks for a registry in contact for this long.
 pub const FALLBACK_AFTER: Duration = Duration::from_millis(2500);
 
-/// By what a proxy began to serve.
+/// What a proxy begins to serve with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Basis {
-    /// As told by a registry in contact.
+    /// What a registry in contact had.
     Current,
-    /// By registries out of contact alone.
+    /// What registries out of contact had.
     PossiblyOld,
 }
 
-/// What has been heard of the registries.
+/// What is known of the registries' state.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Freshness {
     has_current_items: bool,
@@ -33,18 +35,18 @@
 }
 
 impl Freshness {
-    /// A registry told of itself: whether it is in contact, and whether the proxy has all of its items and its list.
+    /// Takes a registry's heartbeat: whether it is in contact, and whether the proxy has all of its items and its list.
     pub fn observe(&mut self, in_contact: bool, has_its_items: bool, has_its_list: bool) {
         self.has_current_items |= in_contact && has_its_items;
         self.has_current_list |= in_contact && has_its_list;
     }
 
-    /// Whether a registry in contact had nothing beyond what the proxy was given.
+    /// Whether a registry in contact had nothing beyond what the proxy was sent.
     pub fn is_current(&self) -> bool {
         self.has_current_items && self.has_current_list
     }
 
-    /// Whether to begin to serve, and by what; `is_complete`: there are routes and backends.
+    /// Whether to begin to serve, and with what; `is_complete`: there are routes and backends.
     pub fn may_serve(&mut self, is_complete: bool, now: Duration) -> Option<Basis> {
         if !is_complete {
             return None;
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,7 +1,18 @@
-//! The proxy. Free of I/O: what a request's route and tenant are (`routing_table`), the shared count as seen from here
-//! (`quota`), the budget of repeats (`retry_budget`), cold backends (`slow_start`), the list as the module takes it (`backend_pool`).
-//! `protocol` is what clients and backends speak, `dispatch` feeds the decision module, `control_client` holds the links to
-//! the registries, `config_transfer` catches up with them, and `freshness` tells whether what they told may be served by.
+//! The proxy: it takes clients' requests, has the decision module choose what becomes of each, and forwards them to
+//! backends. What it decides by, it gets from the registries. It is not for reading the platform's list or storing the
+//! configuration.
+//!
+//! In reading order:
+//!
+//! - free of I/O: [`routing_table`] (a request's route and tenant), [`quota`] (the shared counts as seen from here),
+//!   [`retry_budget`], [`slow_start`], [`load_reports`], [`backend_pool`] (the backends as the module takes them),
+//!   [`coordinator`], [`config_transfer`], [`freshness`] (whether what the registries sent may be served with),
+//!   [`shutdown`], [`unserved`] (the account of what was not served)
+//! - [`protocol`]: what clients and backends speak; [`dispatch`]: the decision modules
+//! - [`control_client`]: the connections to the registries; [`mirroring`]: mirrored requests
+//! - [`process`]: one proxy process, from start to exit
+
+#![warn(missing_docs)]
 
 pub mod backend_pool;
 pub mod config_transfer;
@@ -11,10 +22,11 @@
 pub mod freshness;
 pub mod load_reports;
 pub mod mirroring;
+pub mod process;
 pub mod protocol;
 pub mod quota;
 pub mod retry_budget;
 pub mod routing_table;
+pub mod shutdown;
 pub mod slow_start;
-pub mod stop;
 pub mod unserved;
--- a/crates/proxy/src/load_reports.rs
+++ b/crates/proxy/src/load_reports.rs
@@ -1,216 +1,191 @@
-//! Load summaries at this proxy, free of I/O: deliveries are seen here, datagrams come and go, and what is known of each
+//! Load reports at this proxy, free of I/O: attempts are observed here, datagrams come and go, and what is known of each
 //! backend becomes a factor on the weight by which the decision module knows it.
 
 use std::collections::{BTreeMap, HashMap};
-use std::fmt::Write;
 use std::time::Duration;
 
 use damsonbeam::interface::{Outcome, TgtId};
-use damsonbeam_control::messages::{Ip, Server};
+use damsonbeam_control::address::Ip;
+use damsonbeam_control::messages::Backend;
 use damsonbeam_load_reports::gossip::Gossip;
 use damsonbeam_load_reports::observation::{BackendKey, DeliveryEnd, backend_key};
 use damsonbeam_load_reports::weight::{BackendLoad, WeightFactors};
 
-/// Between two looks at what is told: two rounds of gossip.
-const LOOK: Duration = Duration::from_millis(400);
+/// Between two updates of the factors: two rounds of gossip.
+const UPDATE_INTERVAL: Duration = Duration::from_millis(400);
 
+/// A backend of a service.
+#[derive(Clone, Debug)]
+struct ReportedBackend {
+    id: String,
+    slots: f64,
+}
+
+type ServiceBackends = HashMap<BackendKey, ReportedBackend>;
+
+/// What proxies report to each other of the backends.
 #[derive(Debug)]
 pub struct LoadReports {
-    pub gossip: Gossip<Ip>,
+    gossip: Gossip<Ip>,
     keys: HashMap<TgtId, BackendKey>,
-    /// By service: the backends' keys, names and slots.
-    services: BTreeMap<String, HashMap<BackendKey, (String, f64)>>,
+    services: BTreeMap<String, ServiceBackends>,
     factors: BTreeMap<String, WeightFactors>,
-    looked: Duration,
+    last_update: Duration,
 }
 
 impl LoadReports {
-    pub fn new(life: u64, seed: u64) -> Self {
+    /// Reports of a proxy that has just started; its incarnation names it, `seed` chooses among its partners.
+    pub fn new(incarnation: u64, seed: u64) -> Self {
         LoadReports {
-            gossip: Gossip::new(life as u32, seed),
+            gossip: Gossip::new(incarnation as u32, seed),
             keys: HashMap::new(),
             services: BTreeMap::new(),
             factors: BTreeMap::new(),
-            looked: Duration::ZERO,
+            last_update: Duration::ZERO,
         }
     }
 
-    /// A new list: what is known of backends that are gone goes.
-    pub fn take(&mut self, servers: &[Server], ids: &HashMap<String, TgtId>) {
+    /// Sets the proxies that reports go to: some of this region, some of others.
+    pub fn set_partners(&mut self, near: Vec<Ip>, far: Vec<Ip>) {
+        self.gossip.near = near;
+        self.gossip.far = far;
+    }
+
+    /// Takes a new list of backends: what is known of others is forgotten.
+    pub fn update_backends(&mut self, backends: &[Backend], ids: &HashMap<String, TgtId>) {
         self.keys = ids
             .iter()
-            .map(|(id, tgt)| (*tgt, backend_key(id)))
+            .map(|(id, number)| (*number, backend_key(id)))
             .collect();
         self.services.clear();
-        for s in servers {
-            let row = (s.id.clone(), f64::from(s.slots));
-            self.services
-                .entry(s.service.clone())
-                .or_default()
-                .insert(backend_key(&s.id), row);
+        for backend in backends {
+            let reported = ReportedBackend {
+                id: backend.id.clone(),
+                slots: f64::from(backend.slots),
+            };
+            let service = self.services.entry(backend.service.clone()).or_default();
+            service.insert(backend_key(&backend.id), reported);
         }
-        self.factors
-            .retain(|service, _| self.services.contains_key(service));
         let services = &self.services;
-        self.gossip
-            .table
-            .retain(&|m| services.values().any(|s| s.contains_key(&m)));
+        self.factors
+            .retain(|service, _| services.contains_key(service));
+        self.gossip.table.retain(&|key| is_known(services, key));
     }
 
-    pub fn sent(&mut self, tgt: TgtId, now: Duration) {
-        if let Some(m) = self.keys.get(&tgt) {
-            self.gossip.observer.begin(*m, now);
+    /// An attempt was sent to a backend.
+    pub fn attempt_sent(&mut self, backend: TgtId, now: Duration) {
+        if let Some(key) = self.keys.get(&backend) {
+            self.gossip.observer.begin(*key, now);
         }
     }
 
-    pub fn ended(&mut self, tgt: TgtId, outcome: Outcome, took: Duration, now: Duration) {
+    /// An attempt at a backend has ended.
+    pub fn attempt_ended(
+        &mut self,
+        backend: TgtId,
+        outcome: Outcome,
+        took: Duration,
+        now: Duration,
+    ) {
         let end = match outcome {
             Outcome::Ok => DeliveryEnd::Answered,
             Outcome::Full => DeliveryEnd::Full,
-            // What was called off here, or never sent, tells nothing.
+            // What was cancelled here, or never sent, shows nothing.
             Outcome::Canceled | Outcome::Ignored => DeliveryEnd::Cancelled,
             Outcome::Failed | Outcome::TimedOut | Outcome::ConnectFailed | Outcome::Reset => {
                 DeliveryEnd::Failed
             }
         };
-        if let Some(m) = self.keys.get(&tgt) {
-            self.gossip.observer.end(*m, end, took, now);
+        if let Some(key) = self.keys.get(&backend) {
+            self.gossip.observer.end(*key, end, took, now);
         }
     }
 
-    pub fn heard(&mut self, from: Ip, bytes: &[u8], now: Duration) {
+    /// Takes a datagram of another proxy.
+    pub fn receive(&mut self, from: Ip, bytes: &[u8], now: Duration) {
         let services = &self.services;
-        self.gossip.receive(
-            from,
-            bytes,
-            &|m| services.values().any(|s| s.contains_key(&m)),
-            now,
-        );
+        self.gossip
+            .receive(from, bytes, &|key| is_known(services, key), now);
+    }
+
+    /// Datagrams to be sent now, and to whom.
+    pub fn tick(&mut self, now: Duration) -> Vec<(Ip, Vec<u8>)> {
+        self.gossip.tick(now)
     }
 
-    fn load(&mut self, m: BackendKey, slots: f64, now: Duration) -> BackendLoad {
+    fn load(&mut self, key: BackendKey, slots: f64, now: Duration) -> BackendLoad {
         BackendLoad {
             slots,
-            own: self.gossip.observer.observe(m, now),
-            told: self.gossip.table.view(m, now),
+            own: self.gossip.observer.observe(key, now),
+            told: self.gossip.table.view(key, now),
         }
     }
 
-    /// What is told, looked at anew now and then; whether the modules have to hear of it.
-    pub fn look(&mut self, now: Duration) -> bool {
-        if now < self.looked + LOOK {
+    /// Updates the factors when it is time to; returns whether they have changed.
+    pub fn update_factors(&mut self, now: Duration) -> bool {
+        if now < self.last_update + UPDATE_INTERVAL {
             return false;
         }
-        self.looked = now;
+        self.last_update = now;
         let services = std::mem::take(&mut self.services);
-        let mut changed = false;
+        let mut has_changed = false;
         for (service, backends) in &services {
-            let all = backends
-                .iter()
-                .map(|(m, (_, slots))| (*m, self.load(*m, *slots, now)))
-                .collect();
-            changed |= self
-                .factors
-                .entry(service.clone())
-                .or_default()
-                .update(&all, now);
+            let mut loads = HashMap::with_capacity(backends.len());
+            for (key, backend) in backends {
+                loads.insert(*key, self.load(*key, backend.slots, now));
+            }
+            let factors = self.factors.entry(service.clone()).or_default();
+            has_changed |= factors.update(&loads, now);
         }
         self.services = services;
-        changed
+        has_changed
     }
 
+    /// The factor on a backend's weight.
     pub fn factor(&self, service: &str, id: &str) -> f64 {
-        self.factors
-            .get(service)
-            .map_or(1.0, |e| e.factor(backend_key(id)))
+        let factors = self.factors.get(service);
+        factors.map_or(1.0, |factors| factors.factor(backend_key(id)))
     }
 
-    /// As JSON, for staff: what is known of each backend, from how many, how old.
-    pub fn show(&mut self, now: Duration) -> String {
-        let mut out = String::from("{\"backends\":[");
+    /// As JSON, for operators: what is known of each backend, from how many proxies, how old.
+    pub fn to_json(&mut self, now: Duration) -> String {
         let services = std::mem::take(&mut self.services);
-        let mut comma = "";
+        let mut rows = Vec::new();
         for (service, backends) in &services {
-            let mut rows: Vec<_> = backends.iter().collect();
-            rows.sort_by(|a, b| a.1.0.cmp(&b.1.0));
-            for (m, (id, slots)) in rows {
-                let BackendLoad { own, told, .. } = self.load(*m, *slots, now);
-                write!(
-                    out,
-                    "{comma}\n{{\"id\":\"{id}\",\"service\":\"{service}\",\"own_out\":{},\"own_usual_ms\":{},\
-                     \"told_out\":{:.1},\"told_by\":{},\"oldest_ms\":{},\"weight_kept\":{:.2}}}",
-                    own.out,
-                    own.usual_ms,
-                    told.out,
-                    told.origins,
-                    told.oldest.as_millis(),
-                    self.factor(service, id)
-                )
-                .expect("written to a text");
-                comma = ",";
+            let mut backends: Vec<_> = backends.iter().collect();
+            backends.sort_by(|(_, a), (_, b)| a.id.cmp(&b.id));
+            for (key, backend) in backends {
+                rows.push(self.backend_to_json(service, *key, backend, now));
             }
         }
         self.services = services;
-        out + "]}\n"
+        format!("{{\"backends\":[{}]}}\n", rows.join(","))
     }
-}
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn server(n: u32) -> Server {
-        Server {
-            id: format!("i-{n}"),
-            service: "s".into(),
-            at: ([10, 0, 0, n as u8], 80),
-            zone: "a".into(),
-            slots: 2,
-            draining: false,
-            cold_ms: 0,
-        }
+    fn backend_to_json(
+        &mut self,
+        service: &str,
+        key: BackendKey,
+        backend: &ReportedBackend,
+        now: Duration,
+    ) -> String {
+        let BackendLoad { own, told, .. } = self.load(key, backend.slots, now);
+        let id = &backend.id;
+        format!(
+            "\n{{\"id\":\"{id}\",\"service\":\"{service}\",\"own_out\":{},\"own_usual_ms\":{},\
+             \"told_out\":{:.1},\"told_by\":{},\"oldest_ms\":{},\"weight_kept\":{:.2}}}",
+            own.out,
+            own.usual_ms,
+            told.out,
+            told.origins,
+            told.oldest.as_millis(),
+            self.factor(service, id)
+        )
     }
+}
 
-    #[test]
-    fn what_others_see_of_a_backend_takes_weight_and_a_new_list_forgets_it() {
-        let at = Duration::from_millis;
-        let servers: Vec<Server> = (0..4).map(server).collect();
-        let ids: HashMap<String, TgtId> = (0..4).map(|n| (format!("i-{n}"), TgtId(n))).collect();
-        let load_reports = |life| {
-            let mut c = LoadReports::new(life, life);
-            c.take(&servers, &ids);
-            c
-        };
-        let (mut a, mut b) = (load_reports(1), load_reports(2));
-        a.gossip.near = vec![[10, 1, 0, 2]];
-        // The first proxy waits for one backend and is answered by the others.
-        for n in 0..4 {
-            (0..3).for_each(|_| a.sent(TgtId(n), at(0)));
-            if n > 0 {
-                (0..3).for_each(|_| a.ended(TgtId(n), Outcome::Ok, at(50), at(50)));
-            }
-        }
-        for t in (1000..3000).step_by(100) {
-            a.gossip
-                .tick(at(t))
-                .into_iter()
-                .for_each(|(_, bytes)| b.heard([10, 1, 0, 1], &bytes, at(t + 1)));
-            b.look(at(t + 2));
-        }
-        assert!(
-            b.factor("s", "i-0") < 0.5 && b.factor("s", "i-1") == 1.0,
-            "{}",
-            b.show(at(3000))
-        );
-        assert!(
-            b.show(at(3000))
-                .contains("\"id\":\"i-0\",\"service\":\"s\",\"own_out\":0"),
-            "{}",
-            b.show(at(3000))
-        );
-        b.take(&servers[1..], &ids);
-        assert!(!b.show(at(3000)).contains("i-0"));
-        b.look(at(4000));
-        assert_eq!(b.factor("s", "i-0"), 1.0, "its name is nobody's now");
-    }
+fn is_known(services: &BTreeMap<String, ServiceBackends>, key: BackendKey) -> bool {
+    services
+        .values()
+        .any(|backends| backends.contains_key(&key))
 }
--- a/crates/proxy/src/mirroring.rs
+++ b/crates/proxy/src/mirroring.rs
@@ -1,5 +1,6 @@
-//! The carrier of copies: what `damsonbeam-mirror` chose goes to its trial service on connections of its own. A copy begins
-//! when the real request is taken, from what is already here; nothing of the real path waits for it, or hears of it.
+//! Sends mirrored requests: what `damsonbeam-mirror` selects goes to its trial service on connections of its own. A
+//! mirrored request begins when the real one is taken, from what is already here; nothing of the real path waits for it,
+//! or hears of it.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -7,7 +8,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use damsonbeam_control::mirror_rules::Rule;
+use damsonbeam_control::config::{MirrorRule, RouteKind};
 use damsonbeam_gateway::bodies::{Given, Load};
 use damsonbeam_gateway::clock::Clock;
 use damsonbeam_gateway::mail::Ask;
@@ -26,311 +27,347 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-use crate::routing_table::Homes;
+use crate::routing_table::HomeRegions;
 
 /// Idle connections kept to an instance.
-const IDLE: usize = 4;
-/// A connection that does not come up by then does not.
-const CONNECT: Duration = Duration::from_millis(500);
-static ID: HeaderName = HeaderName::from_static("x-request-id");
-static OF: HeaderName = HeaderName::from_static("x-copy-of");
-static RULE: HeaderName = HeaderName::from_static("x-copy-rule");
-static INSTANCE: HeaderName = HeaderName::from_static("x-target-instance");
-static DEADLINE: HeaderName = HeaderName::from_static("x-deadline-ms");
-
-/// By which rule a request is copied, and whose it is.
+const MAX_IDLE_CONNECTIONS: usize = 4;
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+static REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
+static COPY_OF: HeaderName = HeaderName::from_static("x-copy-of");
+static COPY_RULE: HeaderName = HeaderName::from_static("x-copy-rule");
+static TARGET_INSTANCE: HeaderName = HeaderName::from_static("x-target-instance");
+static DEADLINE_MS: HeaderName = HeaderName::from_static("x-deadline-ms");
+
+/// Name and version of a rule.
+#[derive(Clone, Debug, PartialEq, Eq)]
+struct RuleVersion {
+    name: String,
+    version: u64,
+}
+
+impl RuleVersion {
+    fn of(rule: &MirrorRule) -> Self {
+        RuleVersion {
+            name: rule.name.clone(),
+            version: rule.version,
+        }
+    }
+
+    fn key(&self) -> (&str, u64) {
+        (&self.name, self.version)
+    }
+}
+
+/// A rule by which a request is mirrored, and whose request it is.
 #[derive(Clone, Debug)]
-pub struct Chosen {
-    rule: Rc<Rule>,
+pub struct Selected {
+    rule: Rc<MirrorRule>,
     caller: Caller,
 }
 
 /// The two answers as they come.
 #[derive(Debug, Default)]
-struct Pair {
+struct AnswerPair {
     real: Option<Answer>,
     trial: Option<Answer>,
     /// Nothing more comes of the real one.
-    over: bool,
+    is_real_over: bool,
 }
 
+type SharedPair = Rc<RefCell<AnswerPair>>;
+
 /// Held with the real request until its answer.
-pub struct Ticket {
-    pair: Rc<RefCell<Pair>>,
-    rule: (String, u64),
+pub struct MirrorTicket {
+    pair: SharedPair,
+    rule: RuleVersion,
     began: Duration,
-    copies: Shared,
+    mirror: SharedMirror,
 }
 
-impl Ticket {
+impl MirrorTicket {
     /// The real answer, as it goes to the client.
-    pub fn real(&self, answer: &Response<Given>, now: Duration) {
-        let body = if let Given::Whole(Some(bytes)) = answer.body() {
-            Some(digest(bytes))
-        } else {
-            None
+    pub fn answered(&self, answer: &Response<Given>, now: Duration) {
+        let body = match answer.body() {
+            Given::Whole(Some(bytes)) => Some(digest(bytes)),
+            _ => None,
         };
-        let took = now.saturating_sub(self.began);
         self.pair.borrow_mut().real = Some(Answer {
             status: answer.status().as_u16(),
             digest: body,
-            took,
+            took: now.saturating_sub(self.began),
         });
     }
 }
 
-impl Drop for Ticket {
+impl Drop for MirrorTicket {
     fn drop(&mut self) {
-        self.pair.borrow_mut().over = true;
-        self.copies.settle(&self.rule, &self.pair);
+        self.pair.borrow_mut().is_real_over = true;
+        self.mirror.count_pair(&self.rule, &self.pair);
     }
 }
 
+/// What decides on mirrored requests, and what came of them.
 #[derive(Debug, Default)]
-struct Inner {
+struct MirrorState {
     active_rules: ActiveRules,
     budget: Budget,
     sessions: Sessions,
 }
 
-pub struct Copies {
-    inner: RefCell<Inner>,
-    links: RefCell<HashMap<SocketAddr, Vec<SendRequest<Full<Bytes>>>>>,
+type Connection = SendRequest<Full<Bytes>>;
+
+/// The mirrored requests of this proxy.
+pub struct Mirror {
+    state: RefCell<MirrorState>,
+    idle: RefCell<HashMap<SocketAddr, Vec<Connection>>>,
     clock: Clock,
     /// The common time less this process's, in seconds.
-    ahead: Rc<Cell<f64>>,
-    pub proxies: Cell<u32>,
-    on: Cell<bool>,
+    time_offset_s: Rc<Cell<f64>>,
+    proxies: Cell<u32>,
+    has_rules: Cell<bool>,
 }
 
-pub type Shared = Rc<Copies>;
+/// The mirror as the tasks of the one thread share it.
+pub type SharedMirror = Rc<Mirror>;
+
+/// A mirrored request on its way to an instance.
+struct Outgoing {
+    address: SocketAddr,
+    /// `None`: it can't be written as a request.
+    request: Option<Request<Full<Bytes>>>,
+    body_bytes: usize,
+    rule: RuleVersion,
+    caller: Caller,
+    pair: SharedPair,
+    began: Duration,
+}
 
-impl Copies {
-    pub fn new(clock: Clock, ahead: Rc<Cell<f64>>) -> Shared {
-        Rc::new(Copies {
-            inner: RefCell::default(),
-            links: RefCell::default(),
+impl Mirror {
+    /// A mirror without rules.
+    pub fn new(clock: Clock, time_offset_s: Rc<Cell<f64>>) -> SharedMirror {
+        Rc::new(Mirror {
+            state: RefCell::default(),
+            idle: RefCell::default(),
             clock,
-            ahead,
+            time_offset_s,
             proxies: Cell::new(1),
-            on: Cell::new(false),
+            has_rules: Cell::new(false),
         })
     }
 
     fn common_ms(&self) -> u64 {
-        ((self.clock.now().as_secs_f64() + self.ahead.get()) * 1000.0).max(0.0) as u64
+        let common_s = self.clock.now().as_secs_f64() + self.time_offset_s.get();
+        (common_s * 1000.0).max(0.0) as u64
     }
 
-    pub fn follow(&self, rules: Vec<Rule>) {
-        let rules_in_force = &mut self.inner.borrow_mut().active_rules;
-        rules_in_force.update(rules, self.common_ms());
-        self.on.set(!rules_in_force.is_empty());
+    /// Sets the number of proxies that share the rules' budgets.
+    pub fn set_proxies(&self, proxies: u32) {
+        self.proxies.set(proxies);
     }
 
-    /// A timer fired so much late.
-    pub fn late(&self, by: Duration) {
-        if self.on.get() {
-            self.inner
-                .borrow_mut()
-                .budget
-                .timer_fired(by, self.clock.now());
+    /// Takes the rules of a new configuration.
+    pub fn update_rules(&self, rules: Vec<MirrorRule>) {
+        let active_rules = &mut self.state.borrow_mut().active_rules;
+        active_rules.update(rules, self.common_ms());
+        self.has_rules.set(!active_rules.is_empty());
+    }
+
+    /// A timer fired this late: nothing is mirrored while the proxy itself has too much to do.
+    pub fn timer_fired(&self, late_by: Duration) {
+        if self.has_rules.get() {
+            let now = self.clock.now();
+            self.state.borrow_mut().budget.timer_fired(late_by, now);
         }
     }
 
-    pub fn show(&self) -> String {
-        self.inner.borrow().sessions.show()
+    /// What came of mirrored requests, as JSON.
+    pub fn to_json(&self) -> String {
+        self.state.borrow().sessions.show()
     }
 
-    /// By which rules a request to a service is to be copied. The key is hashed and goes no further.
-    pub fn choose(
-        &self,
-        service: &str,
-        kind: damsonbeam_control::items::RouteKind,
-        tenant: &str,
-        key: &str,
-    ) -> Vec<Chosen> {
-        if !self.on.get() {
+    /// The rules by which a request to a service is to be mirrored. The key is hashed and goes no further.
+    pub fn select(&self, service: &str, kind: RouteKind, tenant: &str, key: &str) -> Vec<Selected> {
+        if !self.has_rules.get() {
             return vec![];
         }
         let now = self.common_ms();
-        let mut inner = self.inner.borrow_mut();
-        let rules = inner
-            .active_rules
-            .rules_for(service, now)
-            .into_iter()
-            .filter(|r| r.kinds.contains(&kind));
-        let chosen = rules.filter_map(|r| {
-            let caller = caller(r, tenant, key);
-            is_chosen(r, caller).then(|| Chosen {
-                rule: Rc::new(r.clone()),
-                caller,
-            })
+        let mut state = self.state.borrow_mut();
+        let rules = state.active_rules.rules_for(service, now).into_iter();
+        let rules = rules.filter(|rule| rule.route_kinds.contains(&kind));
+        let selected = rules.filter_map(|rule| {
+            let caller = caller(rule, tenant, key);
+            let rule = is_chosen(rule, caller).then(|| Rc::new(rule.clone()))?;
+            Some(Selected { rule, caller })
         });
-        chosen.collect()
+        selected.collect()
     }
 
-    /// The real request is taken: its copies go, or are dropped, here and now.
-    pub fn take(
-        self: &Shared,
-        chosen: Vec<Chosen>,
+    /// The real request is taken: its mirrored ones are sent, or dropped, here and now.
+    pub fn send_all(
+        self: &Rc<Self>,
+        selected: Vec<Selected>,
         ask: &Ask,
-        homes: &Homes,
+        homes: &HomeRegions,
         is_real: &dyn Fn(SocketAddr) -> bool,
-    ) -> Vec<Ticket> {
-        let now = self.clock.now();
+    ) -> Vec<MirrorTicket> {
         let mut tickets = Vec::new();
-        for Chosen { rule, caller } in chosen {
-            let name = (rule.name.clone(), rule.version);
-            let sent = || {
-                let Load::Whole(body) = &ask.body else {
-                    return Err(DropReason::Body);
-                };
-                let may = |region: &str| homes.as_ref().is_none_or(|h| h.contains(region));
-                let (to, at) = instance(&rule, caller, &may, is_real).ok_or(DropReason::Nowhere)?;
-                self.inner
-                    .borrow_mut()
-                    .budget
-                    .admit(&rule, body.len(), self.proxies.get(), now)?;
-                Ok((to.id.clone(), at, body.clone()))
-            };
-            let sent = sent();
-            let sessions = &mut self.inner.borrow_mut().sessions;
-            match sent {
-                Err(why) => sessions.dropped((&name.0, name.1), caller, why),
-                Ok((id, at, body)) => {
-                    sessions.copied((&name.0, name.1), caller);
-                    let pair = Rc::<RefCell<Pair>>::default();
-                    let size = body.len();
-                    let request = request(ask, body, &id, &name);
-                    let (copies, of, rule) = (self.clone(), pair.clone(), name.clone());
-                    tokio::task::spawn_local(async move {
-                        copies
-                            .send(at, (request, size), rule, caller, of, now)
-                            .await
-                    });
-                    tickets.push(Ticket {
-                        pair,
-                        rule: name,
-                        began: now,
-                        copies: self.clone(),
+        for Selected { rule, caller } in selected {
+            let version = RuleVersion::of(&rule);
+            match self.admit(&rule, caller, ask, homes, is_real) {
+                Ok(outgoing) => {
+                    let sessions = &mut self.state.borrow_mut().sessions;
+                    sessions.copied(version.key(), caller);
+                    tickets.push(MirrorTicket {
+                        pair: outgoing.pair.clone(),
+                        rule: version,
+                        began: outgoing.began,
+                        mirror: self.clone(),
                     });
+                    tokio::task::spawn_local(self.clone().send(outgoing));
+                }
+                Err(reason) => {
+                    let sessions = &mut self.state.borrow_mut().sessions;
+                    sessions.dropped(version.key(), caller, reason);
                 }
             }
         }
         tickets
     }
 
-    async fn send(
-        self: Shared,
-        at: SocketAddr,
-        (request, size): (Option<Request<Full<Bytes>>>, usize),
-        rule: (String, u64),
+    /// The mirrored request by one rule, if it may be sent.
+    fn admit(
+        &self,
+        rule: &MirrorRule,
         caller: Caller,
-        pair: Rc<RefCell<Pair>>,
-        began: Duration,
-    ) {
-        let answer = match request {
-            Some(request) => timeout(COPY_TIMEOUT, self.ask(at, request))
-                .await
-                .ok()
-                .flatten(),
+        ask: &Ask,
+        homes: &HomeRegions,
+        is_real: &dyn Fn(SocketAddr) -> bool,
+    ) -> Result<Outgoing, DropReason> {
+        let Load::Whole(body) = &ask.body else {
+            return Err(DropReason::Body);
+        };
+        let is_home = |region: &str| homes.as_ref().is_none_or(|homes| homes.contains(region));
+        let instance = instance(rule, caller, &is_home, is_real);
+        let (instance, address) = instance.ok_or(DropReason::Nowhere)?;
+        let now = self.clock.now();
+        let budget = &mut self.state.borrow_mut().budget;
+        budget.admit(rule, body.len(), self.proxies.get(), now)?;
+        let version = RuleVersion::of(rule);
+        Ok(Outgoing {
+            address,
+            request: mirrored_request(ask, body.clone(), &instance.id, &version),
+            body_bytes: body.len(),
+            rule: version,
+            caller,
+            pair: SharedPair::default(),
+            began: now,
+        })
+    }
+
+    async fn send(self: Rc<Self>, outgoing: Outgoing) {
+        let answer = match outgoing.request {
+            Some(request) => {
+                let answer = timeout(COPY_TIMEOUT, self.ask(outgoing.address, request)).await;
+                answer.ok().flatten()
+            }
             None => None,
         };
         {
-            let mut inner = self.inner.borrow_mut();
-            inner.budget.done(size);
+            let mut state = self.state.borrow_mut();
+            state.budget.done(outgoing.body_bytes);
             if answer.is_none() {
-                inner
+                let rule = outgoing.rule.key();
+                state
                     .sessions
-                    .dropped((&rule.0, rule.1), caller, DropReason::Unanswered);
+                    .dropped(rule, outgoing.caller, DropReason::Unanswered);
             }
         }
-        let took = self.clock.now().saturating_sub(began);
-        pair.borrow_mut().trial = answer.map(|(status, digest)| Answer {
+        let took = self.clock.now().saturating_sub(outgoing.began);
+        outgoing.pair.borrow_mut().trial = answer.map(|(status, digest)| Answer {
             status,
             digest,
             took,
         });
-        self.settle(&rule, &pair);
+        self.count_pair(&outgoing.rule, &outgoing.pair);
     }
 
-    /// Counts a pair once both are there, or once nothing more comes of the real one.
-    fn settle(&self, rule: &(String, u64), pair: &Rc<RefCell<Pair>>) {
+    /// Counts a pair of answers once both are there, or once nothing more comes of the real one.
+    fn count_pair(&self, rule: &RuleVersion, pair: &SharedPair) {
         let mut pair = pair.borrow_mut();
-        if pair.real.is_some() || pair.over {
-            let real = pair.real;
-            if let Some(trial) = pair.trial.take() {
-                self.inner
-                    .borrow_mut()
-                    .sessions
-                    .answered((&rule.0, rule.1), real, trial);
-            }
+        if pair.real.is_none() && !pair.is_real_over {
+            return;
+        }
+        let real = pair.real;
+        if let Some(trial) = pair.trial.take() {
+            self.state
+                .borrow_mut()
+                .sessions
+                .answered(rule.key(), real, trial);
         }
     }
 
-    /// Status, and the digest of a body that is not too large.
+    /// Status, and the digest of a body that is not too large; `None` where no answer came.
     async fn ask(
         &self,
-        at: SocketAddr,
+        address: SocketAddr,
         request: Request<Full<Bytes>>,
     ) -> Option<(u16, Option<u64>)> {
-        let known = self
-            .links
-            .borrow_mut()
-            .get_mut(&at)
-            .and_then(Vec::pop)
-            .filter(|l| !l.is_closed());
-        let mut link = match known {
-            Some(link) => link,
-            None => {
-                let stream = timeout(CONNECT, TcpStream::connect(at)).await.ok()?.ok()?;
-                stream.set_nodelay(true).ok();
-                let (link, conn) = handshake(TokioIo::new(stream)).await.ok()?;
-                tokio::task::spawn_local(async move { conn.await.ok() });
-                link
-            }
-        };
-        link.ready().await.ok()?;
-        let answer = link.send_request(request).await.ok()?;
+        let mut connection = self.connection(address).await?;
+        connection.ready().await.ok()?;
+        let answer = connection.send_request(request).await.ok()?;
         let status = answer.status().as_u16();
         // Of an answer without end no more is read than is compared; its connection ends with it.
-        let Ok(body) = Limited::new(answer.into_body(), MAX_BODY_BYTES)
+        let body = Limited::new(answer.into_body(), MAX_BODY_BYTES)
             .collect()
-            .await
-        else {
+            .await;
+        let Ok(body) = body else {
             return Some((status, None));
         };
         let digest = digest(&body.to_bytes());
-        let mut links = self.links.borrow_mut();
-        let idle = links.entry(at).or_default();
-        if idle.len() < IDLE {
-            idle.push(link);
+        let mut idle = self.idle.borrow_mut();
+        let idle = idle.entry(address).or_default();
+        if idle.len() < MAX_IDLE_CONNECTIONS {
+            idle.push(connection);
         }
         Some((status, Some(digest)))
     }
+
+    /// An idle connection, or a new one.
+    async fn connection(&self, address: SocketAddr) -> Option<Connection> {
+        let idle = self.idle.borrow_mut().get_mut(&address).and_then(Vec::pop);
+        if let Some(connection) = idle.filter(|connection| !connection.is_closed()) {
+            return Some(connection);
+        }
+        let connected = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
+        let stream = connected.ok()?.ok()?;
+        stream.set_nodelay(true).ok();
+        let (connection, driver) = handshake(TokioIo::new(stream)).await.ok()?;
+        tokio::task::spawn_local(async move { driver.await.ok() });
+        Some(connection)
+    }
 }
 
-/// The copy: the same but for its name, which is its own, and the marks by which everybody can tell it.
-fn request(
+/// The mirrored request: the same but for its id, which is its own, and the headers by which everybody can recognise it.
+fn mirrored_request(
     ask: &Ask,
     body: Bytes,
     instance: &str,
-    rule: &(String, u64),
+    rule: &RuleVersion,
 ) -> Option<Request<Full<Bytes>>> {
     let value = |text: &str| HeaderValue::from_str(text).ok();
     let mut request = Request::new(Full::new(body));
-    (*request.method_mut(), *request.uri_mut()) = (ask.method.clone(), ask.uri.clone());
+    *request.method_mut() = ask.method.clone();
+    *request.uri_mut() = ask.uri.clone();
     let mut headers = ask.headers.clone();
-    if let Some(of) = headers.insert(
-        &ID,
-        value(&format!("copy-{:016x}", rand::rng().random::<u64>()))?,
-    ) {
-        headers.insert(&OF, of);
+    let id = format!("copy-{:016x}", rand::rng().random::<u64>());
+    if let Some(real_id) = headers.insert(&REQUEST_ID, value(&id)?) {
+        headers.insert(&COPY_OF, real_id);
     }
-    headers.insert(&RULE, value(&format!("{} r{}", rule.0, rule.1))?);
-    headers.insert(&INSTANCE, value(instance)?);
+    let rule = format!("{} r{}", rule.name, rule.version);
+    headers.insert(&COPY_RULE, value(&rule)?);
+    headers.insert(&TARGET_INSTANCE, value(instance)?);
     headers.insert(
-        &DEADLINE,
+        &DEADLINE_MS,
         HeaderValue::from(COPY_TIMEOUT.as_millis() as u64),
     );
     *request.headers_mut() = headers;
--- a/crates/proxy/src/protocol.rs
+++ b/crates/proxy/src/protocol.rs
@@ -7,7 +7,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use damsonbeam::interface::{CustomerId, GatewayId, InvId, Invocation, PlanId, Why};
+use damsonbeam::interface::{CustomerId, GatewayId, InvId, Invocation, Why};
+use damsonbeam_control::config::{Route, Tenant};
 use damsonbeam_gateway::attempts::{Refusal, Repeatable, Verdict};
 use damsonbeam_gateway::backends::{BackendProtocol, end_to_end};
 use damsonbeam_gateway::bodies::Given;
@@ -22,258 +23,313 @@
 use hyper::{Response, StatusCode, Uri};
 use rand::Rng;
 
-use crate::dispatch::{Dispatchers, repeat};
-use crate::mirroring::{self, Chosen, Ticket};
-use crate::routing_table::{RoutingTable, Stop};
+use crate::dispatch::{DispatchTarget, Dispatchers, NO_PLAN, repeat};
+use crate::mirroring::{MirrorTicket, Selected, SharedMirror};
+use crate::routing_table::{RouteMatch, RoutingError, RoutingTable};
 use crate::unserved::{Cause, Subject, UnservedLog};
 
-static ID: HeaderName = HeaderName::from_static("x-request-id");
-static DEADLINE: HeaderName = HeaderName::from_static("x-deadline-ms");
-static SEAL: HeaderName = HeaderName::from_static("x-response-seal");
-static TENANT: HeaderName = HeaderName::from_static("x-tenant-name");
-static INSTANCE: HeaderName = HeaderName::from_static("x-target-instance");
-static NOT_RUN: HeaderName = HeaderName::from_static("x-not-executed");
+static REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
+static DEADLINE_MS: HeaderName = HeaderName::from_static("x-deadline-ms");
+static RESPONSE_SEAL: HeaderName = HeaderName::from_static("x-response-seal");
+static TENANT_NAME: HeaderName = HeaderName::from_static("x-tenant-name");
+static TARGET_INSTANCE: HeaderName = HeaderName::from_static("x-target-instance");
+static NOT_EXECUTED: HeaderName = HeaderName::from_static("x-not-executed");
 static KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 /// Bytes of a request's id at most.
-const ID_MOST: usize = 128;
-/// A client that says it waits longer is not believed.
-const WAIT: u64 = 24 * 3_600_000;
+const MAX_ID_BYTES: usize = 128;
+/// A client that says it waits longer than a day is not believed.
+const MAX_DEADLINE_MS: u64 = 24 * 3_600_000;
+/// When to come back, where no configuration is known yet.
+const RETRY_UNCONFIGURED: Duration = Duration::from_millis(500);
+/// When to come back, where no backend may serve the request.
+const RETRY_NOWHERE: Duration = Duration::from_secs(1);
 
-/// Towards clients.
+/// The protocol towards clients.
 pub struct Requests {
+    /// The decision modules.
     pub dispatchers: Rc<RefCell<Dispatchers>>,
+    /// The configuration in force.
     pub routing_table: Rc<RefCell<Rc<RoutingTable>>>,
-    /// Seconds for which an idle connection is kept, told to clients.
+    /// Seconds for which an idle connection is kept, told to clients; 0: not told.
     pub idle_s: Rc<Cell<u64>>,
+    /// The account of requests that are not served.
     pub unserved: Rc<RefCell<UnservedLog>>,
-    pub copies: mirroring::Shared,
+    /// Mirrored requests.
+    pub mirror: SharedMirror,
+    /// The modules' clock.
     pub clock: Clock,
 }
 
 /// What is kept of a request until its answer.
 #[derive(Default)]
-struct Kept {
+struct RequestContext {
     subject: Subject,
-    /// By which rules it is to be copied, until it is taken; the copies, from then on.
-    chosen: Vec<Chosen>,
-    tickets: Vec<Ticket>,
+    /// The rules by which it is to be mirrored, until it is taken.
+    selected: Vec<Selected>,
+    /// The mirrored requests, from then on.
+    tickets: Vec<MirrorTicket>,
+}
+
+/// What a request's head says.
+struct RequestHead<'a> {
+    id: &'a str,
+    host: &'a str,
+    key: Option<&'a str>,
+    deadline_ms: u64,
+}
+
+impl<'a> RequestHead<'a> {
+    /// `None` where the head breaks the protocol.
+    fn read(head: &'a Parts) -> Option<Self> {
+        let headers = &head.headers;
+        if head.uri.scheme().is_some() || head.uri.authority().is_some() {
+            return None;
+        }
+        let id = one(headers, REQUEST_ID.as_str())?;
+        if id.is_empty() || id.len() > MAX_ID_BYTES {
+            return None;
+        }
+        let host = one(headers, HOST.as_str())?;
+        let authorization = one(headers, AUTHORIZATION.as_str());
+        let deadline_ms = match headers.get(&DEADLINE_MS) {
+            Some(_) => one(headers, DEADLINE_MS.as_str())?.parse().ok()?,
+            None => MAX_DEADLINE_MS,
+        };
+        Some(RequestHead {
+            id,
+            host,
+            key: authorization.and_then(|value| value.strip_prefix("Bearer ")),
+            deadline_ms,
+        })
+    }
 }
 
 impl Requests {
-    fn note(&self, name: &str, cause: Cause, ran: bool, subject: &Subject) {
+    fn note_unserved(&self, id: &str, cause: Cause, may_have_run: bool, subject: &Subject) {
+        let now = self.clock.now();
         self.unserved
             .borrow_mut()
-            .note(name, cause, ran, subject, self.clock.now());
-        let ran = if ran {
+            .add(id, cause, may_have_run, subject, now);
+        let ran = if may_have_run {
             "it may have run"
         } else {
             "it has not run"
         };
-        log::debug!("request: {name} is not served ({}), {ran}.", cause.name());
-    }
-}
-
-impl ClientProtocol for Requests {
-    fn asks_up(&self, _: &Uri) -> bool {
-        false
+        log::debug!("request: {id} is not served ({}), {ran}.", cause.name());
     }
 
-    fn named(&self, _: &Uri) -> Option<Arc<str>> {
-        None
+    fn reject_unrouted(&self, id: &str, error: RoutingError) -> Rejection {
+        let (cause, status) = match error {
+            RoutingError::NoRoute => (Cause::NoRoute, StatusCode::NOT_FOUND),
+            RoutingError::NoTenant => (Cause::NoKey, StatusCode::UNAUTHORIZED),
+        };
+        self.note_unserved(id, cause, false, &Subject::default());
+        rejection(status)
     }
 
-    fn decode(&self, inv: InvId, head: &Parts) -> Result<Decoded, Rejection> {
-        let routing_table = self.routing_table.borrow().clone();
-        let headers = &head.headers;
-        let bad = || rejection(StatusCode::BAD_REQUEST);
-        if head.uri.scheme().is_some() || head.uri.authority().is_some() {
-            return Err(bad());
-        }
-        let name = one(headers, ID.as_str())
-            .filter(|n| !n.is_empty() && n.len() <= ID_MOST)
-            .ok_or_else(bad)?;
-        let host = one(headers, HOST.as_str()).ok_or_else(bad)?;
-        let key = one(headers, AUTHORIZATION.as_str()).and_then(|a| a.strip_prefix("Bearer "));
-        let left = match headers.get(&DEADLINE) {
-            Some(_) => one(headers, DEADLINE.as_str())
-                .and_then(|d| d.parse::<u64>().ok())
-                .ok_or_else(bad)?,
-            None => WAIT,
-        };
-        if routing_table.is_empty() {
-            // No configuration yet: whoever asks is told to come back, not that there is no such route.
-            return Err(Box::new(later(
-                StatusCode::SERVICE_UNAVAILABLE,
-                Some(Duration::from_millis(500)),
-            )));
-        }
-        let (route, tenant) = routing_table
-            .find(host, head.uri.path(), key.map(str::trim))
-            .map_err(|stop| {
-                let (cause, status) = match stop {
-                    Stop::NoRoute => (Cause::NoRoute, StatusCode::NOT_FOUND),
-                    Stop::NoKey => (Cause::NoKey, StatusCode::UNAUTHORIZED),
-                };
-                self.note(name, cause, false, &Subject::default());
-                rejection(status)
-            })?;
+    /// Hands a request that was read and routed to its module.
+    fn decode_routed(
+        &self,
+        inv: InvId,
+        head: &RequestHead,
+        headers: &HeaderMap,
+        route: &Rc<Route>,
+        tenant: Option<&Rc<Tenant>>,
+    ) -> Result<Decoded, Rejection> {
         let subject = Subject {
             route: Some(route.clone()),
             tenant: tenant.cloned(),
         };
-        let homes = RoutingTable::homes(route, tenant.map(|t| &**t));
-        let service = RoutingTable::service(route, rand::rng().random()).to_owned();
-        let whose = tenant.map_or("", |t| &t.name);
-        let chosen = self
-            .copies
-            .choose(&service, route.kind, whose, key.unwrap_or_default());
+        let tenant_name = tenant.map_or("", |tenant| &tenant.name);
+        let homes = RoutingTable::home_regions(route, tenant.map(|tenant| &**tenant));
+        let service = RoutingTable::choose_service(route, rand::rng().random()).to_owned();
+        let key = head.key.unwrap_or_default();
+        let selected = self.mirror.select(&service, route.kind, tenant_name, key);
         let mut dispatchers = self.dispatchers.borrow_mut();
-        let Some((to, op)) = dispatchers.dispatcher(route, service, &homes) else {
-            // Nowhere may it be served: homes that have nothing in common, or a service without backends.
-            self.note(name, Cause::Nowhere, false, &subject);
-            return Err(Box::new(later(
-                StatusCode::SERVICE_UNAVAILABLE,
-                Some(Duration::from_secs(1)),
-            )));
+        let Some(target) = dispatchers.dispatch(route, service, &homes) else {
+            // Home regions that have nothing in common, or a service without backends.
+            self.note_unserved(head.id, Cause::Nowhere, false, &subject);
+            return Err(retry_later(StatusCode::SERVICE_UNAVAILABLE, Some(RETRY_NOWHERE)).into());
         };
-        let plan = tenant.map_or(PlanId(usize::MAX), |t| dispatchers.plan(&t.name));
-        let customer = CustomerId(tenant.map_or("", |t| &t.name).into());
+        let DispatchTarget { module, operation } = target;
         let told = Invocation {
             inv,
-            op,
-            plan,
-            customer,
+            op: operation,
+            plan: tenant.map_or(NO_PLAN, |tenant| dispatchers.plan(&tenant.name)),
+            customer: CustomerId(tenant_name.into()),
             units: 1.0,
             first_gateway: GatewayId(0),
             spread: 1,
             ..Invocation::default()
         };
-        let mut out = headers.clone();
-        end_to_end(&mut out, "");
-        for name in [&AUTHORIZATION, &TENANT, &INSTANCE, &NOT_RUN] {
-            out.remove(name);
-        }
-        if let Some(value) = tenant.and_then(|t| HeaderValue::from_str(&t.name).ok()) {
-            out.insert(&TENANT, value);
-        }
-        let left = Duration::from_millis(left.min(route.timeout_ms));
-        let kept = Kept {
+        let context = RequestContext {
             subject,
-            chosen,
+            selected,
             tickets: vec![],
         };
-        let repeatable = Repeatable::by(repeat(route.kind));
-        let (name, about) = (name.to_owned(), Some(Box::new(kept) as Box<dyn Any>));
         Ok(Decoded {
             told,
-            repeatable,
-            name,
-            about,
-            left,
-            headers: out,
-            to,
+            repeatable: Repeatable::by(repeat(route.kind)),
+            name: head.id.to_owned(),
+            about: Some(Box::new(context) as Box<dyn Any>),
+            left: Duration::from_millis(head.deadline_ms.min(route.timeout_ms)),
+            headers: forwarded_headers(headers, tenant.map(|tenant| &**tenant)),
+            to: module,
         })
     }
+}
+
+/// The headers of a request that go on to its backend. The tenant is named by the proxy alone.
+fn forwarded_headers(headers: &HeaderMap, tenant: Option<&Tenant>) -> HeaderMap {
+    let mut forwarded = headers.clone();
+    end_to_end(&mut forwarded, "");
+    for name in [
+        &AUTHORIZATION,
+        &TENANT_NAME,
+        &TARGET_INSTANCE,
+        &NOT_EXECUTED,
+    ] {
+        forwarded.remove(name);
+    }
+    let tenant_name = tenant.and_then(|tenant| HeaderValue::from_str(&tenant.name).ok());
+    if let Some(tenant_name) = tenant_name {
+        forwarded.insert(&TENANT_NAME, tenant_name);
+    }
+    forwarded
+}
+
+fn context_of(about: &mut About) -> Option<&mut RequestContext> {
+    about.as_mut()?.downcast_mut()
+}
+
+impl ClientProtocol for Requests {
+    fn asks_up(&self, _: &Uri) -> bool {
+        false
+    }
+
+    fn named(&self, _: &Uri) -> Option<Arc<str>> {
+        None
+    }
+
+    fn decode(&self, inv: InvId, head: &Parts) -> Result<Decoded, Rejection> {
+        let table = self.routing_table.borrow().clone();
+        let request = RequestHead::read(head).ok_or_else(|| rejection(StatusCode::BAD_REQUEST))?;
+        if table.is_empty() {
+            // No configuration yet: the client is to come back, not to be told that there is no such route.
+            let status = StatusCode::SERVICE_UNAVAILABLE;
+            return Err(retry_later(status, Some(RETRY_UNCONFIGURED)).into());
+        }
+        let key = request.key.map(str::trim);
+        let RouteMatch { route, tenant } = table
+            .find(request.host, head.uri.path(), key)
+            .map_err(|error| self.reject_unrouted(request.id, error))?;
+        self.decode_routed(inv, &request, &head.headers, route, tenant)
+    }
 
     fn taken(&self, ask: &Ask, about: &mut About) {
-        let Some(kept) = about.as_mut().and_then(|a| a.downcast_mut::<Kept>()) else {
+        let Some(context) = context_of(about) else {
             return;
         };
-        if let Some(route) = kept
+        let route = context
             .subject
             .route
             .as_ref()
-            .filter(|_| !kept.chosen.is_empty())
-        {
-            let homes = RoutingTable::homes(route, kept.subject.tenant.as_deref());
-            let backend_pool = self.dispatchers.borrow().backend_pool.clone();
-            let is_real = |at| backend_pool.borrow().is_real(at);
-            kept.tickets =
-                self.copies
-                    .take(std::mem::take(&mut kept.chosen), ask, &homes, &is_real);
+            .filter(|_| !context.selected.is_empty());
+        if let Some(route) = route {
+            let homes = RoutingTable::home_regions(route, context.subject.tenant.as_deref());
+            let dispatchers = self.dispatchers.borrow();
+            let is_real = |address| dispatchers.is_real(address);
+            let selected = std::mem::take(&mut context.selected);
+            context.tickets = self.mirror.send_all(selected, ask, &homes, &is_real);
         }
     }
 
     fn encode(&self, name: &str, about: About, answer: Answer) -> ClientResponse {
-        let Kept {
+        let context = about.and_then(|about| about.downcast::<RequestContext>().ok());
+        let RequestContext {
             subject, tickets, ..
-        } = about
-            .and_then(|a| a.downcast::<Kept>().ok())
-            .map(|k| *k)
-            .unwrap_or_default();
+        } = context.map(|context| *context).unwrap_or_default();
         match &answer {
             Answer::Throttled { why, clean, .. } => {
-                self.note(name, Cause::away(*why), !clean, &subject)
+                self.note_unserved(name, Cause::rejected(*why), !clean, &subject);
             }
-            Answer::Errored => self.note(name, Cause::Failed, true, &subject),
+            Answer::Errored => self.note_unserved(name, Cause::Failed, true, &subject),
             Answer::Succeeded(_) => {}
         }
-        let mut out = match answer {
-            Answer::Succeeded(reply) => {
-                let mut answer = Response::new(reply.body);
-                *answer.status_mut() = reply.status;
-                *answer.headers_mut() = reply.headers;
-                answer
-            }
-            // A promise that it has not run and never will.
-            Answer::Throttled {
-                after,
-                why: Why::Quota | Why::Full,
-                clean: true,
-            } => later(StatusCode::TOO_MANY_REQUESTS, after),
-            Answer::Throttled {
-                after, clean: true, ..
-            } => later(StatusCode::SERVICE_UNAVAILABLE, after),
-            Answer::Throttled {
-                clean: false,
-                why: Why::Time,
-                ..
-            } => plain(StatusCode::GATEWAY_TIMEOUT),
-            Answer::Throttled { .. } | Answer::Errored => plain(StatusCode::BAD_GATEWAY),
-        };
-        tickets.iter().for_each(|t| t.real(&out, self.clock.now()));
-        let idle = self.idle_s.get();
-        if idle > 0
-            && let Ok(value) = HeaderValue::from_str(&format!("timeout={idle}"))
+        let mut response = response(answer);
+        let now = self.clock.now();
+        tickets
+            .iter()
+            .for_each(|ticket| ticket.answered(&response, now));
+        let idle_s = self.idle_s.get();
+        if idle_s > 0
+            && let Ok(value) = HeaderValue::from_str(&format!("timeout={idle_s}"))
         {
-            out.headers_mut().insert(&KEEP_ALIVE, value);
+            response.headers_mut().insert(&KEEP_ALIVE, value);
         }
-        out
+        response
     }
 }
 
-fn later(status: StatusCode, after: Option<Duration>) -> Response<Given> {
-    let mut answer = plain(status);
-    if let Some(value) =
-        after.and_then(|a| HeaderValue::from_str(&format!("{:.3}", a.as_secs_f64())).ok())
-    {
-        answer.headers_mut().insert(RETRY_AFTER, value);
+/// The response to a client. A status of 429 or 503 promises that the request has not run and never will.
+fn response(answer: Answer) -> ClientResponse {
+    match answer {
+        Answer::Succeeded(reply) => {
+            let mut response = Response::new(reply.body);
+            *response.status_mut() = reply.status;
+            *response.headers_mut() = reply.headers;
+            response
+        }
+        Answer::Throttled {
+            after,
+            why: Why::Quota | Why::Full,
+            clean: true,
+        } => retry_later(StatusCode::TOO_MANY_REQUESTS, after),
+        Answer::Throttled {
+            after, clean: true, ..
+        } => retry_later(StatusCode::SERVICE_UNAVAILABLE, after),
+        Answer::Throttled {
+            clean: false,
+            why: Why::Time,
+            ..
+        } => plain(StatusCode::GATEWAY_TIMEOUT),
+        Answer::Throttled { .. } | Answer::Errored => plain(StatusCode::BAD_GATEWAY),
     }
-    answer
 }
 
-/// Towards backends.
+fn retry_later(status: StatusCode, after: Option<Duration>) -> Response<Given> {
+    let mut response = plain(status);
+    let seconds = after.map(|after| format!("{:.3}", after.as_secs_f64()));
+    if let Some(value) = seconds.and_then(|seconds| HeaderValue::from_str(&seconds).ok()) {
+        response.headers_mut().insert(RETRY_AFTER, value);
+    }
+    response
+}
+
+/// The protocol towards backends.
 pub struct Backends;
 
 impl BackendProtocol for Backends {
     fn address(&self, headers: &mut HeaderMap, wait: Duration, backend: &str) {
-        headers.insert(&DEADLINE, HeaderValue::from(wait.as_millis() as u64));
+        headers.insert(&DEADLINE_MS, HeaderValue::from(wait.as_millis() as u64));
         if let Ok(id) = HeaderValue::from_str(backend) {
-            headers.insert(&INSTANCE, id);
+            headers.insert(&TARGET_INSTANCE, id);
         }
     }
 
     fn verdict(&self, asked: &HeaderMap, status: StatusCode, headers: &HeaderMap) -> Verdict {
-        match headers.get(&ID) {
+        match headers.get(&REQUEST_ID) {
             // An answer to another request, in the place where this one's is due.
-            Some(id) if Some(id) != asked.get(&ID) => Verdict::Misplaced,
+            Some(id) if Some(id) != asked.get(&REQUEST_ID) => Verdict::Misplaced,
             // Without an id it may be what is left of an earlier answer: it proves nothing.
             None => Verdict::Failed,
             Some(_) if status == StatusCode::MISDIRECTED_REQUEST => {
                 Verdict::Declined(Refusal::WrongBackend)
             }
-            Some(_) if headers.contains_key(&NOT_RUN) => Verdict::Declined(Refusal::Full),
-            Some(_) if status.is_success() && headers.contains_key(&SEAL) => Verdict::Succeeded,
+            Some(_) if headers.contains_key(&NOT_EXECUTED) => Verdict::Declined(Refusal::Full),
+            Some(_) if status.is_success() && headers.contains_key(&RESPONSE_SEAL) => {
+                Verdict::Succeeded
+            }
             Some(_) => Verdict::Failed,
         }
     }
@@ -282,22 +338,22 @@
         match verdict {
             Verdict::Succeeded => true,
             // A failure of the backend's own, in answer to this request.
-            Verdict::Failed => !status.is_success() && headers.contains_key(&ID),
+            Verdict::Failed => !status.is_success() && headers.contains_key(&REQUEST_ID),
             _ => false,
         }
     }
 
     fn strip(&self, headers: &mut HeaderMap) {
         end_to_end(headers, "");
-        headers.remove(&NOT_RUN);
+        headers.remove(&NOT_EXECUTED);
     }
 
     fn keep(&self, headers: &HeaderMap) -> Option<Duration> {
-        let said = headers.get(&KEEP_ALIVE)?.to_str().ok()?;
-        let fields: BTreeMap<&str, &str> = said
+        let value = headers.get(&KEEP_ALIVE)?.to_str().ok()?;
+        let fields = value
             .split(',')
-            .filter_map(|f| f.trim().split_once('='))
-            .collect();
+            .filter_map(|field| field.trim().split_once('='));
+        let fields: BTreeMap<&str, &str> = fields.collect();
         fields.get("timeout")?.parse().ok().map(Duration::from_secs)
     }
 }
--- /dev/null
+++ b/crates/proxy/src/quota/mod.rs
@@ -0,0 +1,462 @@
+//! The shared counts as seen from one proxy: what it added itself, what the coordinator reports of the others, and what
+//! the others may have added since.
+//!
+//! The decision module adds to a count and gets a total at once: waiting for the coordinator would take a round trip to
+//! another region, more than a refusal may take. What this proxy has admitted under a name goes to the coordinator every
+//! few milliseconds, as a whole and not as a difference: a report that comes twice changes nothing, and a new coordinator
+//! has everything as soon as each proxy has reported once.
+//!
+//! Between two reports of the coordinator the others are taken to go on as they did of late; near the quota, to use at
+//! least their shares of it. Proxies out of contact with the coordinator keep their shares: totals are scaled up by them.
+//! Where the coordinator does not answer, every other proxy is taken to use as much as this one, so each keeps to its
+//! share.
+
+mod rate;
+
+use std::collections::{BTreeMap, HashMap};
+use std::time::Duration;
+
+use damsonbeam_control::messages::{Heartbeat, NamedCount};
+use rand::rngs::SmallRng;
+use rand::{Rng, SeedableRng};
+
+use rate::RollingSum;
+
+/// The coordinator is silent once a report to it has had no answer for this long: several round trips.
+const COORDINATOR_TIMEOUT: Duration = Duration::from_millis(600);
+/// What the coordinator reports of the others is this old when it arrives: their reports' interval and way, and its own
+/// way here.
+const REPORT_AGE: Duration = Duration::from_millis(150);
+/// A tenant whose rate is above this part of its quota is near it: by what is known of the others, or by what is
+/// requested here if as much is requested everywhere, for a surge shows here before anybody reports it.
+const NEAR_QUOTA: f64 = 0.75;
+/// The part of the requests here that is taken to be requested at every other proxy: a small tenant's few requests come
+/// unevenly.
+const EVENNESS: f64 = 0.7;
+/// A tenant stays near its quota for this long: what the module refuses without a call is requested unseen here.
+const NEAR_QUOTA_TIME: Duration = Duration::from_millis(2000);
+/// A tenant of which a proxy's share is fewer units than this in the time until others hear of it is requested seldom
+/// here: what is admitted here shows nothing of what all admit.
+const SELDOM_UNITS: f64 = 3.0;
+/// The part of the quota that is admitted at random then: chance admits more now and then.
+const RANDOM_ADMISSION: f64 = 0.95;
+/// Added to a total so that no quota admits it.
+const OVER_ANY_QUOTA: f64 = 1e9;
+/// Units admitted here since the others were heard of, above which each of them is taken to have admitted as many.
+const SPARE_UNITS: f64 = 1.0;
+/// The common time is known this well, in seconds: round trips between regions differ by less.
+const TIME_JITTER_S: f64 = 0.06;
+/// The number of proxies taken as given before anybody reports one: a fresh proxy among others must not use the quota
+/// alone.
+pub const ASSUMED_PROXIES: u32 = 24;
+/// The highest number of proxies reported counts for this long.
+const MAX_PROXIES_VALID: Duration = Duration::from_secs(20);
+/// Between two reports of tenants that are not near their quotas.
+const CALM_INTERVAL: Duration = Duration::from_millis(150);
+/// Names are kept longer than any window.
+const RETENTION: Duration = Duration::from_secs(16);
+/// Between two searches for names to forget.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(4);
+
+/// Units admitted and requested under a name, as reported to the coordinator.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+struct Units {
+    admitted: f64,
+    requested: f64,
+}
+
+/// The count of a tenant in a time slot.
+#[derive(Debug, Default)]
+struct Count {
+    tenant: String,
+    /// At this proxy.
+    own: Units,
+    /// What the coordinator was last sent of it; `None`: nothing.
+    reported: Option<Units>,
+    /// At all others, as far as the coordinator has reported.
+    others: Units,
+    first_use: Duration,
+    last_use: Duration,
+    /// When the coordinator last reported.
+    last_totals: Option<Duration>,
+    /// When its slot ends, by the module's time; zero where it has none.
+    slot_end: Duration,
+    /// It was reported once more after the slot's end: its total is final.
+    has_final_report: bool,
+}
+
+impl Count {
+    /// Whether a last report after the slot's end is due.
+    fn needs_final_report(&self, now: Duration) -> bool {
+        let is_over = !self.slot_end.is_zero() && now >= self.slot_end + REPORT_AGE;
+        is_over && !self.has_final_report && self.own.admitted > 0.0
+    }
+}
+
+#[derive(Debug, Default)]
+struct Tenant {
+    /// Its quota in units a second; 0: none.
+    rate: f64,
+    /// The length of a slot in seconds; 0: it has none.
+    slot_s: f64,
+    /// Requested here.
+    requested: RollingSum,
+    /// Admitted here.
+    admitted: RollingSum,
+    /// Admitted by the others.
+    others: RollingSum,
+    /// Requested at the others.
+    others_requested: RollingSum,
+    near_quota_until: Duration,
+}
+
+/// The shared counts as seen from one proxy.
+#[derive(Debug)]
+pub struct QuotaCounter {
+    /// Proxies that share the quotas, and those of them in contact with the coordinator.
+    proxies: f64,
+    attached: f64,
+    /// The highest number of proxies reported of late, and when.
+    max_proxies: (u32, Duration),
+    is_connected: bool,
+    /// The highest term of a coordinator that is known.
+    term: u64,
+    /// The term of the coordinator that was connected last.
+    connected_term: u64,
+    /// Since when a report has had no answer.
+    unanswered_since: Option<Duration>,
+    counts: BTreeMap<String, Count>,
+    tenants: HashMap<String, Tenant>,
+    /// The common time less the module's, in seconds.
+    time_offset_s: f64,
+    last_sweep: Duration,
+    /// When everything was reported last.
+    last_calm_report: Option<Duration>,
+    random: SmallRng,
+}
+
+impl Default for QuotaCounter {
+    fn default() -> Self {
+        QuotaCounter::new(0)
+    }
+}
+
+/// Whether the number of proxies that a registry reports counts where no coordinator has reported one. A registry that is
+/// cut off has met few, and there may be many: its number counts only above the one that is assumed anyway.
+pub fn is_proxy_count_usable(heartbeat: &Heartbeat) -> bool {
+    let least = if heartbeat.in_contact {
+        0
+    } else {
+        ASSUMED_PROXIES
+    };
+    heartbeat.known_proxies > least
+}
+
+/// The slot and the tenant of a name.
+fn split_name(name: &str) -> Option<(u64, &str)> {
+    let (slot, tenant) = name.split_once('/')?;
+    Some((slot.parse().ok()?, tenant))
+}
+
+impl QuotaCounter {
+    /// Counts of a proxy that has just started. What is refused at random differs by the seed, and nothing else does.
+    pub fn new(seed: u64) -> Self {
+        QuotaCounter {
+            proxies: f64::from(ASSUMED_PROXIES),
+            attached: f64::from(ASSUMED_PROXIES),
+            max_proxies: (0, Duration::ZERO),
+            is_connected: false,
+            term: 0,
+            connected_term: 0,
+            unanswered_since: None,
+            counts: BTreeMap::new(),
+            tenants: HashMap::new(),
+            time_offset_s: 0.0,
+            last_sweep: Duration::ZERO,
+            last_calm_report: None,
+            random: SmallRng::seed_from_u64(seed),
+        }
+    }
+
+    /// Takes the number of proxies as the coordinator reports it. A coordinator that has just begun has not met all: the
+    /// highest number of late counts. Returns the number that the quotas are shared among.
+    pub fn set_proxies(&mut self, proxies: u32, attached: u32, now: Duration) -> u32 {
+        let (max, reported_at) = self.max_proxies;
+        if proxies >= max || max == 0 || now >= reported_at + MAX_PROXIES_VALID {
+            self.max_proxies = (proxies, now);
+        }
+        let proxies = self.max_proxies.0;
+        self.proxies = f64::from(proxies.max(1));
+        self.attached = f64::from(attached.clamp(1, proxies.max(1)));
+        proxies
+    }
+
+    /// The coordinator of a term is connected, or not. A new one must get everything.
+    pub fn set_coordinator(&mut self, term: u64, is_connected: bool) {
+        let is_new = term != self.connected_term;
+        self.connected_term = term;
+        self.term = self.term.max(term);
+        self.set_connected(is_connected, is_new);
+    }
+
+    /// The connection to the coordinator is lost.
+    pub fn disconnect(&mut self) {
+        self.set_connected(false, false);
+    }
+
+    fn set_connected(&mut self, is_connected: bool, is_new: bool) {
+        if is_new || is_connected != self.is_connected {
+            self.counts
+                .values_mut()
+                .for_each(|count| count.reported = None);
+            self.unanswered_since = None;
+            self.last_calm_report = None;
+        }
+        self.is_connected = is_connected;
+    }
+
+    /// Sets the common time less the module's, in seconds: slots are named by the common time. Small differences come
+    /// from the ways of messages: slots must not be renamed because of them.
+    pub fn set_time_offset(&mut self, offset_s: f64) {
+        if (offset_s - self.time_offset_s).abs() >= TIME_JITTER_S {
+            self.time_offset_s = offset_s;
+        }
+    }
+
+    /// Sets a tenant's quota in units a second, and the length of its slots in seconds.
+    pub fn set_rate(&mut self, tenant: &str, rate: f64, slot_s: f64) {
+        let tenant = self.tenants.entry(tenant.to_owned()).or_default();
+        tenant.rate = rate;
+        tenant.slot_s = slot_s;
+    }
+
+    fn slot_s(&self, tenant: &str) -> f64 {
+        self.tenants.get(tenant).map_or(0.0, |tenant| tenant.slot_s)
+    }
+
+    /// The name by which all proxies know what the module here calls so.
+    fn common_name(&self, name: &str) -> String {
+        let Some((slot, tenant)) = split_name(name) else {
+            return name.to_owned();
+        };
+        let slot_s = self.slot_s(tenant);
+        let shift = if slot_s > 0.0 {
+            (self.time_offset_s / slot_s).round() as i64
+        } else {
+            0
+        };
+        format!("{}/{tenant}", slot.saturating_add_signed(shift))
+    }
+
+    /// When a name's slot ends, by the module's time.
+    fn slot_end(&self, name: &str) -> Duration {
+        let Some((slot, tenant)) = split_name(name) else {
+            return Duration::ZERO;
+        };
+        let end_s = (slot + 1) as f64 * self.slot_s(tenant) - self.time_offset_s;
+        Duration::from_secs_f64(end_s.max(0.0))
+    }
+
+    /// Whether nothing is known of the others: the coordinator is not connected, or does not answer.
+    fn is_coordinator_silent(&self, now: Duration) -> bool {
+        let is_overdue = |since: Duration| now >= since + COORDINATOR_TIMEOUT;
+        !self.is_connected || self.unanswered_since.is_some_and(is_overdue)
+    }
+
+    /// Adds units under a name of the module's, and returns the total as far as it can be known.
+    pub fn add(&mut self, name: &str, units: f64, now: Duration) -> f64 {
+        self.sweep_when_due(now);
+        let name = self.common_name(name);
+        let tenant = split_name(&name)
+            .map_or("", |(_, tenant)| tenant)
+            .to_owned();
+        let slot_end = self.slot_end(&name);
+        let known_tenant = self.tenants.entry(tenant.clone()).or_default();
+        if units > 0.0 {
+            known_tenant.requested.add(units, now);
+        }
+        known_tenant.admitted.add(units, now);
+        let count = self.counts.entry(name.clone()).or_insert_with(|| Count {
+            tenant: tenant.clone(),
+            first_use: now,
+            slot_end,
+            ..Count::default()
+        });
+        count.own.admitted = (count.own.admitted + units).max(0.0);
+        count.own.requested += units.max(0.0);
+        count.last_use = now;
+        self.note_nearness(&tenant, now);
+        let total = self.total(&self.counts[&name], now);
+        // The module undoes what it refuses, and gets the true total with that.
+        if units > 0.0 && self.is_refused_at_random(&tenant, now) {
+            total + OVER_ANY_QUOTA
+        } else {
+            total
+        }
+    }
+
+    fn sweep_when_due(&mut self, now: Duration) {
+        if now >= self.last_sweep + SWEEP_INTERVAL {
+            self.last_sweep = now;
+            self.counts
+                .retain(|_, count| now < count.last_use + RETENTION);
+        }
+    }
+
+    /// Notes whether a tenant is near its quota.
+    fn note_nearness(&mut self, tenant: &str, now: Duration) {
+        let Some(tenant) = self
+            .tenants
+            .get_mut(tenant)
+            .filter(|tenant| tenant.rate > 0.0)
+        else {
+            return;
+        };
+        let others = tenant.others.rate(now);
+        let requested = tenant.requested.rate(now);
+        let if_even = EVENNESS * requested * self.proxies;
+        if (others + requested).max(if_even) > NEAR_QUOTA * tenant.rate {
+            tenant.near_quota_until = now + NEAR_QUOTA_TIME;
+        }
+    }
+
+    /// Whether a request is refused at random. Of many proxies each is asked for a small tenant too seldom to recognise a
+    /// surge by what it admits itself, and all at once would admit whatever comes until they hear of each other: so each
+    /// admits the part that the quota is of what all are asked for.
+    fn is_refused_at_random(&mut self, tenant: &str, now: Duration) -> bool {
+        let is_silent = self.is_coordinator_silent(now);
+        let Some(tenant) = self.tenants.get(tenant) else {
+            return false;
+        };
+        let is_near_quota = tenant.rate > 0.0 && now < tenant.near_quota_until;
+        if !is_near_quota || is_silent {
+            return false;
+        }
+        let is_seldom = tenant.rate * REPORT_AGE.as_secs_f64() * 2.0 < SELDOM_UNITS * self.proxies;
+        let demand = tenant.others_requested.rate(now) + tenant.requested.rate(now);
+        is_seldom
+            && demand > tenant.rate
+            && self.random.random::<f64>() * demand > RANDOM_ADMISSION * tenant.rate
+    }
+
+    fn total(&self, count: &Count, now: Duration) -> f64 {
+        let others = self.proxies.max(1.0) - 1.0;
+        let known = count.own.admitted + count.others.admitted;
+        if self.is_coordinator_silent(now) {
+            return count.own.admitted + count.others.admitted.max(count.own.admitted * others);
+        }
+        // Proxies out of contact with the coordinator are taken to do as the others do.
+        let scale = (self.proxies / self.attached.max(1.0)).max(1.0);
+        let Some(tenant) = self.tenants.get(&count.tenant) else {
+            return known * scale;
+        };
+        let shares = if now < tenant.near_quota_until {
+            tenant.rate * others / self.proxies
+        } else {
+            0.0
+        };
+        // A slot that is over gains nothing any more.
+        let reported = count.last_totals.map(|at| at.saturating_sub(REPORT_AGE));
+        let from = reported.map_or(count.first_use, |at| at.max(count.first_use));
+        let until = now.min(count.slot_end.max(count.first_use));
+        let unknown_s = until.saturating_sub(from).as_secs_f64();
+        // Each other proxy may do what this one does: a surge that all admit at once is seen by none in time.
+        let alike = (tenant.admitted.since(from) - SPARE_UNITS).max(0.0) * others;
+        let alike = if unknown_s > 0.0 { alike } else { 0.0 };
+        let expected = tenant.others.rate(now).max(shares) * unknown_s;
+        (known + expected.max(alike)) * scale
+    }
+
+    /// What the coordinator has not got yet: names, and all that this proxy has admitted and was asked for under each.
+    pub fn take_reports(&mut self, now: Duration) -> Vec<NamedCount> {
+        if !self.is_connected {
+            return vec![];
+        }
+        let is_calm = self
+            .last_calm_report
+            .is_some_and(|at| now < at + CALM_INTERVAL);
+        let tenants = &self.tenants;
+        // Far from its quota, a tenant's counts can wait for others to go along; the other proxies reckon with its rate
+        // meanwhile.
+        let may_wait = |count: &Count| {
+            let tenant = tenants.get(&count.tenant);
+            is_calm && tenant.is_none_or(|tenant| now >= tenant.near_quota_until)
+        };
+        let mut reports = Vec::new();
+        for (name, count) in &mut self.counts {
+            let is_final = count.needs_final_report(now);
+            let has_changed = count.reported.unwrap_or_default() != count.own;
+            if !(has_changed || is_final) || may_wait(count) {
+                continue;
+            }
+            count.reported = Some(count.own);
+            count.has_final_report |= is_final;
+            reports.push(NamedCount {
+                name: name.clone(),
+                admitted: count.own.admitted,
+                requested: count.own.requested,
+            });
+        }
+        if !is_calm {
+            self.last_calm_report = Some(now);
+        }
+        if !reports.is_empty() {
+            self.unanswered_since.get_or_insert(now);
+        }
+        reports
+    }
+
+    /// Takes the totals of the coordinator of a term. Of a name not used here yet, it reports because its tenant is near its
+    /// quota. Totals of an earlier term come from a registry that has lost the lease: they change nothing.
+    pub fn receive_totals(&mut self, term: u64, totals: &[NamedCount], now: Duration) {
+        if term < self.term {
+            return;
+        }
+        self.term = term;
+        self.unanswered_since = None;
+        for total in totals {
+            if !self.counts.contains_key(&total.name) {
+                self.add_reported_name(&total.name, now);
+            }
+            self.receive_total(total, now);
+        }
+    }
+
+    fn add_reported_name(&mut self, name: &str, now: Duration) {
+        let Some((_, tenant)) = split_name(name) else {
+            return;
+        };
+        let tenant = tenant.to_owned();
+        let slot_end = self.slot_end(name);
+        let known_tenant = self.tenants.entry(tenant.clone()).or_default();
+        known_tenant.near_quota_until = now + NEAR_QUOTA_TIME;
+        let count = Count {
+            tenant,
+            first_use: now,
+            last_use: now,
+            slot_end,
+            reported: Some(Units::default()),
+            ..Count::default()
+        };
+        self.counts.insert(name.to_owned(), count);
+    }
+
+    fn receive_total(&mut self, total: &NamedCount, now: Duration) {
+        let Some(count) = self.counts.get_mut(&total.name) else {
+            return;
+        };
+        // What was once reported of the others stays true, whoever is the coordinator.
+        let reported = count.reported.unwrap_or_default();
+        let others = Units {
+            admitted: (total.admitted - reported.admitted).max(count.others.admitted),
+            requested: (total.requested - reported.requested).max(count.others.requested),
+        };
+        let more_admitted = others.admitted - count.others.admitted;
+        let more_requested = others.requested - count.others.requested;
+        count.others = others;
+        count.last_totals = Some(now);
+        let tenant = self.tenants.entry(count.tenant.clone()).or_default();
+        tenant.others.add(more_admitted, now);
+        tenant.others_requested.add(more_requested, now);
+    }
+}
--- a/crates/proxy/src/routing_table.rs
+++ b/crates/proxy/src/routing_table.rs
@@ -1,201 +1,167 @@
 //! The configuration in force as requests are read by it: routes by host and prefix, tenants by key.
 
+use std::cmp::Reverse;
 use std::collections::{BTreeSet, HashMap};
 use std::rc::Rc;
 
-use damsonbeam_control::items::{ConfigSnapshot, Kind, Limits, Route, Service, Tenant};
-use damsonbeam_control::mirror_rules::Rule;
+use damsonbeam_control::config::{
+    ConfigSnapshot, ConnectionLimits, InvalidConfig, Item, ItemKind, MirrorRule, Route, Service,
+    Tenant,
+};
 
+/// Regions in which something may be served; `None`: anywhere.
+pub type HomeRegions = Option<BTreeSet<String>>;
+
+/// The configuration in force.
 #[derive(Clone, Debug, Default)]
 pub struct RoutingTable {
-    /// Of each host, the longest prefix first.
-    pub(crate) routes: HashMap<String, Vec<Rc<Route>>>,
-    pub(crate) keys: HashMap<String, Rc<Tenant>>,
+    /// By host, the longest prefix first.
+    routes: HashMap<String, Vec<Rc<Route>>>,
+    tenants_by_key: HashMap<String, Rc<Tenant>>,
+    /// All tenants.
     pub tenants: Vec<Rc<Tenant>>,
-    pub services: HashMap<String, Service>,
+    services: HashMap<String, Service>,
+    /// Zones that get no requests.
     pub evacuated: BTreeSet<String>,
-    pub limits: Option<Limits>,
-    /// Rules for copies whose trial services are none of the real ones.
-    pub copies: Vec<Rule>,
+    /// Timeouts of client connections, where they are configured.
+    pub limits: Option<ConnectionLimits>,
+    /// Mirror rules whose trial services are none of the real ones.
+    pub mirror_rules: Vec<MirrorRule>,
 }
 
-/// Why a request gets no further.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stop {
+/// Why a request is not routed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum RoutingError {
+    /// No route has its host and a prefix of its path.
+    #[error("no route")]
     NoRoute,
-    NoKey,
+    /// The route needs a tenant's key, and the request has none.
+    #[error("no tenant has this key")]
+    NoTenant,
+}
+
+/// A request's route, and its tenant: `None` where the route is public or there are no tenants.
+#[derive(Clone, Debug, PartialEq)]
+pub struct RouteMatch<'a> {
+    /// The route.
+    pub route: &'a Rc<Route>,
+    /// The tenant.
+    pub tenant: Option<&'a Rc<Tenant>>,
+}
+
+/// The items of a kind as their type. Items that can't be read are left out: what is committed has been validated.
+fn read_all<'a, T: TryFrom<&'a Item, Error = InvalidConfig>>(
+    snapshot: &'a ConfigSnapshot,
+    kind: ItemKind,
+) -> impl Iterator<Item = T> {
+    snapshot
+        .present_items(kind)
+        .filter_map(|item| T::try_from(item).ok())
 }
 
 impl RoutingTable {
-    /// Items that can't be read are left out: what was decided has been checked.
-    pub fn read(snapshot: &ConfigSnapshot) -> Self {
-        let mut routing_table = RoutingTable::default();
-        for route in snapshot
-            .standing(Kind::Route)
-            .filter_map(|i| Route::read(i).ok())
-        {
-            routing_table
+    /// The table of a snapshot.
+    pub fn from_snapshot(snapshot: &ConfigSnapshot) -> Self {
+        let mut table = RoutingTable::default();
+        for route in read_all::<Route>(snapshot, ItemKind::Route) {
+            table
                 .routes
                 .entry(route.host.clone())
                 .or_default()
                 .push(Rc::new(route));
         }
-        for all in routing_table.routes.values_mut() {
-            all.sort_by_key(|r| std::cmp::Reverse(r.prefix.len()));
+        for routes in table.routes.values_mut() {
+            routes.sort_by_key(|route| Reverse(route.prefix.len()));
         }
-        for tenant in snapshot
-            .standing(Kind::Tenant)
-            .filter_map(|i| Tenant::read(i).ok())
-        {
+        for tenant in read_all::<Tenant>(snapshot, ItemKind::Tenant) {
             let tenant = Rc::new(tenant);
-            routing_table
-                .keys
-                .extend(tenant.keys.iter().map(|k| (k.clone(), tenant.clone())));
-            routing_table.tenants.push(tenant);
+            for key in &tenant.api_keys {
+                table.tenants_by_key.insert(key.clone(), tenant.clone());
+            }
+            table.tenants.push(tenant);
         }
-        let services = snapshot
-            .standing(Kind::Service)
-            .filter_map(|i| Service::read(i).ok());
-        routing_table.services = services.map(|s| (s.name.clone(), s)).collect();
-        routing_table.evacuated = snapshot
-            .standing(Kind::Evacuation)
-            .map(|i| i.key.name.clone())
-            .collect();
-        routing_table.limits = snapshot
-            .standing(Kind::Limits)
-            .find_map(|i| Limits::read(i).ok());
-        let copies = snapshot
-            .standing(Kind::Copy)
-            .filter_map(|i| Rule::read(i).ok());
-        routing_table.copies = copies
-            .filter(|c| !routing_table.services.contains_key(&c.trial))
+        let services = read_all::<Service>(snapshot, ItemKind::Service);
+        table.services = services
+            .map(|service| (service.name.clone(), service))
             .collect();
-        routing_table
+        let evacuations = snapshot.present_items(ItemKind::Evacuation);
+        table.evacuated = evacuations.map(|item| item.key.name.clone()).collect();
+        table.limits = read_all(snapshot, ItemKind::Limits).next();
+        let rules = read_all::<MirrorRule>(snapshot, ItemKind::MirrorRule);
+        let is_trial = |rule: &MirrorRule| !table.services.contains_key(&rule.trial_service);
+        table.mirror_rules = rules.filter(is_trial).collect();
+        table
     }
 
+    /// Whether there are no routes: no configuration is known yet.
     pub fn is_empty(&self) -> bool {
         self.routes.is_empty()
     }
 
-    /// The route and tenant of a request; none where the route is open or no tenants are held.
+    /// Requests a second that a backend of a service takes while it warms up; 0: not known.
+    pub fn warm_up_rate(&self, service: &str) -> f64 {
+        self.services
+            .get(service)
+            .map_or(0.0, |service| service.warm_up_rate_per_s)
+    }
+
+    /// The route and tenant of a request.
     ///
     /// # Errors
-    /// Where it has no route, or its key is nobody's.
+    /// Where it has no route, or its key is no tenant's.
     pub fn find(
         &self,
         host: &str,
         path: &str,
         key: Option<&str>,
-    ) -> Result<(&Rc<Route>, Option<&Rc<Tenant>>), Stop> {
-        let host = host
-            .rsplit_once(':')
-            .filter(|(_, p)| p.bytes().all(|b| b.is_ascii_digit()))
-            .map_or(host, |h| h.0);
-        let all = self
-            .routes
-            .get(&host.to_ascii_lowercase())
-            .ok_or(Stop::NoRoute)?;
-        let route = all
-            .iter()
-            .find(|r| path.starts_with(&r.prefix))
-            .ok_or(Stop::NoRoute)?;
-        let tenant = key.and_then(|k| self.keys.get(k));
-        if route.open || self.tenants.is_empty() {
-            return Ok((route, tenant.filter(|_| !route.open)));
+    ) -> Result<RouteMatch<'_>, RoutingError> {
+        let host = without_port(host).to_ascii_lowercase();
+        let routes = self.routes.get(&host).ok_or(RoutingError::NoRoute)?;
+        let route = routes.iter().find(|route| path.starts_with(&route.prefix));
+        let route = route.ok_or(RoutingError::NoRoute)?;
+        if route.public_access {
+            return Ok(RouteMatch {
+                route,
+                tenant: None,
+            });
         }
-        Ok((route, Some(tenant.ok_or(Stop::NoKey)?)))
+        let tenant = key.and_then(|key| self.tenants_by_key.get(key));
+        if tenant.is_none() && !self.tenants.is_empty() {
+            return Err(RoutingError::NoTenant);
+        }
+        Ok(RouteMatch { route, tenant })
     }
 
-    /// Regions in which a request may be served: where both have homes, those of both.
-    pub fn homes(route: &Route, tenant: Option<&Tenant>) -> Homes {
-        let theirs = tenant.map_or(&[][..], |t| &t.homes[..]);
-        match (&route.homes[..], theirs) {
+    /// Regions in which a request may be served: where route and tenant both have home regions, those of both.
+    pub fn home_regions(route: &Route, tenant: Option<&Tenant>) -> HomeRegions {
+        let of_tenant = tenant.map_or(&[][..], |tenant| &tenant.home_regions[..]);
+        match (&route.home_regions[..], of_tenant) {
             ([], []) => None,
-            (one, []) | ([], one) => Some(one.iter().cloned().collect()),
-            (one, other) => Some(one.iter().filter(|h| other.contains(h)).cloned().collect()),
+            (homes, []) | ([], homes) => Some(homes.iter().cloned().collect()),
+            (homes, others) => {
+                let common = homes.iter().filter(|home| others.contains(home));
+                Some(common.cloned().collect())
+            }
         }
     }
 
-    /// The service that a request goes to: by weight, `lot` from 0 to 1.
-    pub fn service(route: &Route, lot: f64) -> &str {
-        let all: f64 = route.to.iter().map(|t| t.1).sum();
-        let mut left = lot * all;
-        let drawn = route.to.iter().find(|t| {
-            left -= t.1;
+    /// The service that a request goes to: by weight, `random` from 0 to 1.
+    pub fn choose_service(route: &Route, random: f64) -> &str {
+        let total: f64 = route.services.iter().map(|service| service.weight).sum();
+        let mut left = random * total;
+        let chosen = route.services.iter().find(|service| {
+            left -= service.weight;
             left < 0.0
         });
-        &drawn
-            .or(route.to.iter().rfind(|t| t.1 > 0.0))
-            .unwrap_or(&route.to[0])
-            .0
+        // Rounding may leave none: the last that gets anything.
+        let last = || route.services.iter().rfind(|service| service.weight > 0.0);
+        &chosen.or_else(last).unwrap_or(&route.services[0]).service
     }
 }
 
-/// Regions in which something may be served; none: anywhere.
-pub type Homes = Option<BTreeSet<String>>;
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use damsonbeam_control::items::Change;
-
-    fn routing_table(text: &str) -> RoutingTable {
-        let mut snapshot = ConfigSnapshot::default();
-        let change = Change::read(text.as_bytes().to_vec()).expect("reads");
-        for item in snapshot.news(&change) {
-            snapshot.merge(item);
-        }
-        RoutingTable::read(&snapshot)
-    }
-
-    #[test]
-    fn the_longest_prefix_wins_keys_are_asked_for_and_homes_are_met_by_both() {
-        let route = |name: &str, prefix: &str, more: &str| {
-            format!(
-                r#"{{"name":"{name}","host_name":"a.example","path_prefix":"{prefix}","route_type":"read_only","timeout_ms":3000,"target_latency_ms":500,"target_service":"s","max_attempts":2,"config_version":"r1"{more}}}"#
-            )
-        };
-        let (one, two) = (
-            route("one", "/x/", ""),
-            route(
-                "two",
-                "/x/y/",
-                r#","public_access":true,"serving_regions":["p","q"]"#,
-            ),
-        );
-        let c = routing_table(&format!(
-            r#"{{"upserts":{{"route_list":[{one},{two}],"tenant_list":[{{"name":"t","api_keys":["k"],"rate_per_s":5,"burst":5,"serving_regions":["q"],"config_version":"r1"}}]}}}}"#
-        ));
-        let name = |path, key| {
-            c.find("A.example:80", path, key)
-                .map(|f| (f.0.name.clone(), f.1.map(|t| t.name.clone())))
-        };
-        assert_eq!(
-            name("/x/z", Some("k")),
-            Ok(("one".into(), Some("t".into())))
-        );
-        assert_eq!(name("/x/y/z", None), Ok(("two".into(), None)));
-        assert_eq!(name("/x/z", Some("other")), Err(Stop::NoKey));
-        assert_eq!(name("/xy", Some("k")), Err(Stop::NoRoute));
-        let two = c.find("a.example", "/x/y/", None).expect("there").0.clone();
-        assert_eq!(
-            RoutingTable::homes(&two, Some(&c.tenants[0])),
-            Some(["q".to_string()].into())
-        );
-    }
-
-    #[test]
-    fn a_split_follows_its_weights_and_gives_nothing_to_a_weight_of_0() {
-        let mut r = Route::read(
-            &Change::read(br#"{"upserts":{"route_list":[{"name":"r","host_name":"h","path_prefix":"/","route_type":"upload","timeout_ms":1,"target_latency_ms":1,"traffic_split":[{"target_service":"a","weight":90},{"target_service":"b","weight":10},{"target_service":"c","weight":0}],"config_version":"r1"}]}}"#.to_vec())
-                .expect("reads")
-                .items[0],
-        )
-        .expect("a route");
-        assert_eq!(RoutingTable::service(&r, 0.89), "a");
-        assert_eq!(RoutingTable::service(&r, 0.91), "b");
-        assert_eq!(RoutingTable::service(&r, 1.0), "b");
-        r.to.rotate_right(1);
-        assert_eq!(RoutingTable::service(&r, 0.0), "a");
+fn without_port(host: &str) -> &str {
+    match host.rsplit_once(':') {
+        Some((name, port)) if port.bytes().all(|byte| byte.is_ascii_digit()) => name,
+        _ => host,
     }
 }
--- a/crates/proxy/src/slow_start.rs
+++ b/crates/proxy/src/slow_start.rs
@@ -1,7 +1,7 @@
-//! Cold backends: what all proxies together may send one in a second, and this one's part of it.
+//! Slow start of backends that warm up: what all proxies together may send one in a second, and this proxy's share of it.
 //!
-//! A cold backend is shown to the decision module while a turn for it is due, and hidden once it is used. Turns
-//! come at the backend's own rate over the number of proxies, the first at a time by lot: in no second do all
+//! A backend that warms up is shown to the decision module while a turn for it is due, and hidden once the turn is used.
+//! Turns come at the backend's own rate over the number of proxies, the first at a random time: in no second do all
 //! proxies together send more than the rate and one each, and they hardly ever do that.
 
 use std::collections::HashMap;
@@ -9,147 +9,110 @@
 
 use damsonbeam::interface::TgtId;
 
-use crate::quota::UNTOLD;
+use crate::quota::ASSUMED_PROXIES;
 
-/// The list tells late how long it stays cold.
-const LATE: Duration = Duration::from_millis(400);
-/// Where nothing says what a cold backend bears, it gets one request in this time from all.
-const LEAST: f64 = 1.0;
+/// The list reports the warm-up this late.
+const LIST_DELAY: Duration = Duration::from_millis(400);
+/// Requests a second from all proxies, where nothing says what a backend takes while it warms up.
+const LEAST_RATE_PER_S: f64 = 1.0;
+
+/// How long a backend warms up, and what it takes meanwhile.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct WarmUp {
+    /// The time that is left.
+    pub left: Duration,
+    /// Requests a second from all proxies together.
+    pub rate_per_s: f64,
+}
 
 #[derive(Debug)]
-struct Cold {
+struct WarmingBackend {
     until: Duration,
-    rate: f64,
-    next: Duration,
+    rate_per_s: f64,
+    next_turn: Duration,
 }
 
+/// The backends that warm up.
 #[derive(Debug)]
 pub struct SlowStart {
     proxies: f64,
-    cold: HashMap<TgtId, Cold>,
+    warming: HashMap<TgtId, WarmingBackend>,
 }
 
 impl Default for SlowStart {
     fn default() -> Self {
         SlowStart {
-            proxies: f64::from(UNTOLD),
-            cold: HashMap::new(),
+            proxies: f64::from(ASSUMED_PROXIES),
+            warming: HashMap::new(),
         }
     }
 }
 
 impl SlowStart {
-    pub fn share(&mut self, proxies: u32) {
+    /// Sets the number of proxies that share the backends' rates.
+    pub fn set_proxies(&mut self, proxies: u32) {
         self.proxies = f64::from(proxies.max(1));
     }
 
-    fn apart(&self, rate: f64) -> Duration {
-        Duration::from_secs_f64(self.proxies / rate.max(LEAST))
+    /// Between two turns of this proxy.
+    fn turn_interval(&self, rate_per_s: f64) -> Duration {
+        Duration::from_secs_f64(self.proxies / rate_per_s.max(LEAST_RATE_PER_S))
     }
 
-    /// It stays cold for `left` more and bears `rate` requests a second; `lot` from 0 to 1.
-    pub fn learn(&mut self, tgt: TgtId, left: Duration, rate: f64, lot: f64, now: Duration) {
+    /// A backend is reported to warm up; `random`, from 0 to 1, sets its first turn.
+    pub fn learn(&mut self, backend: TgtId, warm_up: WarmUp, random: f64, now: Duration) {
+        let WarmUp { left, rate_per_s } = warm_up;
         if left.is_zero() {
             return;
         }
-        let (until, first) = (now + left + LATE, now + self.apart(rate).mul_f64(lot));
-        let c = self.cold.entry(tgt).or_insert(Cold {
+        let until = now + left + LIST_DELAY;
+        let first_turn = now + self.turn_interval(rate_per_s).mul_f64(random);
+        let warming = self.warming.entry(backend).or_insert(WarmingBackend {
             until,
-            rate,
-            next: first,
+            rate_per_s,
+            next_turn: first_turn,
         });
-        (c.until, c.rate) = (c.until.max(until), rate);
+        warming.until = warming.until.max(until);
+        warming.rate_per_s = rate_per_s;
     }
 
-    pub fn forget(&mut self, now: Duration) {
-        self.cold.retain(|_, c| now < c.until);
+    /// Forgets the backends that are warm.
+    pub fn forget_warm(&mut self, now: Duration) {
+        self.warming.retain(|_, backend| now < backend.until);
     }
 
-    pub fn is_cold(&self, tgt: TgtId, now: Duration) -> bool {
-        self.cold.get(&tgt).is_some_and(|c| now < c.until)
+    /// Whether a backend warms up.
+    pub fn is_warming(&self, backend: TgtId, now: Duration) -> bool {
+        self.warming
+            .get(&backend)
+            .is_some_and(|backend| now < backend.until)
     }
 
-    /// Whether a request may go to it now.
-    pub fn open(&self, tgt: TgtId, now: Duration) -> bool {
-        self.cold
-            .get(&tgt)
-            .is_none_or(|c| now >= c.until || now >= c.next)
+    /// Whether a request may go to a backend now.
+    pub fn is_open(&self, backend: TgtId, now: Duration) -> bool {
+        let backend = self.warming.get(&backend);
+        backend.is_none_or(|backend| now >= backend.until || now >= backend.next_turn)
     }
 
-    /// One goes to it, if it may.
-    pub fn send(&mut self, tgt: TgtId, now: Duration) -> bool {
-        let Some(rate) = self
-            .cold
-            .get(&tgt)
-            .filter(|c| now < c.until)
-            .map(|c| c.rate)
-        else {
+    /// A request is to go to a backend; returns whether it may.
+    pub fn take_turn(&mut self, backend: TgtId, now: Duration) -> bool {
+        if !self.is_warming(backend, now) {
             return true;
-        };
-        let apart = self.apart(rate);
-        let c = self.cold.get_mut(&tgt).expect("seen above");
-        if now < c.next {
+        }
+        if !self.is_open(backend, now) {
             return false;
         }
-        c.next = now + apart;
+        let rate_per_s = self.warming[&backend].rate_per_s;
+        let next_turn = now + self.turn_interval(rate_per_s);
+        if let Some(backend) = self.warming.get_mut(&backend) {
+            backend.next_turn = next_turn;
+        }
         true
     }
 
-    /// Cold ones, and whether each may be sent to.
+    /// The backends that warm up, and whether a request may go to each.
     pub fn all(&self, now: Duration) -> impl Iterator<Item = (TgtId, bool)> + '_ {
-        self.cold
-            .keys()
-            .map(move |tgt| (*tgt, self.open(*tgt, now)))
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use rand::rngs::SmallRng;
-    use rand::{Rng, SeedableRng};
-
-    /// `proxies` proxies that send whenever they may; the most that a cold backend gets in any second.
-    fn most(proxies: u32, rate: f64) -> usize {
-        let mut rng = SmallRng::seed_from_u64(7);
-        let tgt = TgtId(1);
-        let mut all: Vec<SlowStart> = (0..proxies)
-            .map(|_| {
-                let mut t = SlowStart::default();
-                t.share(proxies);
-                t.learn(
-                    tgt,
-                    Duration::from_secs(3),
-                    rate,
-                    rng.random(),
-                    Duration::ZERO,
-                );
-                t
-            })
-            .collect();
-        let mut sent = Vec::new();
-        for ms in 0..3300 {
-            for t in &mut all {
-                if t.send(tgt, Duration::from_millis(ms)) {
-                    sent.push(ms);
-                }
-            }
-        }
-        sent.iter()
-            .map(|from| {
-                sent.iter()
-                    .filter(|ms| (*from..from + 1000).contains(*ms))
-                    .count()
-            })
-            .max()
-            .unwrap_or(0)
-    }
-
-    #[test]
-    fn eager_proxies_together_keep_a_cold_backends_bound() {
-        // The bound: the rate by half again, and 5 (8 for the large fleet).
-        assert!(most(10, 20.0) <= 35, "{}", most(10, 20.0));
-        assert!(most(12, 6.7) <= 15, "{}", most(12, 6.7));
-        assert!(most(69, 20.0) <= 38, "{}", most(69, 20.0));
+        let backends = self.warming.keys();
+        backends.map(move |backend| (*backend, self.is_open(*backend, now)))
     }
 }
