--- /dev/null
+++ b/crates/proxy/tests/backend_pool.rs
@@ -0,0 +1,88 @@
+//! Which backends a proxy offers to the decision module, and which of many are its subset.
+
+use std::collections::HashMap;
+use std::time::Duration;
+
+use damsonbeam::interface::Health;
+use damsonbeam_control::address::Endpoint;
+use damsonbeam_control::messages::Backend;
+use damsonbeam_proxy::backend_pool::{BackendPool, RegionPosition};
+use damsonbeam_proxy::routing_table::{HomeRegions, RoutingTable};
+
+fn backend(number: u32, zone: &str) -> Backend {
+    Backend {
+        id: format!("i-{number}"),
+        service: "s".into(),
+        address: Endpoint {
+            ip: [10, 128, 0, number as u8],
+            port: 80,
+        },
+        zone: zone.into(),
+        slots: 6,
+        draining: false,
+        warm_up_left_ms: 0,
+    }
+}
+
+fn backend_pool(position: u32, proxies: u32, backends: u32) -> BackendPool {
+    let regions = [("a", "x"), ("b", "x"), ("c", "y")];
+    let regions = regions.map(|(zone, region)| (zone.to_string(), region.to_string()));
+    let mut pool = BackendPool::new("a", "x", regions.into());
+    pool.set_region_position(RegionPosition { position, proxies });
+    let backends = (0..backends).map(|n| backend(n, ["a", "b", "c"][n as usize % 3]));
+    let table = RoutingTable::default();
+    pool.update(backends.collect(), &table, Duration::ZERO, &mut || 0.5);
+    pool
+}
+
+#[test]
+fn proxies_take_even_subsets_of_many_backends_and_all_of_few() {
+    let mut taken: HashMap<String, usize> = HashMap::new();
+    for position in 0..23 {
+        let pool = backend_pool(position, 23, 96);
+        for id in pool.subset("s") {
+            *taken.entry(id.into()).or_default() += 1;
+        }
+    }
+    let least = taken.values().min().expect("some");
+    let most = taken.values().max().expect("some");
+    assert_eq!(taken.len(), 64, "a backend of the region is nobody's");
+    assert!(most - least <= 1, "{least} to {most} proxies a backend");
+    assert_eq!(backend_pool(1, 4, 18).subset("s").len(), 12);
+}
+
+/// A table in which zone `b` is evacuated.
+fn table_with_evacuated_zone() -> RoutingTable {
+    let mut table = RoutingTable::default();
+    table.evacuated.insert("b".into());
+    table
+}
+
+fn names_up(pool: &BackendPool, homes: &HomeRegions, ms: u64) -> Vec<String> {
+    let backends = pool.backends("s", homes, Duration::from_millis(ms));
+    let up = backends
+        .iter()
+        .filter(|backend| backend.entry.health == Health::Up);
+    up.map(|backend| backend.name.to_string()).collect()
+}
+
+#[test]
+fn draining_evacuated_and_warming_backends_are_no_choice_and_home_regions_hold() {
+    let mut pool = backend_pool(0, 1, 3);
+    assert_eq!(names_up(&pool, &None, 0), ["i-0", "i-1", "i-2"]);
+    assert_eq!(names_up(&pool, &Some(["y".to_string()].into()), 0), ["i-2"]);
+    let evacuated = table_with_evacuated_zone();
+    let table = RoutingTable::default();
+    pool.evacuate(&evacuated, Duration::ZERO, &mut || 0.5);
+    assert_eq!(names_up(&pool, &None, 0), ["i-0", "i-2"]);
+    // Taken back, it may warm up, and nobody has reported it yet: a turn comes at a random time.
+    pool.evacuate(&table, Duration::from_millis(100), &mut || 0.5);
+    assert_eq!(names_up(&pool, &None, 100), ["i-0", "i-2"]);
+    assert_eq!(names_up(&pool, &None, 3000), ["i-0", "i-1", "i-2"]);
+    // The same address after a restart: another backend.
+    let mut next = vec![backend(0, "a"), backend(1, "b")];
+    next[0].id = "i-9".into();
+    next[1].draining = true;
+    pool.update(next, &table, Duration::from_millis(4000), &mut || 0.5);
+    assert_eq!(names_up(&pool, &None, 4000), ["i-9"]);
+}
--- a/crates/proxy/tests/coordinator.rs
+++ b/crates/proxy/tests/coordinator.rs
@@ -1,15 +1,16 @@
 //! What a proxy takes of heartbeats that name different coordinators.
 
-use damsonbeam_control::messages::{Heartbeat, Ip};
+use damsonbeam_control::address::Ip;
+use damsonbeam_control::messages::{Heartbeat, LeaseHolder};
 use damsonbeam_proxy::coordinator::Coordinator;
 use tokio::time::Instant;
 
 const OLD: Ip = [10, 0, 0, 1];
 const NEW: Ip = [10, 0, 0, 2];
 
-fn heartbeat(coordinator: (Ip, u64), time_ms: u64) -> Heartbeat {
+fn heartbeat((ip, term): (Ip, u64), time_ms: u64) -> Heartbeat {
     Heartbeat {
-        coordinator: Some(coordinator),
+        coordinator: Some(LeaseHolder { ip, term }),
         time_ms,
         ..Heartbeat::default()
     }
--- a/crates/proxy/tests/data_plane.rs
+++ b/crates/proxy/tests/data_plane.rs
@@ -7,16 +7,16 @@
 use std::time::Duration;
 
 use damsonbeam_admin::Figures;
-use damsonbeam_control::items::{Change, ConfigSnapshot};
-use damsonbeam_control::messages::{Server, ip};
+use damsonbeam_control::config::{ConfigChange, ConfigSnapshot};
+use damsonbeam_control::messages::Backend;
 use damsonbeam_gateway::backends::Fleet;
 use damsonbeam_gateway::clients::Clients;
 use damsonbeam_gateway::clock::Clock;
 use damsonbeam_gateway::mail::{ToModule, Unanswered};
 use damsonbeam_gateway::stage::{Now, Stage};
-use damsonbeam_proxy::backend_pool::BackendPool;
-use damsonbeam_proxy::dispatch::Dispatchers;
-use damsonbeam_proxy::mirroring::Copies;
+use damsonbeam_proxy::backend_pool::{BackendPool, RegionPosition};
+use damsonbeam_proxy::dispatch::{Dispatchers, SharedParts};
+use damsonbeam_proxy::mirroring::Mirror;
 use damsonbeam_proxy::protocol::{Backends, Requests};
 use damsonbeam_proxy::retry_budget::RetryBudget;
 use damsonbeam_proxy::routing_table::RoutingTable;
@@ -156,26 +156,29 @@
         )
     });
     let text = format!(r#"{{"upserts":{{"route_list":[{}]}}}}"#, routes.join(","));
-    let change = Change::read(text.into_bytes()).expect("reads");
+    let change = ConfigChange::from_json(text.into_bytes()).expect("reads");
     let mut snapshot = ConfigSnapshot::default();
-    for item in snapshot.news(&change) {
+    for item in snapshot.effective_items(&change) {
         snapshot.merge(item);
     }
-    let routing_table = RoutingTable::read(&snapshot);
+    let routing_table = RoutingTable::from_snapshot(&snapshot);
     let (clock, stage, figures) = (Clock::start(), Now::default(), Figures::new().unwrap());
     stage.enter(Stage::Serving, "test");
     let mut backend_pool = BackendPool::new("a", "x", [("a".into(), "x".into())].into());
-    let servers = backends.iter().enumerate().map(|(n, at)| Server {
+    let servers = backends.iter().enumerate().map(|(n, at)| Backend {
         id: format!("i-{n}"),
         service: "s".into(),
-        at: (ip(at.ip()), at.port()),
+        address: (*at).into(),
         zone: "a".into(),
         slots: 2,
         draining: false,
-        cold_ms: 0,
+        warm_up_left_ms: 0,
+    });
+    backend_pool.update(servers.collect(), &routing_table, clock.now(), &mut || 0.5);
+    backend_pool.set_region_position(RegionPosition {
+        position: 0,
+        proxies: 1,
     });
-    backend_pool.take(servers.collect(), &routing_table, clock.now(), &mut || 0.5);
-    backend_pool.place = (0, 1);
     let (to_quota, mut calls) = mpsc::channel(64);
     tokio::task::spawn_local(async move { while calls.recv().await.is_some() {} });
     let connect = Duration::from_millis(350);
@@ -189,21 +192,21 @@
         1 << 24,
         &figures,
     );
-    let dispatchers = Rc::new(RefCell::new(Dispatchers::new(
-        Rc::new(RefCell::new(backend_pool)),
-        Rc::new(RefCell::new(RetryBudget::new(retries, retries * 100.0))),
+    let dispatchers = Rc::new(RefCell::new(Dispatchers::new(SharedParts {
+        backend_pool: Rc::new(RefCell::new(backend_pool)),
+        retry_budget: Rc::new(RefCell::new(RetryBudget::new(retries, retries * 100.0))),
         fleet,
         clock,
-        figures.clone(),
-        to_quota,
-        stage.clone(),
-    )));
+        figures: figures.clone(),
+        counts: to_quota,
+        stage: stage.clone(),
+    })));
     let requests = Requests {
         dispatchers: dispatchers.clone(),
         routing_table: Rc::new(RefCell::new(Rc::new(routing_table))),
         idle_s: Rc::default(),
         unserved: Rc::new(RefCell::new(UnservedLog::default())),
-        copies: Copies::new(clock, Rc::default()),
+        mirror: Mirror::new(clock, Rc::default()),
         clock,
     };
     let clients = Clients::new(
@@ -249,7 +252,7 @@
     }
 
     async fn refuse_unsent(&self) -> Unanswered {
-        let told = self.dispatchers.borrow().end(ToModule::RefuseUnsent);
+        let told = self.dispatchers.borrow().send_end(ToModule::RefuseUnsent);
         let mut all = Unanswered::default();
         for told in told {
             let one = told.await.unwrap();
--- a/crates/proxy/tests/quota.rs
+++ b/crates/proxy/tests/quota.rs
@@ -6,16 +6,16 @@
 use damsonbeam::Rules;
 use damsonbeam::interface::*;
 use damsonbeam_control::messages::{Heartbeat, NamedCount};
-use damsonbeam_proxy::quota::{QuotaCounter, UNTOLD, is_share_told};
+use damsonbeam_proxy::quota::{ASSUMED_PROXIES, QuotaCounter, is_proxy_count_usable};
 use damsonbeam_registry::counts::SharedCounts;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-fn named(name: &str, held: f64, asked: f64) -> NamedCount {
+fn named(name: &str, admitted: f64, requested: f64) -> NamedCount {
     NamedCount {
         name: name.into(),
-        held,
-        asked,
+        admitted,
+        requested,
     }
 }
 
@@ -25,69 +25,73 @@
 
 #[test]
 fn without_a_coordinator_each_proxy_keeps_to_its_part() {
-    let mut t = QuotaCounter::default();
-    t.share(10, 10, at(0));
+    let mut counter = QuotaCounter::default();
+    counter.set_proxies(10, 10, at(0));
     // A new coordinator has met few of them yet.
-    assert_eq!(t.share(2, 2, at(0)), 10);
-    assert_eq!(t.count("1/x", 1.0, at(0)), 10.0);
-    assert_eq!(t.count("1/x", 1.0, at(1)), 20.0);
+    assert_eq!(counter.set_proxies(2, 2, at(0)), 10);
+    assert_eq!(counter.add("1/x", 1.0, at(0)), 10.0);
+    assert_eq!(counter.add("1/x", 1.0, at(1)), 20.0);
     // One that was refused and undone is not held against it.
-    assert_eq!(t.count("1/x", -1.0, at(2)), 10.0);
+    assert_eq!(counter.add("1/x", -1.0, at(2)), 10.0);
 }
 
 #[test]
 fn a_coordinator_that_falls_silent_is_not_believed_for_long() {
-    let mut t = QuotaCounter::default();
-    t.share(4, 4, at(0));
-    t.link_coordinator(1, true);
-    t.limit("x", 100.0, 0.5);
-    t.count("1/x", 1.0, at(0));
-    assert_eq!(t.fresh(at(0)), vec![named("1/x", 1.0, 1.0)]);
-    assert!(t.fresh(at(1)).is_empty(), "said once");
-    t.receive_totals(1, &[named("1/x", 5.0, 5.0)], at(110));
-    assert_eq!(t.count("1/x", 0.0, at(110)), 5.0);
-    t.count("2/x", 1.0, at(500));
-    assert_eq!(t.fresh(at(500)).len(), 1);
-    assert_eq!(t.count("2/x", 0.0, at(1100)), 4.0);
-    t.receive_totals(1, &[named("2/x", 1.0, 1.0)], at(1200));
-    assert!(t.count("2/x", 0.0, at(1200)) < 3.0);
+    let mut counter = QuotaCounter::default();
+    counter.set_proxies(4, 4, at(0));
+    counter.set_coordinator(1, true);
+    counter.set_rate("x", 100.0, 0.5);
+    counter.add("1/x", 1.0, at(0));
+    assert_eq!(counter.take_reports(at(0)), vec![named("1/x", 1.0, 1.0)]);
+    assert!(counter.take_reports(at(1)).is_empty(), "said once");
+    counter.receive_totals(1, &[named("1/x", 5.0, 5.0)], at(110));
+    assert_eq!(counter.add("1/x", 0.0, at(110)), 5.0);
+    counter.add("2/x", 1.0, at(500));
+    assert_eq!(counter.take_reports(at(500)).len(), 1);
+    assert_eq!(counter.add("2/x", 0.0, at(1100)), 4.0);
+    counter.receive_totals(1, &[named("2/x", 1.0, 1.0)], at(1200));
+    assert!(counter.add("2/x", 0.0, at(1200)) < 3.0);
     // A new coordinator hears all of it again, and what the last one told stays.
-    t.link_coordinator(2, true);
+    counter.set_coordinator(2, true);
     assert_eq!(
-        t.fresh(at(1300)),
+        counter.take_reports(at(1300)),
         vec![named("1/x", 1.0, 1.0), named("2/x", 1.0, 1.0)]
     );
-    t.receive_totals(2, &[named("1/x", 1.0, 1.0)], at(1400));
+    counter.receive_totals(2, &[named("1/x", 1.0, 1.0)], at(1400));
     assert!(
-        t.count("1/x", 0.0, at(1400)) >= 5.0,
+        counter.add("1/x", 0.0, at(1400)) >= 5.0,
         "zeroed sums let a second burst through"
     );
 }
 
 #[test]
 fn a_fresh_proxy_takes_a_small_part_and_small_steps_of_the_common_time_rename_no_slot() {
-    let mut t = QuotaCounter::default();
-    t.limit("x", 100.0, 0.5);
-    assert_eq!(t.count("4/x", 1.0, at(0)), f64::from(UNTOLD));
-    t.share(3, 3, at(0));
-    t.link_coordinator(1, true);
-    t.clock(0.249);
-    t.count("4/x", 1.0, at(1));
-    t.clock(0.251);
-    assert_eq!(t.fresh(at(2)).len(), 1, "one slot has two names");
+    let mut counter = QuotaCounter::default();
+    counter.set_rate("x", 100.0, 0.5);
+    assert_eq!(counter.add("4/x", 1.0, at(0)), f64::from(ASSUMED_PROXIES));
+    counter.set_proxies(3, 3, at(0));
+    counter.set_coordinator(1, true);
+    counter.set_time_offset(0.249);
+    counter.add("4/x", 1.0, at(1));
+    counter.set_time_offset(0.251);
+    assert_eq!(
+        counter.take_reports(at(2)).len(),
+        1,
+        "one slot has two names"
+    );
 }
 
 #[test]
 fn absent_proxies_keep_their_parts_and_slots_go_by_the_common_time() {
-    let mut t = QuotaCounter::default();
-    t.share(10, 8, at(0));
-    t.link_coordinator(1, true);
-    t.limit("x", 100.0, 0.5);
-    t.clock(5.1);
-    t.count("7/x", 4.0, at(0));
-    assert_eq!(t.fresh(at(0)), vec![named("17/x", 4.0, 4.0)]);
-    t.receive_totals(1, &[named("17/x", 8.0, 8.0)], at(0));
-    assert_eq!(t.count("7/x", 0.0, at(0)), 10.0);
+    let mut counter = QuotaCounter::default();
+    counter.set_proxies(10, 8, at(0));
+    counter.set_coordinator(1, true);
+    counter.set_rate("x", 100.0, 0.5);
+    counter.set_time_offset(5.1);
+    counter.add("7/x", 4.0, at(0));
+    assert_eq!(counter.take_reports(at(0)), vec![named("17/x", 4.0, 4.0)]);
+    counter.receive_totals(1, &[named("17/x", 8.0, 8.0)], at(0));
+    assert_eq!(counter.add("7/x", 0.0, at(0)), 10.0);
 }
 
 /// The decision module of one proxy, with a backend that answers at once.
@@ -100,9 +104,9 @@
 impl Proxy {
     fn new(proxies: u32, rate: f64, seed: u64) -> Self {
         let mut quota = QuotaCounter::new(seed);
-        quota.share(proxies, proxies, at(0));
-        quota.link_coordinator(1, true);
-        quota.limit("x", rate, 0.5);
+        quota.set_proxies(proxies, proxies, at(0));
+        quota.set_coordinator(1, true);
+        quota.set_rate("x", rate, 0.5);
         let plan = Plan {
             rate,
             burst: rate,
@@ -181,7 +185,7 @@
                 match action {
                     Action::Count { name, add, .. } => {
                         let (total, outcome, latency) =
-                            (self.quota.count(&name, add, now), Outcome::Ok, at(0));
+                            (self.quota.add(&name, add, now), Outcome::Ok, at(0));
                         events.push_back(Event::Total {
                             name,
                             outcome,
@@ -222,8 +226,8 @@
         .map(|n| Proxy::new(proxies, rate, n.into()))
         .collect();
     let mut rng = SmallRng::seed_from_u64(3);
-    let mut tally = SharedCounts::default();
-    tally.limit("x", rate);
+    let mut totals = SharedCounts::default();
+    totals.set_rate("x", rate);
     let mut mail: Vec<Mail> = Vec::new();
     let (mut passed, mut due) = (Vec::new(), 0.0);
     for ms in 0..14_000u64 {
@@ -233,10 +237,10 @@
             if back {
                 all[p].quota.receive_totals(1, &names, at(ms));
             } else if coordinator(ms) {
-                let totals = names
+                let answers = names
                     .iter()
-                    .map(|count| tally.hold(p as u64, count, at(ms)));
-                mail.push((ms + 58, p, totals.collect(), true));
+                    .map(|count| totals.record(p as u64, count, at(ms)));
+                mail.push((ms + 58, p, answers.collect(), true));
             }
         }
         due += if ms < 3000 { rate * 0.6 } else { load } / 1000.0;
@@ -247,14 +251,14 @@
             }
         }
         if ms % 50 == 0 && coordinator(ms) {
-            let news = tally.news();
+            let news = totals.take_updates();
             if !news.is_empty() {
                 (0..all.len()).for_each(|p| mail.push((ms + 58, p, news.clone(), true)));
             }
         }
         if ms % 25 == 0 {
             for (p, proxy) in all.iter_mut().enumerate() {
-                let fresh = proxy.quota.fresh(at(ms));
+                let fresh = proxy.quota.take_reports(at(ms));
                 if !fresh.is_empty() {
                     mail.push((ms + 58, p, fresh, false));
                 }
@@ -313,31 +317,31 @@
 
 #[test]
 fn totals_of_a_coordinator_that_has_lost_the_duty_change_nothing() {
-    let mut t = QuotaCounter::default();
-    t.share(4, 4, at(0));
-    t.link_coordinator(7, true);
-    t.limit("x", 100.0, 0.5);
-    t.count("1/x", 1.0, at(0));
-    assert_eq!(t.fresh(at(0)).len(), 1);
-    t.receive_totals(6, &[named("1/x", 90.0, 90.0)], at(50));
+    let mut counter = QuotaCounter::default();
+    counter.set_proxies(4, 4, at(0));
+    counter.set_coordinator(7, true);
+    counter.set_rate("x", 100.0, 0.5);
+    counter.add("1/x", 1.0, at(0));
+    assert_eq!(counter.take_reports(at(0)).len(), 1);
+    counter.receive_totals(6, &[named("1/x", 90.0, 90.0)], at(50));
     // It is no answer either: the coordinator of the term that is known is silent.
-    assert_eq!(t.count("1/x", 0.0, at(700)), 4.0);
-    t.receive_totals(7, &[named("1/x", 5.0, 5.0)], at(710));
-    assert_eq!(t.count("1/x", 0.0, at(710)), 5.0);
+    assert_eq!(counter.add("1/x", 0.0, at(700)), 4.0);
+    counter.receive_totals(7, &[named("1/x", 5.0, 5.0)], at(710));
+    assert_eq!(counter.add("1/x", 0.0, at(710)), 5.0);
 }
 
 #[test]
 fn the_number_of_proxies_told_by_a_registry_out_of_contact_counts_only_where_it_is_large() {
     let told = |in_contact, proxies| {
-        is_share_told(&Heartbeat {
+        is_proxy_count_usable(&Heartbeat {
             in_contact,
-            proxies,
+            known_proxies: proxies,
             ..Heartbeat::default()
         })
     };
     assert!(told(true, 1) && told(true, 10) && !told(true, 0));
     // One proxy, or ten, that a cut-off registry has met: the quota is not shared among so few, and the number reckoned
     // with is not taken for told, which would hold for long after a registry in contact tells a smaller one.
-    assert!(!told(false, 1) && !told(false, 10) && !told(false, UNTOLD));
-    assert!(told(false, UNTOLD + 1));
+    assert!(!told(false, 1) && !told(false, 10) && !told(false, ASSUMED_PROXIES));
+    assert!(told(false, ASSUMED_PROXIES + 1));
 }
--- /dev/null
+++ b/crates/proxy/tests/unserved.rs
@@ -0,0 +1,72 @@
+//! How requests that were not served are explained to operators.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use damsonbeam::interface::Why;
+use damsonbeam_control::config::{Route, RouteKind, Tenant};
+use damsonbeam_control::messages::BackendListVersion;
+use damsonbeam_proxy::unserved::{Cause, Subject, UnservedLog};
+
+fn subject() -> Subject {
+    let route = Route {
+        name: "r-1".into(),
+        version: 7,
+        host: "h".into(),
+        prefix: "/".into(),
+        kind: RouteKind::ReadOnly,
+        timeout_ms: 1,
+        latency_target_ms: 1,
+        priority: 0,
+        services: vec![],
+        max_attempts: 1,
+        public_access: false,
+        home_regions: vec![],
+    };
+    let tenant = Tenant {
+        name: "house".into(),
+        version: 3,
+        api_keys: vec![],
+        rate_per_s: 1.0,
+        burst: 1.0,
+        home_regions: vec![],
+    };
+    Subject {
+        route: Some(Rc::new(route)),
+        tenant: Some(Rc::new(tenant)),
+    }
+}
+
+#[test]
+fn a_request_is_explained_by_cause_and_versions_and_a_surge_is_one_line() {
+    let mut log = UnservedLog::default();
+    log.set_term(4);
+    log.set_backend_list(BackendListVersion {
+        term: 4,
+        revision: 9,
+    });
+    let at = Duration::from_secs;
+    let quota = Cause::rejected(Why::Quota);
+    log.add("q\"1", quota, false, &subject(), at(1));
+    log.add("q2", Cause::rejected(Why::Line), false, &subject(), at(2));
+    log.add("q3", Cause::Failed, true, &subject(), at(2));
+    log.add("q4", Cause::NoRoute, false, &Subject::default(), at(2));
+    assert_eq!(
+        log.to_json(Some("q\"1"), at(100)),
+        "{\"not_served\":{\"no_route\":1,\"line\":1,\"quota\":1,\"failed\":1},\"last\":[\n{\"at_ms\":101000,\
+         \"request\":\"q\\\"1\",\"cause\":\"quota\",\"may_have_run\":false,\"route\":\"r-1 r7\",\"tenant\":\"house r3\",\
+         \"coordinator_term\":4,\"list\":\"4.9\"}]}\n"
+    );
+    (0..5000).for_each(|_| log.add("q", quota, false, &subject(), at(3)));
+    let line = log.log_line(at(5)).expect("something happened");
+    assert_eq!(
+        line,
+        "5004 not served in 5 s: 5001 quota house r3, 1 no_route, 1 line r-1 r7, 1 others; coordinator's term 4, list 4.9."
+    );
+    assert_eq!(
+        (log.log_line(at(6)), log.log_line(at(10))),
+        (None, None),
+        "nothing since"
+    );
+    assert!(log.len() == 1000, "it grows without end");
+}
--- a/crates/registry/src/calls.rs
+++ b/crates/registry/src/calls.rs
@@ -1,179 +1,154 @@
-//! Outside calls, told by a tree of matchers: each node takes a part of the path, a leaf the method.
+//! Which outside call a request line means, by a tree of matchers: each node takes a segment of the path, a leaf the
+//! method.
 
 use std::collections::BTreeMap;
 
 /// What a caller wants.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Call {
+    /// The proxies for a client.
     Lookup {
+        /// The client's region.
         region: String,
+        /// The client's zone.
         zone: String,
     },
+    /// To change the configuration.
     Change,
+    /// The configuration.
     Read,
+    /// To take a zone out of service, or back in.
     Evacuate {
+        /// The zone.
         zone: String,
-        on: bool,
+        /// Whether it is to be out of service.
+        evacuated: bool,
     },
-    /// Rules for copies, set and read by staff.
-    ChangeCopies,
-    ReadCopies,
-    /// How the system stands, for staff.
+    /// To change the mirror rules.
+    ChangeMirrorRules,
+    /// The mirror rules.
+    ReadMirrorRules,
+    /// The state of the system.
     State,
 }
 
-#[derive(Clone, Debug, PartialEq)]
-pub enum Miss {
-    /// No such path.
-    Path,
+/// Why a request line means no call.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum CallError {
+    /// There is no such path.
+    #[error("no such path")]
+    UnknownPath,
     /// The path is known, the method is not.
-    Method,
+    #[error("no such method")]
+    UnknownMethod,
 }
 
-type Make = fn(&[&str], &BTreeMap<String, String>) -> Call;
+type Query = BTreeMap<String, String>;
+/// Makes a call of the wildcard segments and the query.
+type MakeCall = fn(&[&str], &Query) -> Call;
 
-enum Tree {
-    Part(&'static str, Vec<Tree>),
-    /// Any one part, handed to the leaf.
-    Any(Vec<Tree>),
-    Leaf(&'static str, Make),
+enum Matcher {
+    /// A given segment.
+    Segment(&'static str, Vec<Matcher>),
+    /// Any segment that is not empty; it is handed to the leaf.
+    Wildcard(Vec<Matcher>),
+    /// A method, where the path ends.
+    Method(&'static str, MakeCall),
 }
 
-fn tree() -> Vec<Tree> {
-    use Tree::{Any, Leaf, Part};
-    vec![Part(
-        "-",
-        vec![
-            Part(
-                "lookup",
-                vec![Leaf("GET", |_, q| {
-                    let get = |name: &str| q.get(name).cloned().unwrap_or_default();
-                    Call::Lookup {
-                        region: get("region"),
-                        zone: get("zone"),
-                    }
-                })],
-            ),
-            Part("state", vec![Leaf("GET", |_, _| Call::State)]),
-            Part(
-                "copies",
-                vec![
-                    Leaf("PATCH", |_, _| Call::ChangeCopies),
-                    Leaf("GET", |_, _| Call::ReadCopies),
-                ],
-            ),
-            Part(
-                "configuration",
-                vec![
-                    Leaf("PATCH", |_, _| Call::Change),
-                    Leaf("GET", |_, _| Call::Read),
-                ],
-            ),
-            Part(
-                "evacuations",
-                vec![Any(vec![
-                    Leaf("POST", |any, _| Call::Evacuate {
-                        zone: any[0].into(),
-                        on: true,
-                    }),
-                    Leaf("DELETE", |any, _| Call::Evacuate {
-                        zone: any[0].into(),
-                        on: false,
-                    }),
-                ])],
-            ),
-        ],
-    )]
+fn matchers() -> Vec<Matcher> {
+    use Matcher::{Method, Segment, Wildcard};
+    let lookup = Method("GET", |_, query| {
+        let parameter = |name: &str| query.get(name).cloned().unwrap_or_default();
+        Call::Lookup {
+            region: parameter("region"),
+            zone: parameter("zone"),
+        }
+    });
+    let evacuations = Wildcard(vec![
+        Method("POST", |segments, _| Call::Evacuate {
+            zone: segments[0].into(),
+            evacuated: true,
+        }),
+        Method("DELETE", |segments, _| Call::Evacuate {
+            zone: segments[0].into(),
+            evacuated: false,
+        }),
+    ]);
+    let copies = vec![
+        Method("PATCH", |_, _| Call::ChangeMirrorRules),
+        Method("GET", |_, _| Call::ReadMirrorRules),
+    ];
+    let configuration = vec![
+        Method("PATCH", |_, _| Call::Change),
+        Method("GET", |_, _| Call::Read),
+    ];
+    let all = vec![
+        Segment("lookup", vec![lookup]),
+        Segment("state", vec![Method("GET", |_, _| Call::State)]),
+        Segment("copies", copies),
+        Segment("configuration", configuration),
+        Segment("evacuations", vec![evacuations]),
+    ];
+    vec![Segment("-", all)]
+}
+
+impl Call {
+    /// Reads a request line.
+    ///
+    /// # Errors
+    /// Where there is no such call.
+    pub fn read(method: &str, path: &str, query: Option<&str>) -> Result<Call, CallError> {
+        let pairs = query.unwrap_or_default().split('&');
+        let pairs = pairs.filter_map(|pair| pair.split_once('='));
+        let query = pairs
+            .map(|(name, value)| (name.to_string(), value.to_string()))
+            .collect();
+        let path = path.strip_prefix('/').ok_or(CallError::UnknownPath)?;
+        let segments: Vec<&str> = path.split('/').collect();
+        find(&matchers(), method, &segments, &mut Vec::new(), &query)
+    }
 }
 
-fn walk<'a>(
-    tree: &[Tree],
+fn find<'a>(
+    matchers: &[Matcher],
     method: &str,
-    parts: &[&'a str],
-    any: &mut Vec<&'a str>,
-    query: &BTreeMap<String, String>,
-) -> Result<Call, Miss> {
-    let Some((first, rest)) = parts.split_first() else {
-        let leaves = || {
-            tree.iter().filter_map(|t| {
-                if let Tree::Leaf(m, make) = t {
-                    Some((m, make))
-                } else {
-                    None
-                }
-            })
-        };
-        return match leaves().find(|l| *l.0 == method) {
-            Some((_, make)) => Ok(make(any, query)),
-            None if leaves().next().is_some() => Err(Miss::Method),
-            None => Err(Miss::Path),
-        };
+    segments: &[&'a str],
+    wildcards: &mut Vec<&'a str>,
+    query: &Query,
+) -> Result<Call, CallError> {
+    let Some((first, rest)) = segments.split_first() else {
+        let make = find_method(matchers, method)?;
+        return Ok(make(wildcards, query));
     };
-    for t in tree {
-        match t {
-            Tree::Part(name, below) if name == first => {
-                return walk(below, method, rest, any, query);
+    for matcher in matchers {
+        match matcher {
+            Matcher::Segment(name, below) if name == first => {
+                return find(below, method, rest, wildcards, query);
             }
-            Tree::Any(below) if !first.is_empty() => {
-                any.push(first);
-                return walk(below, method, rest, any, query);
+            Matcher::Wildcard(below) if !first.is_empty() => {
+                wildcards.push(first);
+                return find(below, method, rest, wildcards, query);
             }
             _ => {}
         }
     }
-    Err(Miss::Path)
+    Err(CallError::UnknownPath)
 }
 
-/// What a request line asks for.
-///
-/// # Errors
-/// Where there is no such call.
-pub fn read(method: &str, path: &str, query: Option<&str>) -> Result<Call, Miss> {
-    let pairs = query
-        .unwrap_or_default()
-        .split('&')
-        .filter_map(|p| p.split_once('='));
-    let query = pairs.map(|(k, v)| (k.to_string(), v.to_string())).collect();
-    let parts: Vec<&str> = path
-        .strip_prefix('/')
-        .ok_or(Miss::Path)?
-        .split('/')
-        .collect();
-    walk(&tree(), method, &parts, &mut Vec::new(), &query)
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn calls_are_told_by_path_then_method() {
-        let zone = |on| {
-            Ok(Call::Evacuate {
-                zone: "brest-a".into(),
-                on,
-            })
-        };
-        assert_eq!(read("POST", "/-/evacuations/brest-a", None), zone(true));
-        assert_eq!(read("DELETE", "/-/evacuations/brest-a", None), zone(false));
-        assert_eq!(
-            read("PUT", "/-/evacuations/brest-a", None),
-            Err(Miss::Method)
-        );
-        assert_eq!(read("POST", "/-/evacuations/", None), Err(Miss::Path));
-        assert_eq!(read("GET", "/-/evacuations", None), Err(Miss::Path));
-        assert_eq!(read("PATCH", "/-/configuration", None), Ok(Call::Change));
-        let lookup = Call::Lookup {
-            region: "finistere".into(),
-            zone: "brest-a".into(),
-        };
-        assert_eq!(
-            read(
-                "GET",
-                "/-/lookup",
-                Some("name=x&region=finistere&zone=brest-a")
-            ),
-            Ok(lookup)
-        );
+fn find_method(matchers: &[Matcher], method: &str) -> Result<MakeCall, CallError> {
+    let mut is_path = false;
+    for matcher in matchers {
+        if let Matcher::Method(name, make) = matcher {
+            if *name == method {
+                return Ok(*make);
+            }
+            is_path = true;
+        }
     }
+    Err(if is_path {
+        CallError::UnknownMethod
+    } else {
+        CallError::UnknownPath
+    })
 }
--- a/crates/registry/src/counts.rs
+++ b/crates/registry/src/counts.rs
@@ -1,138 +1,156 @@
-//! The shared counts that the coordinator keeps: what each proxy holds and was asked for under each name, and the sums. Free
-//! of I/O.
+//! The shared counts that the coordinator keeps: what each proxy has admitted and was asked for under each name, and the
+//! totals. Free of I/O.
 //!
-//! A proxy says what it holds as a whole: said twice it changes nothing, and whoever takes the duty has all
-//! counts as soon as each proxy has said its own. Who says something is told the sums. Of tenants that are asked
-//! for as much as their quota or nearly so, all proxies are told: where there are many, most have not said a word of a
-//! small tenant in the running slot, and would know nothing of the others.
+//! A proxy reports its whole count under a name: a report that comes twice changes nothing, and a new coordinator has all
+//! counts as soon as each proxy has reported its own. Who reports gets the totals. Of tenants that are asked for as much
+//! as their quota or nearly so, all proxies get the totals: where there are many, most have not reported anything of a
+//! small tenant in the current slot, and would know nothing of the others.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
 
 use damsonbeam_control::messages::NamedCount;
 
-/// A name's count outlives the longest window by far.
-const KEEP: Duration = Duration::from_secs(20);
-/// What is asked for is taken over this.
-const SPAN: Duration = Duration::from_millis(1000);
-/// All are told of a tenant that is asked for more than this part of its rate.
-const HOT: f64 = 0.8;
+/// A count is forgotten this long after its last report: the longest window is far shorter.
+const RETENTION: Duration = Duration::from_secs(20);
+/// Between two searches for counts to forget.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(5);
+/// The span over which a tenant's rate is measured.
+const RATE_SPAN: Duration = Duration::from_millis(1000);
+/// All proxies get the totals of a tenant that is asked for more than this part of its rate.
+const HOT_FRACTION: f64 = 0.8;
 
-/// What one proxy holds and was asked for.
+/// What one proxy reported of a name.
 #[derive(Clone, Copy, Debug, Default)]
-struct Held {
-    held: f64,
-    asked: f64,
+struct ProxyCount {
+    admitted: f64,
+    requested: f64,
 }
 
 #[derive(Debug, Default)]
 struct Count {
-    /// By the proxy's life.
-    holds: HashMap<u64, Held>,
-    held: f64,
-    asked: f64,
-    last: Duration,
+    by_incarnation: HashMap<u64, ProxyCount>,
+    admitted: f64,
+    requested: f64,
+    last_report: Duration,
 }
 
-/// What a tenant is asked for, and until when all are told of it.
+/// How fast units of a tenant are requested.
 #[derive(Debug, Default)]
-struct Asked {
-    rate: f64,
-    /// In the span that runs and in the last one.
-    now: f64,
-    before: f64,
-    from: Duration,
+struct RequestRate {
+    /// The tenant's quota; 0: none.
+    quota_per_s: f64,
+    /// Units requested in the present span and in the one before.
+    in_span: f64,
+    in_last_span: f64,
+    span_start: Duration,
 }
 
+/// The counts of all proxies under all names.
 #[derive(Debug, Default)]
 pub struct SharedCounts {
     counts: HashMap<String, Count>,
-    tenants: BTreeMap<String, Asked>,
-    changed: BTreeSet<String>,
-    swept: Duration,
+    tenants: BTreeMap<String, RequestRate>,
+    /// Names of hot tenants with new reports.
+    updated: BTreeSet<String>,
+    last_sweep: Duration,
 }
 
 impl SharedCounts {
-    /// Tenants' rates, as the configuration has them.
-    pub fn limit(&mut self, tenant: &str, rate: f64) {
-        self.tenants.entry(tenant.to_owned()).or_default().rate = rate;
+    /// Sets a tenant's rate, as the configuration has it.
+    pub fn set_rate(&mut self, tenant: &str, rate_per_s: f64) {
+        self.tenants
+            .entry(tenant.to_owned())
+            .or_default()
+            .quota_per_s = rate_per_s;
     }
 
-    /// What a proxy's life holds and was asked for under a name; tells the sums over all lives.
-    pub fn hold(&mut self, life: u64, count: &NamedCount, now: Duration) -> NamedCount {
-        if now >= self.swept + KEEP / 4 {
-            self.swept = now;
-            self.counts.retain(|_, c| now < c.last + KEEP);
-        }
-        let NamedCount { name, held, asked } = count;
+    /// Takes the count of a proxy's incarnation under a name; returns the total over all incarnations.
+    pub fn record(&mut self, incarnation: u64, count: &NamedCount, now: Duration) -> NamedCount {
+        self.sweep_when_due(now);
+        let NamedCount {
+            name,
+            admitted,
+            requested,
+        } = count;
+        let reported = ProxyCount {
+            admitted: *admitted,
+            requested: *requested,
+        };
+        // Most names are known: looked up first, they need not be copied.
         let known = match self.counts.get_mut(name) {
             Some(known) => known,
             None => self.counts.entry(name.clone()).or_default(),
         };
-        let before = known
-            .holds
-            .insert(
-                life,
-                Held {
-                    held: *held,
-                    asked: *asked,
-                },
-            )
-            .unwrap_or_default();
-        known.held += held - before.held;
-        known.asked += asked - before.asked;
-        known.last = now;
+        let before = known.by_incarnation.insert(incarnation, reported);
+        let before = before.unwrap_or_default();
+        known.admitted += admitted - before.admitted;
+        known.requested += requested - before.requested;
+        known.last_report = now;
         let total = NamedCount {
             name: name.clone(),
-            held: known.held,
-            asked: known.asked,
+            admitted: known.admitted,
+            requested: known.requested,
         };
-        let tenant = name.split_once('/').map_or(name.as_str(), |n| n.1);
-        if let Some(t) = self.tenants.get_mut(tenant) {
-            t.add((asked - before.asked).max(0.0), now);
-            if t.is_hot(now) {
-                self.changed.insert(name.clone());
+        if let Some(rate) = self.tenants.get_mut(tenant_of(name)) {
+            rate.add((requested - before.requested).max(0.0), now);
+            if rate.is_hot(now) {
+                self.updated.insert(name.clone());
             }
         }
         total
     }
 
-    /// Totals that all proxies are to be told now.
-    pub fn news(&mut self) -> Vec<NamedCount> {
-        let names = std::mem::take(&mut self.changed);
+    fn sweep_when_due(&mut self, now: Duration) {
+        if now >= self.last_sweep + SWEEP_INTERVAL {
+            self.last_sweep = now;
+            self.counts
+                .retain(|_, count| now < count.last_report + RETENTION);
+        }
+    }
+
+    /// Takes the totals that all proxies are to be sent now.
+    pub fn take_updates(&mut self) -> Vec<NamedCount> {
+        let names = std::mem::take(&mut self.updated);
         let total = |name: String| {
             let count = self.counts.get(&name)?;
             Some(NamedCount {
                 name,
-                held: count.held,
-                asked: count.asked,
+                admitted: count.admitted,
+                requested: count.requested,
             })
         };
         names.into_iter().filter_map(total).collect()
     }
 
+    /// Forgets all counts, but not the tenants.
     pub fn clear(&mut self) {
         self.counts.clear();
-        self.changed.clear();
+        self.updated.clear();
     }
 }
 
-impl Asked {
+/// A name is a slot's number, a slash and the tenant.
+fn tenant_of(name: &str) -> &str {
+    name.split_once('/').map_or(name, |(_, tenant)| tenant)
+}
+
+impl RequestRate {
     fn add(&mut self, units: f64, now: Duration) {
-        if now >= self.from + SPAN {
-            self.before = if now < self.from + SPAN * 2 {
-                self.now
-            } else {
-                0.0
-            };
-            (self.now, self.from) = (0.0, now);
+        if now >= self.span_start + RATE_SPAN {
+            let is_next_span = now < self.span_start + RATE_SPAN * 2;
+            self.in_last_span = if is_next_span { self.in_span } else { 0.0 };
+            self.in_span = 0.0;
+            self.span_start = now;
         }
-        self.now += units;
+        self.in_span += units;
     }
 
     fn is_hot(&self, now: Duration) -> bool {
-        let part = (now - self.from).as_secs_f64() / SPAN.as_secs_f64();
-        let pace = (self.now + self.before * (1.0 - part).max(0.0)) / SPAN.as_secs_f64();
-        self.rate > 0.0 && pace > HOT * self.rate
+        let span = RATE_SPAN.as_secs_f64();
+        let elapsed_part = (now - self.span_start).as_secs_f64() / span;
+        let rest_of_last_span = self.in_last_span * (1.0 - elapsed_part).max(0.0);
+        let rate = (self.in_span + rest_of_last_span) / span;
+        self.quota_per_s > 0.0 && rate > HOT_FRACTION * self.quota_per_s
     }
 }
--- a/crates/registry/src/directory.rs
+++ b/crates/registry/src/directory.rs
@@ -1,133 +1,92 @@
-//! Where clients go: proxies that are ready, near ones first, enough of them that the loss of one is borne.
+//! Where clients are sent: proxies that are ready, near ones first, enough of them that the loss of one is borne.
 
-use std::net::SocketAddr;
+use std::net::{IpAddr, SocketAddr};
 
 /// Addresses in an answer at most, by the protocol.
-const MOST: usize = 64;
-/// Fewer ready proxies in the client's region than this, and those of other regions are named too.
-const FEW: usize = 2;
+const MAX_ADDRESSES: usize = 64;
+/// With fewer proxies in the client's region than this, those of other regions are named too.
+const ENOUGH_IN_REGION: usize = 2;
 
-/// Partners for load summaries named at a time: more than a round has, so that a lost one is not missed.
-const PARTNERS: usize = 5;
+/// Partners for load reports that a proxy gets at a time: more than a round of gossip has, so that a lost one is not
+/// missed.
+const NEAR_PARTNERS: usize = 5;
 const FAR_PARTNERS: usize = 2;
 
-/// A proxy as it said it stands.
+/// A proxy as it reported itself.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProxyEndpoint {
-    pub front: SocketAddr,
+    /// Where clients reach it.
+    pub address: SocketAddr,
+    /// Its zone.
     pub zone: String,
+    /// Its region.
     pub region: String,
+    /// Whether it takes requests.
     pub ready: bool,
 }
 
-/// The proxies for a client of that place: all of its region, where load evens out over its zones for a
-/// millisecond; another region costs its way there and back on every request.
-pub fn near(endpoints: &[ProxyEndpoint], region: &str, zone: &str) -> Vec<SocketAddr> {
-    let ready: Vec<&ProxyEndpoint> = endpoints.iter().filter(|p| p.ready).collect();
+/// The proxies for a client in that region and zone: all of its region, where load evens out over its zones for a
+/// millisecond; another region costs a round trip on every request.
+pub fn proxies_near(endpoints: &[ProxyEndpoint], region: &str, zone: &str) -> Vec<SocketAddr> {
+    let ready: Vec<&ProxyEndpoint> = endpoints.iter().filter(|proxy| proxy.ready).collect();
     // Nobody ready: whoever is there may still answer, and an empty answer counts as a failure.
-    let mut all: Vec<&ProxyEndpoint> = if ready.is_empty() {
+    let mut proxies = if ready.is_empty() {
         endpoints.iter().collect()
     } else {
         ready
     };
-    all.sort_by_key(|p| (p.region != region, p.zone != zone, p.front));
-    let home = all.iter().filter(|p| p.region == region).count();
-    if home >= FEW {
-        all.truncate(home);
+    proxies.sort_by_key(|proxy| (proxy.region != region, proxy.zone != zone, proxy.address));
+    let in_region = proxies
+        .iter()
+        .filter(|proxy| proxy.region == region)
+        .count();
+    if in_region >= ENOUGH_IN_REGION {
+        proxies.truncate(in_region);
     }
-    all.truncate(MOST);
-    all.into_iter().map(|p| p.front).collect()
+    proxies.truncate(MAX_ADDRESSES);
+    proxies.into_iter().map(|proxy| proxy.address).collect()
 }
 
-/// With whom a proxy exchanges load summaries: a few of its region and of others, other ones by turns.
+/// With whom a proxy exchanges load reports.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Partners {
+    /// Proxies of its region.
+    pub near: Vec<SocketAddr>,
+    /// Proxies of other regions.
+    pub far: Vec<SocketAddr>,
+}
+
+/// A few partners of a proxy, other ones at each turn.
 pub fn partners(
     endpoints: &[ProxyEndpoint],
-    me: SocketAddr,
+    own_address: SocketAddr,
     region: &str,
     turn: u32,
-) -> (Vec<SocketAddr>, Vec<SocketAddr>) {
-    let some = |same: bool, few: usize| {
-        let fit = endpoints
-            .iter()
-            .filter(|p| p.ready && p.front != me && (p.region == region) == same);
-        let mut all: Vec<SocketAddr> = fit.map(|p| p.front).collect();
-        // Each begins elsewhere: were all told of the same few, those alone would hear.
-        let from = u32::from(me.port())
-            ^ if let std::net::IpAddr::V4(v4) = me.ip() {
-                v4.to_bits()
-            } else {
-                0
-            };
-        let turn = from
-            .wrapping_mul(0x9e37_79b9)
-            .wrapping_add(turn.wrapping_mul(few as u32)) as usize;
-        let len = all.len().max(1);
-        all.rotate_left(turn % len);
-        all.truncate(few);
-        all
+) -> Partners {
+    let is_other = |proxy: &&ProxyEndpoint| proxy.ready && proxy.address != own_address;
+    let select = |in_region: bool, count: usize| {
+        let others = endpoints.iter().filter(is_other);
+        let others = others.filter(|proxy| (proxy.region == region) == in_region);
+        let mut addresses: Vec<SocketAddr> = others.map(|proxy| proxy.address).collect();
+        let first = first_partner(own_address, turn.wrapping_mul(count as u32));
+        let length = addresses.len().max(1);
+        addresses.rotate_left(first % length);
+        addresses.truncate(count);
+        addresses
     };
-    (some(true, PARTNERS), some(false, FAR_PARTNERS))
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn post(n: u8, region: &str, ready: bool) -> ProxyEndpoint {
-        let front = SocketAddr::from(([10, 0, 0, n], 80));
-        ProxyEndpoint {
-            front,
-            zone: format!("{region}-a"),
-            region: region.into(),
-            ready,
-        }
-    }
-
-    #[test]
-    fn partners_are_few_and_by_turns_all() {
-        let all: Vec<ProxyEndpoint> = (1..30)
-            .map(|n| post(n, if n < 20 { "x" } else { "y" }, n != 7))
-            .collect();
-        let met = |n: u8| {
-            let (mut near, mut far) = (
-                std::collections::BTreeSet::new(),
-                std::collections::BTreeSet::new(),
-            );
-            for turn in 0..20 {
-                let (a, b) = partners(&all, all[n as usize - 1].front, "x", turn);
-                assert!(a.len() <= PARTNERS && b.len() <= FAR_PARTNERS);
-                near.extend(a);
-                far.extend(b);
-            }
-            (near.len(), far.len())
-        };
-        assert_eq!(
-            (met(1), met(2)),
-            ((17, 10), (17, 10)),
-            "all ready ones but itself"
-        );
-        let first = |n: usize| partners(&all, all[n].front, "x", 0).0;
-        assert!(
-            (0..6).any(|n| first(n) != first(0)),
-            "all are told of the same few"
-        );
+    Partners {
+        near: select(true, NEAR_PARTNERS),
+        far: select(false, FAR_PARTNERS),
     }
+}
 
-    #[test]
-    fn the_region_first_and_others_where_it_is_nearly_gone() {
-        let all = [
-            post(1, "x", true),
-            post(2, "x", true),
-            post(3, "y", true),
-            post(4, "x", false),
-        ];
-        assert_eq!(near(&all, "x", "x-a").len(), 2);
-        assert_eq!(near(&all, "y", "y-a").len(), 3);
-        assert_eq!(near(&all, "y", "y-a")[0], all[2].front);
-        assert_eq!(
-            near(&[post(4, "x", false)], "x", "x-a").len(),
-            1,
-            "no answer at all is worse"
-        );
-    }
+/// Each proxy begins elsewhere: were all given the same few, those alone would get reports.
+fn first_partner(own_address: SocketAddr, offset: u32) -> usize {
+    const GOLDEN_RATIO: u32 = 0x9e37_79b9;
+    let ip = match own_address.ip() {
+        IpAddr::V4(v4) => v4.to_bits(),
+        IpAddr::V6(_) => 0,
+    };
+    let own = u32::from(own_address.port()) ^ ip;
+    own.wrapping_mul(GOLDEN_RATIO).wrapping_add(offset) as usize
 }
--- a/crates/registry/src/gossip.rs
+++ b/crates/registry/src/gossip.rs
@@ -1,60 +1,57 @@
-//! Datagrams among registries: probes, member updates, lease messages.
+//! The socket for datagrams among registries.
 
+use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use damsonbeam_control::messages::{Datagram, GossipBody, Ip, addr, unpack};
-use damsonbeam_control::settings::Port;
+use damsonbeam_control::address::ip_addr;
+use damsonbeam_control::messages::{Datagram, decode};
+use damsonbeam_control::settings::{InternalPort, Settings};
 use tokio::net::UdpSocket;
 
-use crate::state::Shared;
-
-/// Receives datagrams and answers them.
-pub(crate) async fn receive(registry: Shared, socket: Rc<UdpSocket>) {
-    let mut buf = vec![0; 64 << 10];
-    let port = registry
-        .borrow()
-        .settings
-        .inner(registry.borrow().settings.ip, Port::Gossip)
-        .port();
-    loop {
-        let Ok((n, from)) = socket.recv_from(&mut buf).await else {
-            continue;
-        };
-        let Ok(d) = unpack::<Datagram>(&buf[..n]) else {
-            continue;
-        };
-        if from.ip() != addr(d.from) {
-            continue;
+use crate::registry::{OutgoingDatagram, SharedRegistry};
+
+/// A datagram's size at most.
+const MAX_DATAGRAM_BYTES: usize = 64 << 10;
+
+/// Sends and receives datagrams; all registries use the same port.
+#[derive(Clone)]
+pub(crate) struct GossipSocket {
+    socket: Rc<UdpSocket>,
+    port: u16,
+}
+
+impl GossipSocket {
+    pub(crate) async fn bind(settings: &Settings) -> io::Result<Self> {
+        let address = settings.internal_address(settings.ip_address, InternalPort::Gossip);
+        let socket = UdpSocket::bind(address).await?;
+        Ok(GossipSocket {
+            socket: Rc::new(socket),
+            port: address.port(),
+        })
+    }
+
+    pub(crate) async fn send(&self, datagrams: Vec<OutgoingDatagram>) {
+        for (to, bytes) in datagrams {
+            let address = SocketAddr::new(ip_addr(to), self.port);
+            self.socket.send_to(&bytes, address).await.ok();
         }
-        let out: Vec<(Ip, Vec<u8>)> = {
-            let mut w = registry.borrow_mut();
-            let now = w.now();
-            // The coordinator's time is the common time.
-            let coordinator = w.lease.holder(now).is_some_and(|h| h.0 == d.from);
-            w.observe_time(d.time_ms, coordinator);
-            w.lease.observe_epoch(d.epoch);
-            if let GossipBody::Pong { no } = d.body {
-                w.contact.receive_answer(d.from, no);
-            }
-            let (mut back, changes) = w.members.heard(d.from, &d.body, &d.updates, now);
-            changes
-                .iter()
-                .for_each(|(ip, state)| log::info!("members: {} is {state:?}.", addr(*ip)));
-            if let GossipBody::Lease(message) = &d.body
-                && let Some(answer) = w.lease.receive(d.from, message, now)
-            {
-                back.push((d.from, GossipBody::Lease(answer)));
+    }
+
+    /// Hands all datagrams to the registry, and sends its answers.
+    pub(crate) async fn receive_all(self, registry: SharedRegistry) {
+        let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
+        loop {
+            let Ok((length, from)) = self.socket.recv_from(&mut buffer).await else {
+                continue;
+            };
+            let Ok(datagram) = decode::<Datagram>(&buffer[..length]) else {
+                continue;
+            };
+            if from.ip() == ip_addr(datagram.from) {
+                let answers = registry.borrow_mut().receive_datagram(&datagram);
+                self.send(answers).await;
             }
-            back.into_iter()
-                .map(|(to, what)| (to, w.datagram(to, what)))
-                .collect()
-        };
-        for (to, bytes) in out {
-            socket
-                .send_to(&bytes, SocketAddr::new(addr(to), port))
-                .await
-                .ok();
         }
     }
 }
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -1,134 +1,118 @@
-//! The registry: members, the coordinator's lease, connections of proxies, the platform's list, outside calls.
+//! The registry: it knows the other registries, the proxies, the backends and the configuration, and takes the outside
+//! calls. One registry at a time is the coordinator, which reads the platform's list and keeps the shared counts. It is
+//! not for storing anything: what must last is the configuration store's.
+//!
+//! In reading order:
+//!
+//! - [`coordinator`], [`counts`], [`backend_list`], [`directory`], [`calls`]: decisions, free of I/O
+//! - `common_time`, `proxies`, `store_session`: the parts of a registry's state
+//! - `registry`: the state as a whole, and what happens to it; `proxy_updates`: what proxies are sent
+//! - `gossip`, `links`, `operators`, `platform`: sockets and connections; `report`: bodies of answers
+
+#![warn(missing_docs)]
 
 pub mod backend_list;
 pub mod calls;
-mod config_transfer;
+mod common_time;
+pub mod coordinator;
 pub mod counts;
 pub mod directory;
-pub mod duty;
 mod gossip;
+mod links;
 mod operators;
 mod platform;
 mod proxies;
+mod proxy_updates;
+mod registry;
 mod report;
-mod state;
-mod store_link;
+mod store_session;
 
 use std::cell::RefCell;
-use std::collections::{BTreeMap, BTreeSet, HashMap};
-use std::net::SocketAddr;
+use std::io;
 use std::rc::Rc;
 use std::time::Duration;
 
-use damsonbeam_control::contact::Contact;
-use damsonbeam_control::items::ConfigSnapshot;
-use damsonbeam_control::lease::{LeaseElection, LeaseMessage};
-use damsonbeam_control::link;
-use damsonbeam_control::membership::Members;
-use damsonbeam_control::messages::{BackendSnapshot, GossipBody, Ip, addr, ip};
-use damsonbeam_control::settings::{Port, Settings};
-use tokio::net::UdpSocket;
+use damsonbeam_control::link::{LinkError, listen};
+use damsonbeam_control::program::check_reloaded_settings;
+use damsonbeam_control::settings::{InternalPort, Settings};
 use tokio::signal::unix::{SignalKind, signal};
-use tokio::time::{Instant, MissedTickBehavior, interval, sleep};
+use tokio::task::spawn_local;
+use tokio::time::{MissedTickBehavior, interval, sleep};
 
-use duty::Duty;
-use state::Registry;
+use gossip::GossipSocket;
+use registry::{Registry, SharedRegistry};
 
+/// Between two ticks of the registry.
 const TICK: Duration = Duration::from_millis(50);
-const DIAL_TIMEOUT: Duration = Duration::from_millis(800);
-const REDIAL_PAUSE: Duration = Duration::from_millis(200);
+/// Between two attempts to accept or open a connection.
+const RETRY_PAUSE: Duration = Duration::from_millis(200);
+/// After SIGTERM, calls that are under way are answered within this.
+const SHUTDOWN_TIME: Duration = Duration::from_millis(1200);
+
+/// Why a registry can't run.
+#[derive(Debug, thiserror::Error)]
+pub enum RegistryError {
+    /// Signals can't be waited for.
+    #[error(transparent)]
+    Signal(#[from] io::Error),
+    /// The port for datagrams is not to be had.
+    #[error("the port for datagrams: {0}")]
+    Gossip(io::Error),
+    /// An address can't be listened on.
+    #[error(transparent)]
+    Listen(#[from] LinkError),
+}
 
-/// One registry, from start to exit.
+/// Runs one registry until it is told to end.
 ///
 /// # Errors
 /// Where an address can't be listened on.
-pub async fn run(settings: Settings) -> Result<(), String> {
+pub async fn run(settings: Settings) -> Result<(), RegistryError> {
     // SIGHUP ends a program that has not asked for it.
-    let mut terminate = signal(SignalKind::terminate()).map_err(|e| e.to_string())?;
-    let mut hangup = signal(SignalKind::hangup()).map_err(|e| e.to_string())?;
+    let mut terminate = signal(SignalKind::terminate())?;
+    let mut hangup = signal(SignalKind::hangup())?;
     let settings = Rc::new(settings);
-    let me = ip(settings.ip);
-    let seeds: BTreeSet<Ip> = settings.seed_ips().into_iter().map(ip).collect();
-    let registry = Rc::new(RefCell::new(Registry {
-        me,
-        start: Instant::now(),
-        members: Members::new(me, seeds.iter().copied().collect(), Duration::ZERO),
-        lease: LeaseElection::new(me, Duration::ZERO),
-        contact: Contact::new(me),
-        duty: Duty::default(),
-        time: None,
-        proxies: BTreeMap::new(),
-        seen: BTreeMap::new(),
-        was_in_contact: false,
-        next_heartbeat: Duration::ZERO,
-        heartbeats: 0,
-        snapshot: ConfigSnapshot::default(),
-        has_all_items: false,
-        backends: BackendSnapshot::default(),
-        store: None,
-        asks: HashMap::new(),
-        next: 0,
-        roster: Vec::new(),
-        epoch_question: None,
-        leaving: false,
-        settings: settings.clone(),
-    }));
-    let socket = UdpSocket::bind(settings.inner(settings.ip, Port::Gossip)).await;
-    let socket = Rc::new(socket.map_err(|e| format!("the port for datagrams: {e}"))?);
-    tokio::task::spawn_local(proxies::serve(
-        registry.clone(),
-        link::listen(settings.inner(settings.ip, Port::Registry))?,
-    ));
-    tokio::task::spawn_local(store_link::hold(registry.clone()));
-    tokio::task::spawn_local(gossip::receive(registry.clone(), socket.clone()));
-    tokio::task::spawn_local(platform::poll(registry.clone()));
-    for name in ["control", "directory"] {
-        if let Ok(at) = settings.listens(name) {
-            tokio::task::spawn_local(operators::serve(registry.clone(), link::listen(at)?));
-        }
-    }
-    let port = settings.inner(settings.ip, Port::Gossip).port();
+    let registry = Rc::new(RefCell::new(Registry::new(settings.clone())));
+    let gossip = GossipSocket::bind(&settings)
+        .await
+        .map_err(RegistryError::Gossip)?;
+    serve_all(&registry, &settings, &gossip)?;
+    log::info!("registry: {} serves.", settings.node_name);
     let mut tick = interval(TICK);
     tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    log::info!("registry: {} serves.", settings.node);
-    let send = async |out: Vec<(Ip, Vec<u8>)>| {
-        for (to, bytes) in out {
-            socket
-                .send_to(&bytes, SocketAddr::new(addr(to), port))
-                .await
-                .ok();
-        }
-    };
     loop {
         tokio::select! {
             _ = tick.tick() => {
-                let out = registry.borrow_mut().tick();
-                send(out).await;
+                let datagrams = registry.borrow_mut().tick();
+                gossip.send(datagrams).await;
             }
-            _ = hangup.recv() => damsonbeam_control::reloaded("registry"),
+            _ = hangup.recv() => check_reloaded_settings("registry"),
             _ = terminate.recv() => {
-                let out: Vec<(Ip, Vec<u8>)> = {
-                    let mut w = registry.borrow_mut();
-                    w.leaving = true;
-                    let (now, alive) = (w.now(), w.members.alive());
-                    match w.lease.leave(now, &alive) {
-                        Some(vote) => {
-                            if let LeaseMessage::Yield { to, .. } = &vote {
-                                log::info!("coordinator: names {} its successor.", addr(*to));
-                            }
-                            w.duty.follow(None);
-                            let others = alive.into_iter().filter(|a| *a != me);
-                            others.map(|a| (a, w.datagram(a, GossipBody::Lease(vote.clone())))).collect()
-                        }
-                        None => vec![],
-                    }
-                };
-                send(out).await;
-                // Calls that are under way are answered.
-                sleep(Duration::from_millis(1200)).await;
+                let datagrams = registry.borrow_mut().leave();
+                gossip.send(datagrams).await;
+                sleep(SHUTDOWN_TIME).await;
                 log::info!("registry: ends.");
                 return Ok(());
             }
         }
     }
 }
+
+/// Starts the tasks of all sockets and connections.
+fn serve_all(
+    registry: &SharedRegistry,
+    settings: &Settings,
+    gossip: &GossipSocket,
+) -> Result<(), RegistryError> {
+    let address = settings.internal_address(settings.ip_address, InternalPort::Registry);
+    spawn_local(links::accept_proxies(registry.clone(), listen(address)?));
+    spawn_local(links::keep_store_connected(registry.clone()));
+    spawn_local(gossip.clone().receive_all(registry.clone()));
+    spawn_local(platform::poll(registry.clone()));
+    for name in ["control", "directory"] {
+        if let Ok(address) = settings.listen_address(name) {
+            spawn_local(operators::serve(registry.clone(), listen(address)?));
+        }
+    }
+    Ok(())
+}
--- /dev/null
+++ b/crates/registry/src/links.rs
@@ -0,0 +1,57 @@
+//! The held connections: those that proxies open, and the one to the store on this machine.
+
+use std::time::Duration;
+
+use damsonbeam_control::link;
+use damsonbeam_control::messages::Message;
+use damsonbeam_control::settings::InternalPort;
+use tokio::net::TcpListener;
+use tokio::time::sleep;
+
+use crate::RETRY_PAUSE;
+use crate::registry::SharedRegistry;
+
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
+/// The store sends when there is something to send; it is on this machine, so nothing else can be silent.
+const STORE_SILENCE_TIMEOUT: Duration = Duration::from_secs(3600);
+
+/// Accepts the connections of proxies.
+pub(crate) async fn accept_proxies(registry: SharedRegistry, listener: TcpListener) {
+    for link in 1u64.. {
+        let Ok((stream, _)) = listener.accept().await else {
+            sleep(RETRY_PAUSE).await;
+            continue;
+        };
+        link::configure(&stream);
+        let registry = registry.clone();
+        tokio::task::spawn_local(async move {
+            let (mut reader, sender) = link::split(stream);
+            while let Ok(message) = reader.next::<Message>(link::SILENCE_TIMEOUT).await {
+                registry
+                    .borrow_mut()
+                    .receive_from_proxy(link, &sender, message);
+            }
+            registry.borrow_mut().proxy_disconnected(link);
+        });
+    }
+}
+
+/// Connects to the store, again and again for as long as the process runs.
+pub(crate) async fn keep_store_connected(registry: SharedRegistry) {
+    let address = {
+        let registry = registry.borrow();
+        let settings = registry.settings();
+        settings.internal_address(settings.ip_address, InternalPort::Store)
+    };
+    loop {
+        if let Ok(stream) = link::connect(address, CONNECT_TIMEOUT).await {
+            let (mut reader, sender) = link::split(stream);
+            registry.borrow_mut().store_connected(sender);
+            while let Ok(message) = reader.next::<Message>(STORE_SILENCE_TIMEOUT).await {
+                registry.borrow_mut().receive_from_store(message);
+            }
+            registry.borrow_mut().store_disconnected();
+        }
+        sleep(RETRY_PAUSE).await;
+    }
+}
--- a/crates/registry/src/main.rs
+++ b/crates/registry/src/main.rs
@@ -2,8 +2,10 @@
 
 use std::process::ExitCode;
 
+use damsonbeam_control::program::run_program;
+
 fn main() -> ExitCode {
     let about =
         "One registry: members, backends, and the outside calls. Configured by DAMSONBEAM_CONFIG.";
-    damsonbeam_control::program("registry", about, damsonbeam_registry::run)
+    run_program("registry", about, damsonbeam_registry::run)
 }
--- a/crates/registry/src/platform.rs
+++ b/crates/registry/src/platform.rs
@@ -4,109 +4,120 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use damsonbeam_control::messages::Server;
+use damsonbeam_control::messages::Backend;
 use http_body_util::{BodyExt, Empty};
 use hyper::{Request, StatusCode};
 use hyper_util::rt::TokioIo;
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep, timeout};
 
-use crate::state::Shared;
-use crate::{TICK, backend_list};
+use crate::TICK;
+use crate::backend_list::{Page, PageError, read_page};
+use crate::registry::{SharedRegistry, log_list_dropped};
 
-/// Between two readings of the platform's list, as a part of the time in which a drain must be kept: the rest is for
-/// a coordinator's loss.
+/// Between two readings of the list, as a part of the time in which a drain must be obeyed: the rest is for a
+/// coordinator's loss.
 const POLL_FRACTION_OF_DRAIN: f64 = 0.2;
+/// The time in which a drain must be obeyed, where the settings do not say.
+const DEFAULT_DRAIN_MS: u64 = 2500;
 /// A call to the platform is given up after this.
-const PLATFORM_TIMEOUT: Duration = Duration::from_millis(900);
+const CALL_TIMEOUT: Duration = Duration::from_millis(900);
+/// A coordinator takes this part of the calls that the platform allows: two coordinators in a row, each with its own
+/// calls in one second, stay within it.
+const FRACTION_OF_RATE: f64 = 0.5;
 
-async fn get(at: SocketAddr, path: String) -> Result<(StatusCode, Vec<u8>), String> {
-    let stream = TcpStream::connect(at).await.map_err(|e| e.to_string())?;
-    stream.set_nodelay(true).ok();
-    let (mut send, conn) = hyper::client::conn::http1::handshake(TokioIo::new(stream))
-        .await
-        .map_err(|e| e.to_string())?;
-    tokio::task::spawn_local(async move { conn.await.ok() });
-    let request = Request::get(path)
-        .header("host", at.to_string())
-        .body(Empty::<Bytes>::new());
-    let answer = send
-        .send_request(request.map_err(|e| e.to_string())?)
-        .await
-        .map_err(|e| e.to_string())?;
-    let status = answer.status();
-    let body = answer
-        .into_body()
-        .collect()
-        .await
-        .map_err(|e| e.to_string())?
-        .to_bytes();
-    Ok((status, body.to_vec()))
+/// Why a page of the list can't be read.
+#[derive(Debug, thiserror::Error)]
+enum PlatformError {
+    #[error("no answer in time")]
+    Timeout,
+    #[error("answered {0}")]
+    Status(StatusCode),
+    #[error(transparent)]
+    Io(#[from] std::io::Error),
+    #[error(transparent)]
+    Http(#[from] hyper::Error),
+    #[error(transparent)]
+    Request(#[from] hyper::http::Error),
+    #[error(transparent)]
+    Page(#[from] PageError),
 }
 
-/// The coordinator reads the platform's list, page by page, within the rate that all share: one holder, so it is its alone.
-pub(crate) async fn poll(registry: Shared) {
-    let Some((at, rate)) = registry.borrow().settings.cloud else {
+/// Reads the list again and again while this registry is the coordinator, within the rate that all share.
+pub(crate) async fn poll(registry: SharedRegistry) {
+    let Some(api) = registry.borrow().settings().cloud_api else {
         return;
     };
-    // Half of the rate: two holders in a row, each with its own calls in one second, stay within it.
-    let apart = Duration::from_secs_f64(2.0 / rate);
-    let every = registry
+    let call_interval = Duration::from_secs_f64(1.0 / (api.rate_per_s * FRACTION_OF_RATE));
+    let drain = registry
         .borrow()
-        .settings
-        .bound_ms("drain_ms", 2500)
-        .mul_f64(POLL_FRACTION_OF_DRAIN);
+        .settings()
+        .bound_ms("drain_ms", DEFAULT_DRAIN_MS);
+    let poll_interval = drain.mul_f64(POLL_FRACTION_OF_DRAIN);
     loop {
-        let Some(term) = registry.borrow().term_now() else {
+        let Some(term) = registry.borrow().acting_term() else {
             sleep(TICK).await;
             continue;
         };
         let began = Instant::now();
-        if let Some(servers) = read_all(&registry, at, term, apart).await {
-            registry.borrow_mut().publish_list(term, servers);
+        if let Some(backends) = read_list(&registry, api.address, term, call_interval).await {
+            registry.borrow_mut().publish_list(term, backends);
         }
-        sleep(every.saturating_sub(began.elapsed()).max(apart)).await;
+        let rest = poll_interval.saturating_sub(began.elapsed());
+        sleep(rest.max(call_interval)).await;
     }
 }
 
-/// All pages of the list; none where one can't be read, or where the lease has ended before it is asked for.
-async fn read_all(
-    registry: &Shared,
-    at: SocketAddr,
+/// All pages of the list; `None` where one can't be read, or where the lease has ended before it is asked for.
+async fn read_list(
+    registry: &SharedRegistry,
+    platform: SocketAddr,
     term: u64,
-    apart: Duration,
-) -> Option<Vec<Server>> {
-    let (mut all, mut token) = (Vec::new(), None::<String>);
+    call_interval: Duration,
+) -> Option<Vec<Backend>> {
+    let mut backends = Vec::new();
+    let mut path = "/instances".to_string();
     loop {
-        if registry.borrow().term_now() != Some(term) {
-            log::info!("list: the duty is over, the reading of term {term} is dropped.");
+        if registry.borrow().acting_term() != Some(term) {
+            log_list_dropped(term);
             return None;
         }
-        let path = token.as_ref().map_or("/instances".into(), |t| {
-            format!("/instances?page_token={t}")
-        });
-        match read_page(at, path).await {
-            Ok((servers, next)) => {
-                all.extend(servers);
-                token = next;
-            }
-            Err(why) => {
-                log::warn!("list: {why}.");
+        let page = match fetch_page(platform, path).await {
+            Ok(page) => page,
+            Err(error) => {
+                log::warn!("list: {error}.");
                 return None;
             }
-        }
-        if token.is_none() {
-            return Some(all);
-        }
-        sleep(apart).await;
+        };
+        backends.extend(page.backends);
+        let Some(token) = page.next_token else {
+            return Some(backends);
+        };
+        path = format!("/instances?page_token={token}");
+        sleep(call_interval).await;
     }
 }
 
-async fn read_page(at: SocketAddr, path: String) -> Result<(Vec<Server>, Option<String>), String> {
-    match timeout(PLATFORM_TIMEOUT, get(at, path)).await {
-        Ok(Ok((StatusCode::OK, body))) => backend_list::page(body),
-        Ok(Ok((status, _))) => Err(format!("answered {status}")),
-        Ok(Err(why)) => Err(why),
-        Err(_) => Err("no answer in time".into()),
+async fn fetch_page(platform: SocketAddr, path: String) -> Result<Page, PlatformError> {
+    let answer = timeout(CALL_TIMEOUT, get(platform, path)).await;
+    let body = answer.map_err(|_| PlatformError::Timeout)??;
+    Ok(read_page(body)?)
+}
+
+async fn get(platform: SocketAddr, path: String) -> Result<Vec<u8>, PlatformError> {
+    let stream = TcpStream::connect(platform).await?;
+    stream.set_nodelay(true).ok();
+    let io = TokioIo::new(stream);
+    let (mut sender, connection) = hyper::client::conn::http1::handshake(io).await?;
+    tokio::task::spawn_local(async move { connection.await.ok() });
+    let request = Request::get(path).header("host", platform.to_string());
+    let answer = sender
+        .send_request(request.body(Empty::<Bytes>::new())?)
+        .await?;
+    let status = answer.status();
+    let body = answer.into_body().collect().await?.to_bytes();
+    if status != StatusCode::OK {
+        return Err(PlatformError::Status(status));
     }
+    Ok(body.to_vec())
 }
--- a/crates/registry/src/proxies.rs
+++ b/crates/registry/src/proxies.rs
@@ -1,237 +1,196 @@
-//! Connections of proxies: their status, heartbeats to them, configuration, backends and counts.
+//! The proxies that are connected, and those seen of late.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use damsonbeam_control::link::{self, Out};
-use damsonbeam_control::messages::{Heartbeat, Ip, Message, NamedCount, ProxyStatus, ip};
-use tokio::net::TcpListener;
-use tokio::time::sleep;
+use damsonbeam_control::config::Item;
+use damsonbeam_control::link::MessageSender;
+use damsonbeam_control::messages::{BackendList, Message, ProxyStatus, encode};
 
-use crate::REDIAL_PAUSE;
-use crate::config_transfer;
-use crate::directory::{self, ProxyEndpoint};
-use crate::state::{Registry, Shared};
+use crate::directory::ProxyEndpoint;
 
-/// Of so many, a proxy of another region gets one where this registry is not the coordinator: bytes between regions are paid for.
-const FAR_HEARTBEAT_EVERY: u32 = 3;
-/// A proxy that said nothing for so long is not attached any more, and not named to clients.
-const PROXY_SILENCE: Duration = Duration::from_millis(1300);
-/// Proxies not seen for so long may be serving out of touch: their part of each quota stays theirs.
-const PROXY_FORGOTTEN_AFTER: Duration = Duration::from_secs(30);
+/// A proxy that sent nothing for this long is not attached any more, and not named to clients.
+const ATTACHED_TIMEOUT: Duration = Duration::from_millis(1300);
+/// Proxies not seen for this long may be serving out of contact: until then their share of each quota stays theirs.
+const KNOWN_TIMEOUT: Duration = Duration::from_secs(30);
 
+/// Numbers the connections of proxies.
+pub(crate) type LinkNumber = u64;
+
+/// A connection of a proxy.
 pub(crate) struct ProxySession {
-    pub(crate) status: ProxyStatus,
-    pub(crate) out: Out,
-    pub(crate) last: Duration,
-    pub(crate) no: u64,
-    pub(crate) acked: u64,
-    /// It exchanges load summaries with others.
-    pub(crate) tells_loads: bool,
+    status: ProxyStatus,
+    sender: MessageSender,
+    last_seen: Duration,
+    /// The number of the last update sent, and of the last one acknowledged.
+    last_update: u64,
+    acknowledged: u64,
+    exchanges_load_reports: bool,
 }
 
-impl Registry {
-    pub(crate) fn known_proxies(&mut self) -> u32 {
-        let now = self.now();
-        self.seen.retain(|_, at| now < *at + PROXY_FORGOTTEN_AFTER);
-        self.seen.len() as u32
-    }
-
-    pub(crate) fn attached(&self) -> impl Iterator<Item = &ProxySession> {
-        let now = self.now();
-        self.proxies
-            .values()
-            .filter(move |p| now < p.last + PROXY_SILENCE)
-    }
-
-    /// Whether a proxy is this one's to tell news: those of its region, and all where it is the coordinator. The others
-    /// hear from their own region's registries, see by the beats what they lack, and ask for it.
-    pub(crate) fn tells(&self, status: &ProxyStatus) -> bool {
-        self.duty.term().is_some() || self.region(&status.zone) == self.settings.region
-    }
-
-    /// To all proxies whose turn it is, or to one that has just come.
-    pub(crate) fn send_heartbeats(&mut self, newcomer: Option<u64>) {
-        let now = self.now();
-        let (proxies, coordinator) = (self.known_proxies(), self.lease.holder(now));
-        let nodes: BTreeSet<&str> = self.attached().map(|p| &*p.status.node).collect();
-        let attached = nodes.len() as u32;
-        let mut registries = self.members.alive();
-        registries.retain(|w| *w != self.me);
-        registries.insert(0, self.me);
-        let ready = self.attached().filter(|p| p.status.ready);
-        let ready: BTreeSet<(String, String)> = ready
-            .map(|p| (self.region(&p.status.zone), p.status.node.clone()))
-            .collect();
-        let heartbeat = Heartbeat {
-            time_ms: self.time_ms().unwrap_or(0),
-            registries,
-            in_contact: self.is_in_contact(),
-            coordinator,
-            proxies,
-            attached,
-            near: 0,
-            place: 0,
-            items: if self.has_all_items {
-                self.snapshot.digest()
-            } else {
-                0
-            },
-            list: (self.backends.term, self.backends.reading),
-        };
-        self.heartbeats += u32::from(newcomer.is_none());
-        let endpoints = self.endpoints();
-        let ips = |all: &[SocketAddr]| all.iter().map(|a| ip(a.ip())).collect::<Vec<Ip>>();
-        let far_turn = self.heartbeats.is_multiple_of(FAR_HEARTBEAT_EVERY);
-        for (link, p) in &self.proxies {
-            let is_due = match newcomer {
-                Some(newcomer) => newcomer == *link,
-                None => far_turn || self.tells(&p.status),
+impl ProxySession {
+    pub(crate) fn status(&self) -> &ProxyStatus {
+        &self.status
+    }
+
+    pub(crate) fn exchanges_load_reports(&self) -> bool {
+        self.exchanges_load_reports
+    }
+
+    pub(crate) fn silent_for(&self, now: Duration) -> Duration {
+        now - self.last_seen
+    }
+
+    pub(crate) fn unacknowledged_updates(&self) -> u64 {
+        self.last_update - self.acknowledged
+    }
+
+    pub(crate) fn send(&self, message: &Message) {
+        self.sender.send(message);
+    }
+
+    fn next_update(&mut self) -> u64 {
+        self.last_update += 1;
+        self.last_update
+    }
+
+    pub(crate) fn send_config_update(&mut self, items: Vec<Item>) {
+        let number = self.next_update();
+        self.send(&Message::ConfigUpdate { number, items });
+    }
+
+    pub(crate) fn send_backend_page(&mut self, list: BackendList, page: u32, pages: u32) {
+        let number = self.next_update();
+        self.send(&Message::BackendUpdate {
+            number,
+            list,
+            page,
+            pages,
+        });
+    }
+}
+
+/// The connections of proxies, and when each proxy was last seen on any.
+#[derive(Default)]
+pub(crate) struct ProxySessions {
+    sessions: BTreeMap<LinkNumber, ProxySession>,
+    last_seen: BTreeMap<String, Duration>,
+}
+
+impl ProxySessions {
+    pub(crate) fn all(&self) -> impl Iterator<Item = (LinkNumber, &ProxySession)> {
+        self.sessions.iter().map(|(link, session)| (*link, session))
+    }
+
+    pub(crate) fn len(&self) -> usize {
+        self.sessions.len()
+    }
+
+    pub(crate) fn get(&self, link: LinkNumber) -> Option<&ProxySession> {
+        self.sessions.get(&link)
+    }
+
+    pub(crate) fn get_mut(&mut self, link: LinkNumber) -> Option<&mut ProxySession> {
+        self.sessions.get_mut(&link)
+    }
+
+    /// The proxies that have sent something of late.
+    pub(crate) fn attached(&self, now: Duration) -> impl Iterator<Item = &ProxySession> {
+        let is_attached = move |session: &&ProxySession| now < session.last_seen + ATTACHED_TIMEOUT;
+        self.sessions.values().filter(is_attached)
+    }
+
+    /// How many proxies are attached; one that has just reconnected counts once.
+    pub(crate) fn attached_count(&self, now: Duration) -> usize {
+        let nodes = self
+            .attached(now)
+            .map(|session| session.status.node.as_str());
+        nodes.collect::<BTreeSet<&str>>().len()
+    }
+
+    /// How many proxies have been seen of late on any connection.
+    pub(crate) fn known_count(&mut self, now: Duration) -> usize {
+        self.last_seen
+            .retain(|_, last_seen| now < *last_seen + KNOWN_TIMEOUT);
+        self.last_seen.len()
+    }
+
+    /// The attached proxies, each once, as the directory names them.
+    pub(crate) fn endpoints(
+        &self,
+        now: Duration,
+        region_of: impl Fn(&str) -> String,
+    ) -> Vec<ProxyEndpoint> {
+        let mut by_node: BTreeMap<&str, ProxyEndpoint> = BTreeMap::new();
+        for session in self.attached(now) {
+            let status = &session.status;
+            let endpoint = ProxyEndpoint {
+                address: SocketAddr::from(status.address),
+                zone: status.zone.clone(),
+                region: region_of(&status.zone),
+                ready: status.ready,
             };
-            if !is_due {
-                continue;
-            }
-            let region = self.region(&p.status.zone);
-            let home = ready.iter().filter(|r| r.0 == region);
-            let (near, place) = (
-                home.clone().count() as u32,
-                home.take_while(|r| r.1 < p.status.node).count() as u32,
-            );
-            p.out.send(&Message::Heartbeat(Heartbeat {
-                near,
-                place,
-                ..heartbeat.clone()
-            }));
-            if p.tells_loads {
-                let (near, far) =
-                    directory::partners(&endpoints, p.status.front(), &region, self.heartbeats);
-                p.out.send(&Message::Partners {
-                    near: ips(&near),
-                    far: ips(&far),
-                });
-            }
+            by_node.insert(&status.node, endpoint);
         }
+        by_node.into_values().collect()
     }
 
-    /// The list as last read; by others, where this one is not the coordinator: an old one is better than none.
-    pub(crate) fn send_backends(&mut self, link: Option<u64>) {
-        if self.backends.term == 0 || !self.duty.may_give_list() {
-            return;
-        }
-        let pages = config_transfer::pages(&self.backends);
-        let count = pages.len() as u32;
-        for (_, p) in self
-            .proxies
-            .iter_mut()
-            .filter(|(id, _)| link.is_none_or(|l| l == **id))
-        {
-            for (page, list) in (0..).zip(pages.iter().cloned()) {
-                p.no += 1;
-                p.out.send(&Message::BackendUpdate {
-                    no: p.no,
-                    list,
-                    page,
-                    pages: count,
-                });
-            }
+    /// A proxy reports its status; returns whether its connection is new.
+    pub(crate) fn update_status(
+        &mut self,
+        link: LinkNumber,
+        status: ProxyStatus,
+        sender: &MessageSender,
+        now: Duration,
+    ) -> bool {
+        self.last_seen.insert(status.node.clone(), now);
+        if let Some(session) = self.sessions.get_mut(&link) {
+            session.status = status;
+            session.last_seen = now;
+            return false;
         }
+        let session = ProxySession {
+            status,
+            sender: sender.clone(),
+            last_seen: now,
+            last_update: 0,
+            acknowledged: 0,
+            exchanges_load_reports: false,
+        };
+        self.sessions.insert(link, session);
+        true
     }
 
-    /// A message of a proxy.
-    pub(crate) fn receive_from_proxy(&mut self, link: u64, out: &Out, note: Message) {
-        let now = self.now();
-        match note {
-            Message::Status { status, time_ms } => {
-                self.observe_time(time_ms, false);
-                self.lease.observe_term(status.term);
-                self.seen.insert(status.node.clone(), now);
-                let fresh = !self.proxies.contains_key(&link);
-                if fresh {
-                    log::info!("proxies: {} came.", status.node);
-                }
-                let p = self.proxies.entry(link).or_insert_with(|| ProxySession {
-                    status: status.clone(),
-                    out: out.clone(),
-                    last: now,
-                    no: 0,
-                    acked: 0,
-                    tells_loads: false,
-                });
-                (p.status, p.last) = (status, now);
-                if fresh {
-                    if self
-                        .proxies
-                        .get(&link)
-                        .is_some_and(|p| self.tells(&p.status))
-                    {
-                        self.send_backends(Some(link));
-                    }
-                    self.send_heartbeats(Some(link));
-                }
-            }
-            Message::CountReport(held) => self.receive_counts(link, &held),
-            Message::Transfer(message) => self.answer_transfer(link, &message),
-            Message::PullBackends => self.send_backends(Some(link)),
-            Message::PullPartners => self
-                .proxies
-                .get_mut(&link)
-                .into_iter()
-                .for_each(|p| p.tells_loads = true),
-            Message::Ack { no } => {
-                if let Some(p) = self.proxies.get_mut(&link) {
-                    p.acked = p.acked.max(no);
-                }
-            }
-            _ => {}
+    /// A report of counts shows that a proxy is attached, too.
+    pub(crate) fn touch(&mut self, link: LinkNumber, now: Duration) {
+        if let Some(session) = self.sessions.get_mut(&link) {
+            session.last_seen = now;
         }
     }
 
-    /// Counts only while the duty is this one's: without an answer the proxy keeps to its part.
-    pub(crate) fn receive_counts(&mut self, link: u64, held: &[NamedCount]) {
-        let now = self.now();
-        let Some(p) = self.proxies.get_mut(&link) else {
-            return;
-        };
-        if let Some((term, totals)) = self.duty.count(&self.lease, now, p.status.life, held) {
-            p.last = now;
-            p.out.send(&Message::CountTotals { term, totals });
+    pub(crate) fn acknowledge(&mut self, link: LinkNumber, update: u64) {
+        if let Some(session) = self.sessions.get_mut(&link) {
+            session.acknowledged = session.acknowledged.max(update);
         }
     }
 
-    pub(crate) fn endpoints(&self) -> Vec<ProxyEndpoint> {
-        let mut by_node: BTreeMap<&str, ProxyEndpoint> = BTreeMap::new();
-        for p in self.attached() {
-            let s = &p.status;
-            let post = ProxyEndpoint {
-                front: s.front(),
-                zone: s.zone.clone(),
-                region: self.region(&s.zone),
-                ready: s.ready,
-            };
-            by_node.insert(&s.node, post);
+    pub(crate) fn enable_load_reports(&mut self, link: LinkNumber) {
+        if let Some(session) = self.sessions.get_mut(&link) {
+            session.exchanges_load_reports = true;
         }
-        by_node.into_values().collect()
     }
-}
 
-/// Accepts the connections of proxies.
-pub(crate) async fn serve(registry: Shared, listener: TcpListener) {
-    for link in 1u64.. {
-        let Ok((stream, _)) = listener.accept().await else {
-            sleep(REDIAL_PAUSE).await;
-            continue;
-        };
-        link::tend(&stream);
-        let registry = registry.clone();
-        tokio::task::spawn_local(async move {
-            let (mut from, out) = link::split(stream);
-            while let Ok(note) = from.next::<Message>(link::SILENT).await {
-                registry.borrow_mut().receive_from_proxy(link, &out, note);
-            }
-            if let Some(p) = registry.borrow_mut().proxies.remove(&link) {
-                log::info!("proxies: {} left.", p.status.node);
-            }
-        });
+    /// A connection has ended.
+    pub(crate) fn remove(&mut self, link: LinkNumber) -> Option<ProxySession> {
+        self.sessions.remove(&link)
+    }
+
+    /// Sends a message to all proxies.
+    pub(crate) fn broadcast(&self, message: &Message) {
+        let bytes = encode(message);
+        for session in self.sessions.values() {
+            session.sender.send_encoded(bytes.clone());
+        }
     }
 }
--- /dev/null
+++ b/crates/registry/src/registry.rs
@@ -0,0 +1,450 @@
+//! What one registry knows and does: time and messages come in; what goes out is returned, or handed to connections.
+//!
+//! The parts have one owner each: [`CommonTime`], [`Membership`], [`LeaseElection`], [`Contact`], [`CoordinatorRole`],
+//! [`ProxySessions`] and [`StoreSession`]. The registry connects them.
+
+use std::cell::RefCell;
+use std::collections::BTreeSet;
+use std::rc::Rc;
+use std::time::Duration;
+
+use damsonbeam_control::address::{Ip, ip_addr, octets};
+use damsonbeam_control::config::{ConfigSnapshot, Item, ItemKind, Tenant};
+use damsonbeam_control::contact::Contact;
+use damsonbeam_control::lease::LeaseElection;
+use damsonbeam_control::link::MessageSender;
+use damsonbeam_control::membership::{Membership, MembershipChange};
+use damsonbeam_control::messages::{
+    Backend, BackendList, Command, CommandReply, Datagram, GossipBody, LeaseMessage, Message,
+    encode,
+};
+use damsonbeam_control::settings::Settings;
+use damsonbeam_control::voters::VoterSet;
+use tokio::sync::oneshot;
+
+use crate::common_time::CommonTime;
+use crate::coordinator::{CoordinatorRole, ListOutcome};
+use crate::directory::ProxyEndpoint;
+use crate::proxies::{LinkNumber, ProxySessions};
+use crate::report::{self, CoordinatorReport, ListReport, ProxyReport, StateReport};
+use crate::store_session::StoreSession;
+
+/// Between two heartbeats to a proxy: three in the time after which it would look for another coordinator.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
+
+/// The registry, shared by the tasks of its one thread. No task holds the borrow over an `await`.
+pub(crate) type SharedRegistry = Rc<RefCell<Registry>>;
+
+/// The bytes of a datagram, and the registry that it is for.
+pub(crate) type OutgoingDatagram = (Ip, Vec<u8>);
+
+pub(crate) struct Registry {
+    settings: Rc<Settings>,
+    own_ip: Ip,
+    pub(crate) time: CommonTime,
+    membership: Membership,
+    pub(crate) lease: LeaseElection,
+    contact: Contact,
+    pub(crate) role: CoordinatorRole,
+    pub(crate) proxies: ProxySessions,
+    store: StoreSession,
+    pub(crate) config: ConfigSnapshot,
+    /// The store has sent everything that it knows to be committed.
+    pub(crate) has_all_items: bool,
+    pub(crate) backends: BackendList,
+    was_in_contact: bool,
+    next_heartbeat_at: Duration,
+    /// Counts the rounds of heartbeats.
+    pub(crate) heartbeat_round: u32,
+    is_leaving: bool,
+}
+
+impl Registry {
+    pub(crate) fn new(settings: Rc<Settings>) -> Self {
+        let own_ip = octets(settings.ip_address);
+        let seeds: BTreeSet<Ip> = settings.seed_ips().into_iter().map(octets).collect();
+        let seeds: Vec<Ip> = seeds.into_iter().collect();
+        Registry {
+            settings,
+            own_ip,
+            time: CommonTime::start(),
+            membership: Membership::new(own_ip, seeds, Duration::ZERO),
+            lease: LeaseElection::new(own_ip, Duration::ZERO),
+            contact: Contact::new(own_ip),
+            role: CoordinatorRole::default(),
+            proxies: ProxySessions::default(),
+            store: StoreSession::default(),
+            config: ConfigSnapshot::default(),
+            has_all_items: false,
+            backends: BackendList::default(),
+            was_in_contact: false,
+            next_heartbeat_at: Duration::ZERO,
+            heartbeat_round: 0,
+            is_leaving: false,
+        }
+    }
+
+    pub(crate) fn settings(&self) -> &Settings {
+        &self.settings
+    }
+
+    /// The time since this process's start.
+    pub(crate) fn now(&self) -> Duration {
+        self.time.now()
+    }
+
+    pub(crate) fn region_of(&self, zone: &str) -> String {
+        self.settings.regions.get(zone).cloned().unwrap_or_default()
+    }
+
+    /// All registries not known to be dead, this one first.
+    pub(crate) fn registries(&self) -> Vec<Ip> {
+        let others = self
+            .membership
+            .alive()
+            .into_iter()
+            .filter(|ip| *ip != self.own_ip);
+        std::iter::once(self.own_ip).chain(others).collect()
+    }
+
+    /// Whether this registry may answer for the whole system.
+    pub(crate) fn is_in_contact(&self) -> bool {
+        self.contact.is_in_contact(self.now()) && !self.lease.is_behind()
+    }
+
+    /// The term under which this registry may act as the coordinator now.
+    pub(crate) fn acting_term(&self) -> Option<u64> {
+        self.role.acting_term(&self.lease, self.now())
+    }
+
+    /// The proxies as the directory names them.
+    pub(crate) fn proxy_endpoints(&self) -> Vec<ProxyEndpoint> {
+        self.proxies
+            .endpoints(self.now(), |zone| self.region_of(zone))
+    }
+
+    /// Time has passed: datagrams to send.
+    pub(crate) fn tick(&mut self) -> Vec<OutgoingDatagram> {
+        let now = self.now();
+        self.time.begin_when_due();
+        let mut datagrams = self.tick_membership(now);
+        datagrams.extend(self.probe_voters(now));
+        self.store.ask_epoch_when_due(now);
+        let alive = self.membership.alive();
+        datagrams.extend(self.tick_lease(now, &alive));
+        self.follow_lease(now);
+        self.send_count_updates(now);
+        self.note_contact(now);
+        if now >= self.next_heartbeat_at {
+            self.next_heartbeat_at = now + HEARTBEAT_INTERVAL;
+            self.send_heartbeats();
+        }
+        self.store.send_roster(alive);
+        datagrams
+    }
+
+    fn tick_membership(&mut self, now: Duration) -> Vec<OutgoingDatagram> {
+        let output = self.membership.tick(now);
+        log_changes(&output.changes);
+        self.encode_all(output.datagrams)
+    }
+
+    /// Probes whose answers show that a majority of the voters is in contact.
+    fn probe_voters(&mut self, now: Duration) -> Vec<OutgoingDatagram> {
+        let probes = self.contact.tick(now).into_iter();
+        let pings = probes.map(|(to, number)| (to, GossipBody::Ping { number }));
+        self.encode_all(pings.collect())
+    }
+
+    fn tick_lease(&mut self, now: Duration, alive: &[Ip]) -> Vec<OutgoingDatagram> {
+        if !self.is_in_contact() {
+            self.lease.defer_claims(now);
+        }
+        let message = self.lease.tick(now, alive).filter(|_| !self.is_leaving);
+        match message {
+            Some(message) => self.lease_datagrams(alive, &message),
+            None => vec![],
+        }
+    }
+
+    /// A message of the lease to all other registries.
+    fn lease_datagrams(&mut self, alive: &[Ip], message: &LeaseMessage) -> Vec<OutgoingDatagram> {
+        let others = alive.iter().filter(|ip| **ip != self.own_ip);
+        let bodies = others.map(|to| (*to, GossipBody::Lease(message.clone())));
+        self.encode_all(bodies.collect())
+    }
+
+    /// The coordinator's role goes with the lease.
+    fn follow_lease(&mut self, now: Duration) {
+        if !self.role.follow_lease(self.lease.held_term(now)) {
+            return;
+        }
+        match self.role.term() {
+            Some(term) => {
+                log::info!("coordinator: acquired the lease, term {term}.");
+                // Proxies that have not heard of it report no counts, and are missing from the totals.
+                self.next_heartbeat_at = now;
+            }
+            None => log::info!("coordinator: the lease is lost."),
+        }
+    }
+
+    fn note_contact(&mut self, now: Duration) {
+        let is_in_contact = self.is_in_contact();
+        if is_in_contact == self.was_in_contact {
+            return;
+        }
+        let what = if is_in_contact { "with" } else { "lost with" };
+        log::info!("contact: {what} a majority of the voters.");
+        // Proxies that start wait for this.
+        self.next_heartbeat_at = now;
+        self.was_in_contact = is_in_contact;
+    }
+
+    /// SIGTERM: names a successor, if this registry is the coordinator.
+    pub(crate) fn leave(&mut self) -> Vec<OutgoingDatagram> {
+        self.is_leaving = true;
+        let now = self.now();
+        let alive = self.membership.alive();
+        let Some(message) = self.lease.transfer(now, &alive) else {
+            return vec![];
+        };
+        if let LeaseMessage::Transfer { to, .. } = &message {
+            log::info!("coordinator: transfers the lease to {}.", ip_addr(*to));
+        }
+        self.role.follow_lease(None);
+        self.lease_datagrams(&alive, &message)
+    }
+
+    fn encode_all(&mut self, bodies: Vec<(Ip, GossipBody)>) -> Vec<OutgoingDatagram> {
+        let bodies = bodies.into_iter();
+        bodies
+            .map(|(to, body)| (to, self.encode_datagram(to, body)))
+            .collect()
+    }
+
+    fn encode_datagram(&mut self, to: Ip, body: GossipBody) -> Vec<u8> {
+        encode(&Datagram {
+            from: self.own_ip,
+            epoch: self.lease.epoch(),
+            time_ms: self.time.now_ms(),
+            body,
+            updates: self.membership.updates_for(to),
+        })
+    }
+
+    /// Takes a datagram of another registry; returns the answers.
+    pub(crate) fn receive_datagram(&mut self, datagram: &Datagram) -> Vec<OutgoingDatagram> {
+        let now = self.now();
+        let from = datagram.from;
+        let is_coordinator = self
+            .lease
+            .holder(now)
+            .is_some_and(|holder| holder.ip == from);
+        self.time.observe(datagram.time_ms, is_coordinator);
+        self.lease.observe_epoch(datagram.epoch);
+        if let GossipBody::Pong { number } = datagram.body {
+            self.contact.receive_answer(from, number);
+        }
+        let output = self
+            .membership
+            .receive(from, &datagram.body, &datagram.updates, now);
+        log_changes(&output.changes);
+        let mut answers = output.datagrams;
+        if let GossipBody::Lease(message) = &datagram.body {
+            let answer = self.lease.receive(from, message, now);
+            answers.extend(answer.map(|answer| (from, GossipBody::Lease(answer))));
+        }
+        self.encode_all(answers)
+    }
+
+    /// Takes a reading of the platform's list that began under that term.
+    pub(crate) fn publish_list(&mut self, term: u64, backends: Vec<Backend>) {
+        let now = self.now();
+        let known = &mut self.backends;
+        match self
+            .role
+            .publish_list(&self.lease, now, term, backends, known)
+        {
+            ListOutcome::LeaseLost => log_list_dropped(term),
+            ListOutcome::Unchanged => {}
+            ListOutcome::Changed => {
+                log::info!("list: {} backends.", self.backends.backends.len());
+                self.send_backends(None);
+                self.store.send_backends(&self.backends);
+            }
+        }
+    }
+
+    /// The connection to the store is up.
+    pub(crate) fn store_connected(&mut self, sender: MessageSender) {
+        self.store.connect(sender);
+        self.store.send_roster(self.membership.alive());
+        log::info!("store: connected.");
+    }
+
+    /// The connection to the store has ended.
+    pub(crate) fn store_disconnected(&mut self) {
+        self.store.disconnect();
+        log::warn!("store: disconnected.");
+    }
+
+    /// Takes a message of the store.
+    pub(crate) fn receive_from_store(&mut self, message: Message) {
+        match message {
+            Message::Roster { ips } => {
+                let own_ip = self.own_ip;
+                self.membership
+                    .add_seeds(ips.into_iter().filter(|ip| *ip != own_ip));
+            }
+            Message::Voters { epoch, voters } => self.set_voters(VoterSet::new(epoch, voters)),
+            Message::EpochConfirmed { number, epoch } => {
+                // It is valid from when the store was asked.
+                if let Some(asked_at) = self.store.receive_epoch(number) {
+                    self.lease.confirm_epoch(epoch, asked_at);
+                }
+            }
+            Message::Committed { items, complete } => self.apply_committed(items, complete),
+            Message::StoreBackends(backends) => {
+                self.lease.observe_term(backends.version.term);
+                if backends.version > self.backends.version {
+                    self.backends = backends;
+                }
+            }
+            Message::Reply { number, reply } => self.store.receive_reply(number, reply),
+            Message::ConfirmSubmit { number } => self.store.confirm_submit(number, self.now()),
+            _ => {}
+        }
+    }
+
+    fn set_voters(&mut self, voters: VoterSet) {
+        if voters.epoch <= self.lease.epoch() {
+            return;
+        }
+        let ips = ip_texts(voters.voters()).join(" ");
+        log::info!("voters: epoch {}, {ips}.", voters.epoch);
+        self.membership.add_seeds(voters.voters().iter().copied());
+        self.contact.set_voters(voters.clone());
+        self.lease.set_voters(voters);
+        self.store.forget_epoch_question();
+    }
+
+    fn apply_committed(&mut self, items: Vec<Item>, complete: bool) {
+        let items = items.into_iter();
+        let new: Vec<Item> = items
+            .filter(|item| self.config.merge(item.clone()))
+            .collect();
+        self.has_all_items |= complete;
+        if new.is_empty() {
+            return;
+        }
+        let is_tenant = |item: &&Item| item.key.kind == ItemKind::Tenant && !item.is_removed();
+        for tenant in new.iter().filter(is_tenant) {
+            if let Ok(tenant) = Tenant::try_from(tenant) {
+                let counts = self.role.counts_mut();
+                counts.set_rate(&tenant.name, tenant.rate_per_s);
+            }
+        }
+        if !complete {
+            let proxies = self.proxies.len();
+            log::info!(
+                "config: {} items committed, to {proxies} proxies.",
+                new.len()
+            );
+        }
+        self.push_items(new);
+    }
+
+    /// Hands a command to the store; `None` where it can't be reached.
+    pub(crate) fn submit(&mut self, command: Command) -> Option<oneshot::Receiver<CommandReply>> {
+        let now = self.now();
+        self.store.submit(command, now)
+    }
+
+    /// The state of the system as seen from here, for `damsonbeam-ctl state`.
+    pub(crate) fn describe(&self) -> Vec<u8> {
+        let now = self.now();
+        let voters = self
+            .lease
+            .voters()
+            .map_or(&[][..], |voters| voters.voters());
+        let coordinator = self.lease.holder(now).map(|holder| CoordinatorReport {
+            ip: ip_addr(holder.ip).to_string(),
+            term: holder.term,
+        });
+        report::to_json(&StateReport {
+            registry: self.settings.node_name.clone(),
+            up_ms: now.as_millis() as u64,
+            registries: ip_texts(&self.membership.alive()),
+            epoch: self.lease.epoch(),
+            voters: ip_texts(voters),
+            in_contact: self.is_in_contact(),
+            contact_age_ms: self.contact.age(now).map(|age| age.as_millis() as u64),
+            coordinator,
+            store_reached: self.store.is_connected(),
+            items: self.config.items().len(),
+            digest: format!("{:016x}", self.config.digest()),
+            list: ListReport {
+                term: self.backends.version.term,
+                reading: self.backends.version.revision,
+                backends: self.backends.backends.len(),
+            },
+            proxies: self.proxy_reports(now),
+        })
+    }
+
+    fn proxy_reports(&self, now: Duration) -> Vec<ProxyReport> {
+        let sessions = self.proxies.all();
+        let reports = sessions.map(|(_, session)| ProxyReport {
+            node: session.status().node.clone(),
+            ready: session.status().ready,
+            silent_ms: session.silent_for(now).as_millis() as u64,
+            news_not_acknowledged: session.unacknowledged_updates(),
+        });
+        reports.collect()
+    }
+
+    /// Takes a message of a proxy.
+    pub(crate) fn receive_from_proxy(
+        &mut self,
+        link: LinkNumber,
+        sender: &MessageSender,
+        message: Message,
+    ) {
+        match message {
+            Message::Status { status, time_ms } => {
+                self.time.observe(time_ms, false);
+                self.lease.observe_term(status.term);
+                self.receive_status(link, sender, status);
+            }
+            Message::CountReport(counts) => self.receive_counts(link, &counts),
+            Message::Transfer(message) => self.answer_transfer(link, &message),
+            Message::PullBackends => self.send_backends(Some(link)),
+            Message::PullPartners => self.proxies.enable_load_reports(link),
+            Message::Ack { number } => self.proxies.acknowledge(link, number),
+            _ => {}
+        }
+    }
+
+    /// The connection of a proxy has ended.
+    pub(crate) fn proxy_disconnected(&mut self, link: LinkNumber) {
+        if let Some(session) = self.proxies.remove(link) {
+            log::info!("proxies: {} disconnected.", session.status().node);
+        }
+    }
+}
+
+/// A reading of the list that began under a lease that is over.
+pub(crate) fn log_list_dropped(term: u64) {
+    log::info!("list: the lease is lost, the reading of term {term} is dropped.");
+}
+
+fn log_changes(changes: &[MembershipChange]) {
+    for MembershipChange { ip, state } in changes {
+        log::info!("members: {} is {state:?}.", ip_addr(*ip));
+    }
+}
+
+fn ip_texts(ips: &[Ip]) -> Vec<String> {
+    ips.iter().map(|ip| ip_addr(*ip).to_string()).collect()
+}
--- a/crates/registry/tests/counts.rs
+++ b/crates/registry/tests/counts.rs
@@ -5,19 +5,19 @@
 use damsonbeam_control::messages::NamedCount;
 use damsonbeam_registry::counts::SharedCounts;
 
-fn count(name: &str, held: f64, asked: f64) -> NamedCount {
+fn count(name: &str, admitted: f64, requested: f64) -> NamedCount {
     NamedCount {
         name: name.into(),
-        held,
-        asked,
+        admitted,
+        requested,
     }
 }
 
 #[test]
-fn what_is_said_twice_counts_once_and_a_new_life_adds_to_its_last() {
+fn a_count_reported_twice_counts_once_and_a_new_incarnation_adds_to_its_last() {
     let mut counts = SharedCounts::default();
     let at = Duration::from_secs(1);
-    let mut hold = |life, held, asked| counts.hold(life, &count("1/x", held, asked), at);
+    let mut hold = |life, held, asked| counts.record(life, &count("1/x", held, asked), at);
     assert_eq!(hold(7, 3.0, 4.0), count("1/x", 3.0, 4.0));
     assert_eq!(hold(7, 3.0, 4.0), count("1/x", 3.0, 4.0));
     assert_eq!(hold(8, 2.0, 2.0), count("1/x", 5.0, 6.0));
@@ -25,16 +25,16 @@
 }
 
 #[test]
-fn all_hear_of_a_tenant_that_is_asked_for_its_quota_and_of_no_other() {
+fn all_proxies_get_totals_of_a_tenant_near_its_quota_and_of_no_other() {
     let mut counts = SharedCounts::default();
-    counts.limit("x", 10.0);
-    counts.limit("y", 100.0);
+    counts.set_rate("x", 10.0);
+    counts.set_rate("y", 100.0);
     for life in 0..9 {
-        counts.hold(life, &count("1/x", 1.0, 1.0), Duration::from_millis(500));
-        counts.hold(life, &count("1/y", 1.0, 1.0), Duration::from_millis(500));
+        counts.record(life, &count("1/x", 1.0, 1.0), Duration::from_millis(500));
+        counts.record(life, &count("1/y", 1.0, 1.0), Duration::from_millis(500));
     }
-    assert_eq!(counts.news(), [count("1/x", 9.0, 9.0)]);
-    assert!(counts.news().is_empty(), "told once");
-    counts.hold(1, &count("9/x", 1.0, 1.0), Duration::from_millis(4000));
-    assert!(counts.news().is_empty(), "it has been quiet since");
+    assert_eq!(counts.take_updates(), [count("1/x", 9.0, 9.0)]);
+    assert!(counts.take_updates().is_empty(), "told once");
+    counts.record(1, &count("9/x", 1.0, 1.0), Duration::from_millis(4000));
+    assert!(counts.take_updates().is_empty(), "it has been quiet since");
 }
