--- a/crates/cli/tests/sockets/main.rs
+++ b/crates/cli/tests/sockets/main.rs
@@ -12,10 +12,10 @@
 use std::time::{Duration, Instant};
 
 use damsonbeam::interface::ListForm;
-use damsonbeam_gateway::heads::Heads;
-use damsonbeam_gateway::list::Numbers;
+use damsonbeam_gateway::backend_list::NameTable;
 use damsonbeam_gateway::log::Site;
-use damsonbeam_gateway::meter::Meter;
+use damsonbeam_gateway::request_heads::HeadScanner;
+use damsonbeam_gateway::write_meter::WriteMeter;
 use serde_json::{Value, json};
 use stand_ins::*;
 
@@ -133,11 +133,11 @@
     for (extra, both) in [("", false), ("CONTENT-LENGTH: 7\r\n", true)] {
         let text = format!("{two}{long}{extra}\r\n");
         for step in 1..40 {
-            let mut heads = Heads::default();
+            let mut heads = HeadScanner::default();
             text.as_bytes()
                 .chunks(step)
-                .for_each(|part| heads.came(part));
-            assert_eq!(heads.both(), both, "{extra} by {step}");
+                .for_each(|part| heads.scan(part));
+            assert_eq!(heads.has_conflicting_length(), both, "{extra} by {step}");
         }
     }
 }
@@ -638,11 +638,14 @@
 
 #[test]
 fn names_of_backends_that_are_gone_are_forgotten() {
-    let mut numbers = Numbers::new(vec![], vec![]);
+    let mut numbers = NameTable::new(vec![], vec![]);
     let at = "127.0.0.1:1".parse().unwrap();
     let mut list = |form, complete, members| {
         let page = serde_json::from_value(page(1, complete, members)).unwrap();
-        (numbers.listed(page, form).entries[0].tgt, numbers.known())
+        (
+            numbers.to_update(page, form).entries[0].tgt,
+            numbers.known(),
+        )
     };
     let (first, _) = list(ListForm::Replace, true, vec![member("s-0", at, "active")]);
     for n in 0..100 {
@@ -937,13 +940,13 @@
 fn a_request_is_whole_with_the_last_byte_of_its_body() {
     let text = b"POST / HTTP/1.1\r\na: b\r\n\r\nbody\r\n\r\n";
     for cut in 0..=text.len() {
-        let meter = Meter::default();
+        let meter = WriteMeter::default();
         meter.begin(8);
-        assert!(!meter.whole());
+        assert!(!meter.is_complete());
         meter.wrote(&text[..cut]);
-        assert_eq!(meter.whole(), cut == text.len(), "{cut}");
+        assert_eq!(meter.is_complete(), cut == text.len(), "{cut}");
         meter.wrote(&text[cut..]);
-        assert!(meter.whole());
+        assert!(meter.is_complete());
     }
 }
 
--- a/crates/config-store/src/process/mod.rs
+++ b/crates/config-store/src/process/mod.rs
@@ -1,7 +1,9 @@
 //! One store process: it owns the disk and the connections, hands messages to the replica and carries out its effects.
 //!
-//! `links` holds the connections and turns what happens on them into events; `store` is the state that they act on.
+//! `links` holds the connections and turns what happens on them into events; `store` is the state that they act on;
+//! `effects` carries out what the replica wants.
 
+mod effects;
 mod links;
 mod store;
 
--- a/crates/config-store/src/process/store.rs
+++ b/crates/config-store/src/process/store.rs
@@ -7,33 +7,29 @@
 use damsonbeam_control::address::{Ip, ip_addr};
 use damsonbeam_control::config::Item;
 use damsonbeam_control::link::MessageSender;
-use damsonbeam_control::messages::{BackendList, Command, CommandReply, Message, encode};
+use damsonbeam_control::messages::{BackendList, Command, CommandReply, Message};
 use tokio::time::Instant;
 
 use super::SHUTDOWN_TIMEOUT;
 use super::links::{LinkEvent, LinkId};
+use crate::consensus::Replica;
 use crate::consensus::voters::VoterSet;
-use crate::consensus::{DurableWrite, Effect, Replica};
 use crate::disk::{Disk, DiskError, Roster};
 
-/// A disk that failed is tried again after this.
-const DISK_RETRY_PAUSE: Duration = Duration::from_millis(400);
-/// Items named in one line of the log.
-const ITEMS_LOGGED: usize = 8;
 /// A command whose registry does not confirm it within this is forgotten: its caller is gone.
 const CONFIRM_TIMEOUT: Duration = Duration::from_secs(5);
 /// The reply to a command while the disk fails.
-const DISK_REFUSES: &str = "the disk refuses";
+pub(super) const DISK_REFUSES: &str = "the disk refuses";
 
 /// A connection that another process opened.
-struct AcceptedLink {
-    from: Ip,
-    sender: MessageSender,
+pub(super) struct AcceptedLink {
+    pub(super) from: Ip,
+    pub(super) sender: MessageSender,
 }
 
 /// Where a command came from, and its number there.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
-struct CommandSource {
+pub(super) struct CommandSource {
     link: LinkId,
     number: u64,
 }
@@ -45,25 +41,25 @@
 }
 
 pub(super) struct StoreProcess {
-    own_ip: Ip,
+    pub(super) own_ip: Ip,
     started: Instant,
-    replica: Replica,
-    directory: PathBuf,
+    pub(super) replica: Replica,
+    pub(super) directory: PathBuf,
     /// `None` while the disk fails.
-    disk: Option<Disk>,
-    next_disk_retry: Duration,
-    roster: Roster,
+    pub(super) disk: Option<Disk>,
+    pub(super) next_disk_retry: Duration,
+    pub(super) roster: Roster,
     backends: BackendList,
     /// The last epoch that the registry was told.
     epoch_sent: u64,
     /// Connections that this process opened.
-    peers: HashMap<Ip, MessageSender>,
+    pub(super) peers: HashMap<Ip, MessageSender>,
     /// Connections that other processes opened.
-    accepted: HashMap<LinkId, AcceptedLink>,
+    pub(super) accepted: HashMap<LinkId, AcceptedLink>,
     /// The connection of the registry, from which commands come.
     registry: Option<LinkId>,
     /// Commands under way, by the number that the replica knows.
-    commands: HashMap<u64, CommandSource>,
+    pub(super) commands: HashMap<u64, CommandSource>,
     last_command: u64,
     unconfirmed: HashMap<CommandSource, UnconfirmedCommand>,
 }
@@ -280,84 +276,6 @@
         self.carry_out_effects(Some((link, from)));
     }
 
-    /// Carries out the replica's effects: what must be durable is on disk before anything that follows it is sent.
-    /// `received_from` is the connection whose message brought them about.
-    pub(super) fn carry_out_effects(&mut self, received_from: Option<(LinkId, Ip)>) {
-        let effects = self.replica.take_effects();
-        let writes = effects.iter().filter_map(|effect| match effect {
-            Effect::Persist(write) => Some(write.clone()),
-            _ => None,
-        });
-        let writes: Vec<DurableWrite> = writes.collect();
-        if !self.persist(&writes) {
-            return;
-        }
-        for effect in effects {
-            match effect {
-                Effect::Persist(_) => {}
-                Effect::Send(to, message) => self.send(to, &message, received_from),
-                Effect::Broadcast(message) => self.broadcast(&message),
-                Effect::Reply(number, reply) => {
-                    if let Some(source) = self.commands.remove(&number) {
-                        self.reply(source, reply);
-                    }
-                }
-                Effect::Committed(items) => {
-                    log::info!("store: decided {}.", describe_items(&items));
-                    let items = configuration_items(items.into_iter());
-                    if !items.is_empty() {
-                        self.send_committed(items, false);
-                    }
-                }
-            }
-        }
-        self.send_voters();
-    }
-
-    /// Returns whether everything is on disk.
-    fn persist(&mut self, writes: &[DurableWrite]) -> bool {
-        if writes.is_empty() {
-            return true;
-        }
-        let error = match self.disk.as_ref().map(|disk| disk.persist(writes)) {
-            Some(Ok(())) => return true,
-            Some(Err(error)) => error.to_string(),
-            None => "it is closed".into(),
-        };
-        log::error!("store: the disk refuses: {error}.");
-        self.close_disk();
-        false
-    }
-
-    /// Nothing that depends on the failed write is sent. What the replica holds in memory is no longer what is on disk: it
-    /// starts anew from there, once the disk takes writes again.
-    fn close_disk(&mut self) {
-        self.disk = None;
-        self.next_disk_retry = self.now() + DISK_RETRY_PAUSE;
-        for source in std::mem::take(&mut self.commands).into_values() {
-            self.reply(source, CommandReply::Unavailable(DISK_REFUSES.into()));
-        }
-    }
-
-    /// Opens the store again after the disk failed, and starts from what is on it.
-    fn reopen_disk_when_due(&mut self, now: Duration) {
-        if self.disk.is_some() || now < self.next_disk_retry {
-            return;
-        }
-        self.next_disk_retry = now + DISK_RETRY_PAUSE;
-        let reopened = Disk::open(&self.directory).and_then(|disk| Ok((disk.read()?, disk)));
-        match reopened {
-            Ok((state, disk)) => {
-                let items = state.durable.accepted.items().len();
-                log::info!("store: the disk is back with {items} items.");
-                self.replica = Replica::new(self.own_ip, state.durable, rand::random(), now);
-                self.replica.set_roster(&self.roster);
-                self.disk = Some(disk);
-            }
-            Err(error) => log::warn!("store: the disk still refuses: {error}."),
-        }
-    }
-
     /// Writes what may be lost: a disk that refuses it does no harm.
     fn persist_if_possible(&self, persist: impl FnOnce(&Disk) -> Result<(), DiskError>) {
         if let Some(Err(error)) = self.disk.as_ref().map(persist) {
@@ -365,32 +283,13 @@
         }
     }
 
-    /// An answer goes back the way its question came.
-    fn send(&self, to: Ip, message: &Message, received_from: Option<(LinkId, Ip)>) {
-        let back = received_from.filter(|(_, from)| *from == to);
-        let back = back.and_then(|(link, _)| self.accepted.get(&link));
-        let sender = back
-            .map(|link| &link.sender)
-            .or_else(|| self.peers.get(&to));
-        if let Some(sender) = sender {
-            sender.send(message);
-        }
-    }
-
-    fn broadcast(&self, message: &Message) {
-        let bytes = encode(message);
-        for peer in self.peers.values() {
-            peer.send_encoded(bytes.clone());
-        }
-    }
-
     fn send_back(&self, link: LinkId, message: &Message) {
         if let Some(accepted) = self.accepted.get(&link) {
             accepted.sender.send(message);
         }
     }
 
-    fn reply(&self, source: CommandSource, reply: CommandReply) {
+    pub(super) fn reply(&self, source: CommandSource, reply: CommandReply) {
         let number = source.number;
         self.send_back(source.link, &Message::Reply { number, reply });
     }
@@ -401,14 +300,14 @@
         }
     }
 
-    fn send_committed(&self, items: Vec<Item>, complete: bool) {
+    pub(super) fn send_committed(&self, items: Vec<Item>, complete: bool) {
         for message in Message::committed(items, complete) {
             self.send_to_registry(&message);
         }
     }
 
     /// The registry bases the coordinator's lease on the same voters.
-    fn send_voters(&mut self) {
+    pub(super) fn send_voters(&mut self) {
         let set = self.replica.voters();
         let Some(set) = set.filter(|set| set.epoch != self.epoch_sent) else {
             return;
@@ -422,7 +321,7 @@
 }
 
 /// The items that registries and proxies get: all but the store's own.
-fn configuration_items(items: impl Iterator<Item = Item>) -> Vec<Item> {
+pub(super) fn configuration_items(items: impl Iterator<Item = Item>) -> Vec<Item> {
     items.filter(|item| !item.key.kind.is_internal()).collect()
 }
 
@@ -430,14 +329,3 @@
     let ips: Vec<String> = ips.iter().map(|ip| ip_addr(*ip).to_string()).collect();
     ips.join(", ")
 }
-
-/// Items by name and version, a few of many.
-fn describe_items(items: &[Item]) -> String {
-    let describe = |item: &Item| format!("{} r{}", item.key.name, item.version);
-    let named: Vec<String> = items.iter().take(ITEMS_LOGGED).map(describe).collect();
-    let mut text = named.join(", ");
-    if items.len() > ITEMS_LOGGED {
-        text += &format!(" and {} more", items.len() - ITEMS_LOGGED);
-    }
-    text
-}
--- a/crates/gateway/src/attempts.rs
+++ b/crates/gateway/src/attempts.rs
@@ -22,7 +22,7 @@
 
 use damsonbeam::interface::{DeliveryNo, Outcome, Repeat};
 
-use crate::meter::Meter;
+use crate::write_meter::WriteMeter;
 
 /// A request that may run more than once.
 #[derive(Clone, Copy, Debug)]
@@ -105,14 +105,14 @@
     }
 
     /// The attempt is about to be written to a connection, which counts its bytes.
-    pub fn sent_over(self, meter: Rc<Meter>) -> SentAttempt {
+    pub fn sent_over(self, meter: Rc<WriteMeter>) -> SentAttempt {
         SentAttempt { meter }
     }
 }
 
 /// An attempt that was handed to a connection.
 pub struct SentAttempt {
-    meter: Rc<Meter>,
+    meter: Rc<WriteMeter>,
 }
 
 impl SentAttempt {
@@ -130,7 +130,7 @@
 
     /// No answer came that can be read. `body_ended`: the last byte of a body that was still coming was on its way.
     pub fn broken(self, body_ended: bool) -> Ending {
-        if self.meter.whole() || body_ended {
+        if self.meter.is_complete() || body_ended {
             Ending::Unknown
         } else {
             Ending::NotExecuted(NotExecuted(Evidence::Incomplete))
@@ -142,11 +142,11 @@
 #[derive(Debug, Default)]
 pub struct Attempts {
     repeatable: Option<Repeatable>,
-    all: Vec<State>,
+    all: Vec<AttemptState>,
 }
 
 #[derive(Debug)]
-enum State {
+enum AttemptState {
     /// Out, or ended without proof.
     MayRun,
     NotExecuted,
@@ -169,23 +169,23 @@
     pub fn permit(&mut self) -> Option<SendPermit> {
         let allowed = self.repeatable.is_some() || self.none_executed();
         self.all.push(if allowed {
-            State::MayRun
+            AttemptState::MayRun
         } else {
-            State::NotExecuted
+            AttemptState::NotExecuted
         });
         allowed.then_some(SendPermit(()))
     }
 
     /// That attempt is over, and was not executed.
     pub fn not_executed(&mut self, number: DeliveryNo, _proof: NotExecuted) {
-        self.all[number.0 as usize] = State::NotExecuted;
+        self.all[number.0 as usize] = AttemptState::NotExecuted;
     }
 
     /// No attempt was executed, and none will be.
     pub fn none_executed(&self) -> bool {
         self.all
             .iter()
-            .all(|state| matches!(state, State::NotExecuted))
+            .all(|state| matches!(state, AttemptState::NotExecuted))
     }
 
     pub fn is_empty(&self) -> bool {
--- a/crates/gateway/src/list.rs
+++ b/crates/gateway/src/backend_list.rs
@@ -19,20 +19,20 @@
 use tokio::time::{sleep, timeout};
 
 use crate::log::log;
-use crate::mail::*;
+use crate::messages::*;
 
 /// How long a watch may wait, and what is given it beyond before it is held for lost. A watch that fell
 /// silent looks like one with nothing to tell: for so long work goes to backends that are gone. A call for
 /// the whole list is given as long: where a whole fleet asks at once each waits its turn, and those that
 /// give up sooner are served for nothing and come again, so that nobody ever has a list.
-const HOLD: Duration = Duration::from_secs(2);
-const BEYOND: Duration = Duration::from_millis(500);
+const WATCH_HOLD: Duration = Duration::from_secs(2);
+const WATCH_GRACE: Duration = Duration::from_millis(500);
 /// After a failed call: within the 200 ms in which a watch continues.
-const AGAIN: Duration = Duration::from_millis(100);
-const BYTES: usize = 4 << 20;
+const RETRY_DELAY: Duration = Duration::from_millis(100);
+const MAX_BODY_BYTES: usize = 4 << 20;
 
 #[derive(Deserialize, Serialize, Default, Clone)]
-pub struct Page {
+pub struct DiscoveryPage {
     pub revision: u64,
     pub complete: bool,
     pub members: Vec<Member>,
@@ -59,30 +59,30 @@
     1.0
 }
 
-impl Page {
+impl DiscoveryPage {
     /// The whole list after a page of news.
-    pub fn join(&mut self, news: &Page) {
-        self.revision = news.revision;
-        if news.complete {
+    pub fn apply(&mut self, update: &DiscoveryPage) {
+        self.revision = update.revision;
+        if update.complete {
             self.members.clear();
         }
         self.members
-            .retain(|m| news.members.iter().all(|n| n.id != m.id));
+            .retain(|m| update.members.iter().all(|n| n.id != m.id));
         self.members
-            .extend(news.members.iter().filter(|m| m.phase != "left").cloned());
+            .extend(update.members.iter().filter(|m| m.phase != "left").cloned());
     }
 }
 
 /// Numbers for the names that discovery uses.
-pub struct Numbers {
+pub struct NameTable {
     zones: Vec<String>,
     kinds: Vec<String>,
     ids: HashMap<String, TgtId>,
 }
 
-impl Numbers {
+impl NameTable {
     pub fn new(zones: Vec<String>, kinds: Vec<String>) -> Self {
-        Numbers {
+        NameTable {
             zones,
             kinds,
             ids: HashMap::new(),
@@ -108,12 +108,12 @@
         tgt
     }
 
-    pub fn listed(&mut self, page: Page, form: ListForm) -> Listed {
+    pub fn to_update(&mut self, page: DiscoveryPage, form: ListForm) -> BackendListUpdate {
         let place = |names: &[String], name: &str| {
             // A name that the settings lack is a place of its own, not the first one's.
             names.iter().position(|n| n == name).unwrap_or(names.len()) as u32
         };
-        let addrs = page.members.iter().map(|m| m.host_port).collect();
+        let addresses = page.members.iter().map(|m| m.host_port).collect();
         let entry = |m: Member| Entry {
             tgt: self.tgt(&m.id),
             health: match m.phase.as_str() {
@@ -144,33 +144,33 @@
             let stay: HashSet<_> = stay.into_iter().map(|(id, _)| id).collect();
             self.ids.retain(|id, _| stay.contains(id));
         }
-        Listed {
+        BackendListUpdate {
             form,
             entries,
-            addrs,
+            addresses,
             names: vec![],
         }
     }
 }
 
-pub struct List {
+pub struct BackendListWatcher {
     pub at: SocketAddr,
-    pub numbers: Numbers,
+    pub names: NameTable,
     pub mode: Discovery,
     /// The revision that this life began with.
     pub known: u64,
     /// The whole list as it stands, for a process that follows this one.
-    pub last_list: Rc<RefCell<Page>>,
-    pub module: mpsc::Sender<ToModule>,
-    pub mailbox: mpsc::Receiver<ToList>,
+    pub last_list: Rc<RefCell<DiscoveryPage>>,
+    pub dispatcher: mpsc::Sender<ToDispatcher>,
+    pub mailbox: mpsc::Receiver<ToListWatcher>,
     /// Told once the module has a list of this life.
     pub first: Option<oneshot::Sender<()>>,
 }
 
-impl List {
+impl BackendListWatcher {
     pub async fn run(mut self) {
         let mut watching = self.mode == Discovery::Pushed;
-        let mut link: Option<SendRequest<Empty<Bytes>>> = None;
+        let mut connection: Option<SendRequest<Empty<Bytes>>> = None;
         // A subscription is one call, and brings what was missed: a whole list before it would be two, at a
         // service that all gateways call when they start.
         let mut from = (self.mode == Discovery::Subscribed).then_some(self.known);
@@ -178,10 +178,10 @@
             if !watching {
                 match self.mailbox.recv().await {
                     None => return,
-                    Some(ToList::Watch { on }) => watching = on,
-                    Some(ToList::Fetch) => {}
-                    Some(ToList::Move(at)) => {
-                        (self.at, link, from) = (at, None, None);
+                    Some(ToListWatcher::Watch { on }) => watching = on,
+                    Some(ToListWatcher::Fetch) => {}
+                    Some(ToListWatcher::Move(at)) => {
+                        (self.at, connection, from) = (at, None, None);
                         continue;
                     }
                 }
@@ -189,19 +189,22 @@
             let path = match from {
                 None => "/discovery/hosts".to_owned(),
                 Some(v) => {
-                    let hold = HOLD.as_millis();
+                    let hold = WATCH_HOLD.as_millis();
                     format!("/discovery/hosts?from={v}&hold_ms={hold}")
                 }
             };
             let mut moved = None;
-            let mut call = Box::pin(timeout(HOLD + BEYOND, get(&mut link, self.at, &path)));
+            let mut call = Box::pin(timeout(
+                WATCH_HOLD + WATCH_GRACE,
+                get(&mut connection, self.at, &path),
+            ));
             let answer = loop {
                 tokio::select! {
                     answer = &mut call => break Some(answer),
-                    mail = self.mailbox.recv() => match mail {
+                    message = self.mailbox.recv() => match message {
                         None => return,
-                        Some(ToList::Watch { on: false }) if self.mode == Discovery::Subscribed => break None,
-                        Some(ToList::Move(at)) => {
+                        Some(ToListWatcher::Watch { on: false }) if self.mode == Discovery::Subscribed => break None,
+                        Some(ToListWatcher::Move(at)) => {
                             moved = Some(at);
                             break None;
                         }
@@ -212,7 +215,7 @@
             drop(call);
             if let Some(at) = moved {
                 // The watch begins anew with the whole list: nothing told in between may be missed.
-                (self.at, link, from) = (at, None, None);
+                (self.at, connection, from) = (at, None, None);
                 continue;
             }
             match answer {
@@ -225,9 +228,14 @@
                         ListForm::Update
                     };
                     if page.complete || !page.members.is_empty() {
-                        self.last_list.borrow_mut().join(&page);
-                        let listed = self.numbers.listed(page, form);
-                        if self.module.send(ToModule::Listed(listed)).await.is_err() {
+                        self.last_list.borrow_mut().apply(&page);
+                        let update = self.names.to_update(page, form);
+                        if self
+                            .dispatcher
+                            .send(ToDispatcher::BackendList(update))
+                            .await
+                            .is_err()
+                        {
                             return;
                         }
                     }
@@ -245,17 +253,22 @@
                     );
                     if self.mode == Discovery::Subscribed {
                         watching = false;
-                        let none = Listed {
+                        let none = BackendListUpdate {
                             form: ListForm::Unavailable,
                             entries: [].into(),
-                            addrs: vec![],
+                            addresses: vec![],
                             names: vec![],
                         };
-                        if self.module.send(ToModule::Listed(none)).await.is_err() {
+                        if self
+                            .dispatcher
+                            .send(ToDispatcher::BackendList(none))
+                            .await
+                            .is_err()
+                        {
                             return;
                         }
                     } else {
-                        sleep(AGAIN).await;
+                        sleep(RETRY_DELAY).await;
                     }
                 }
             }
@@ -264,11 +277,11 @@
 }
 
 async fn get(
-    link: &mut Option<SendRequest<Empty<Bytes>>>,
+    connection: &mut Option<SendRequest<Empty<Bytes>>>,
     at: SocketAddr,
     path: &str,
-) -> Result<Page, String> {
-    let mut send = match link.take().filter(|l| !l.is_closed()) {
+) -> Result<DiscoveryPage, String> {
+    let mut send = match connection.take().filter(|l| !l.is_closed()) {
         Some(send) => send,
         None => {
             let stream = TcpStream::connect(at).await.map_err(|e| e.to_string())?;
@@ -289,13 +302,13 @@
         .await
         .map_err(|e| e.to_string())?;
     let status = answer.status();
-    let body = Limited::new(answer.into_body(), BYTES)
+    let body = Limited::new(answer.into_body(), MAX_BODY_BYTES)
         .collect()
         .await
         .map_err(|e| e.to_string())?;
     if status != StatusCode::OK {
         return Err(format!("status {status}"));
     }
-    *link = Some(send);
+    *connection = Some(send);
     serde_json::from_slice(&body.to_bytes()).map_err(|e| e.to_string())
 }
--- a/crates/gateway/src/bodies.rs
+++ b/crates/gateway/src/bodies.rs
@@ -31,7 +31,7 @@
 ///
 /// # Errors
 /// Where the body breaks off.
-pub async fn begin(
+pub async fn read_start(
     body: &mut Incoming,
     within: Option<Duration>,
 ) -> Result<(Bytes, bool), hyper::Error> {
@@ -64,43 +64,43 @@
 }
 
 /// A request's body that is still coming, shared by the deliveries that may carry it.
-pub struct Coming {
+pub struct StreamedBody {
     first: Bytes,
     rest: RefCell<Option<Incoming>>,
     /// Bytes in all, where the client said.
     pub length: Option<u64>,
     came: Cell<u64>,
     /// Part of what is not held has gone to a backend: no other delivery can carry it.
-    spent: Cell<bool>,
+    consumed: Cell<bool>,
     ended: Cell<bool>,
     /// Told once its last byte has come.
     whole: RefCell<Option<Box<dyn FnOnce()>>>,
 }
 
-impl Coming {
+impl StreamedBody {
     pub fn new(
         first: Bytes,
         rest: Incoming,
         length: Option<u64>,
         whole: Box<dyn FnOnce()>,
     ) -> Rc<Self> {
-        Rc::new(Coming {
+        Rc::new(StreamedBody {
             came: Cell::new(first.len() as u64),
             first,
             rest: RefCell::new(Some(rest)),
             length,
-            spent: Cell::default(),
+            consumed: Cell::default(),
             ended: Cell::default(),
             whole: RefCell::new(Some(whole)),
         })
     }
 
-    pub fn spent(&self) -> bool {
-        self.spent.get()
+    pub fn is_consumed(&self) -> bool {
+        self.consumed.get()
     }
 
     /// All of it has gone to a backend, or is about to: it may run.
-    pub fn ended(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.ended.get()
     }
 
@@ -128,7 +128,7 @@
         };
         let frame = ready!(Pin::new(&mut *body).poll_frame(cx));
         if let Some(Ok(frame)) = &frame {
-            self.spent.set(true);
+            self.consumed.set(true);
             self.came
                 .set(self.came.get() + frame.data_ref().map_or(0, Bytes::len) as u64);
             if self.came.get() > LARGE as u64 {
@@ -149,24 +149,24 @@
 
 /// What a request carries.
 #[derive(Clone)]
-pub enum Load {
-    Whole(Bytes),
-    Coming(Rc<Coming>),
+pub enum RequestBody {
+    Buffered(Bytes),
+    Streamed(Rc<StreamedBody>),
 }
 
-impl Load {
+impl RequestBody {
     /// Bytes, where they are known.
     pub fn length(&self) -> Option<u64> {
         match self {
-            Load::Whole(bytes) => Some(bytes.len() as u64),
-            Load::Coming(coming) => coming.length,
+            RequestBody::Buffered(bytes) => Some(bytes.len() as u64),
+            RequestBody::Streamed(streamed) => streamed.length,
         }
     }
 
-    pub fn coming(&self) -> Option<&Rc<Coming>> {
+    pub fn streamed(&self) -> Option<&Rc<StreamedBody>> {
         match self {
-            Load::Whole(_) => None,
-            Load::Coming(coming) => Some(coming),
+            RequestBody::Buffered(_) => None,
+            RequestBody::Streamed(streamed) => Some(streamed),
         }
     }
 }
@@ -193,29 +193,29 @@
 /// A request's body as one delivery carries it.
 pub struct Upload {
     first: Option<Bytes>,
-    rest: Option<Rc<Coming>>,
+    rest: Option<Rc<StreamedBody>>,
     length: Option<u64>,
     silence: Silence,
 }
 
 impl Upload {
-    pub fn new(load: &Load) -> Self {
-        match load {
-            Load::Whole(bytes) => {
+    pub fn new(body: &RequestBody) -> Self {
+        match body {
+            RequestBody::Buffered(bytes) => {
                 let first = Some(bytes.clone()).filter(|b| !b.is_empty());
                 Upload {
                     first,
                     rest: None,
-                    length: load.length(),
+                    length: body.length(),
                     silence: Silence::default(),
                 }
             }
-            Load::Coming(coming) => {
-                let (first, rest) = (Some(coming.first.clone()), Some(coming.clone()));
+            RequestBody::Streamed(streamed) => {
+                let (first, rest) = (Some(streamed.first.clone()), Some(streamed.clone()));
                 Upload {
                     first,
                     rest,
-                    length: coming.length,
+                    length: streamed.length,
                     silence: Silence::default(),
                 }
             }
@@ -250,7 +250,7 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        self.first.is_none() && self.rest.as_ref().is_none_or(|r| r.ended())
+        self.first.is_none() && self.rest.as_ref().is_none_or(|r| r.is_complete())
     }
 
     fn size_hint(&self) -> SizeHint {
@@ -261,16 +261,16 @@
 
 /// How an answer passed on as it came has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
-    Whole,
+pub enum StreamEnd {
+    Complete,
     /// The backend broke it off, or fell silent.
     Broken,
     /// The client left before its end.
-    Left,
+    Abandoned,
 }
 
 /// An answer's body that still comes from its backend.
-pub struct Through {
+pub struct StreamedResponse {
     first: Option<Bytes>,
     rest: Incoming,
     length: Option<u64>,
@@ -278,22 +278,22 @@
     broken: bool,
     over: bool,
     /// Told whether it ended whole, so that its connection can carry the next.
-    end: Option<oneshot::Sender<End>>,
+    end: Option<oneshot::Sender<StreamEnd>>,
     /// The same for whoever counts answers.
-    pub count: Option<Box<dyn FnOnce(End)>>,
+    pub count: Option<Box<dyn FnOnce(StreamEnd)>>,
 }
 
-impl Through {
+impl StreamedResponse {
     pub fn new(
         first: Bytes,
         rest: Incoming,
         length: Option<u64>,
-    ) -> (Self, oneshot::Receiver<End>) {
+    ) -> (Self, oneshot::Receiver<StreamEnd>) {
         let (end, ended) = oneshot::channel();
         let first = Some(first).filter(|f| !f.is_empty());
         let (silence, count) = (Silence::default(), None);
         (
-            Through {
+            StreamedResponse {
                 first,
                 rest,
                 length,
@@ -308,7 +308,7 @@
     }
 }
 
-impl Body for Through {
+impl Body for StreamedResponse {
     type Data = Bytes;
     type Error = Error;
 
@@ -346,12 +346,12 @@
     }
 }
 
-impl Drop for Through {
+impl Drop for StreamedResponse {
     fn drop(&mut self) {
         let end = match (self.broken, self.over) {
-            (true, _) => End::Broken,
-            (false, true) => End::Whole,
-            (false, false) => End::Left,
+            (true, _) => StreamEnd::Broken,
+            (false, true) => StreamEnd::Complete,
+            (false, false) => StreamEnd::Abandoned,
         };
         self.end.take().map(|to| to.send(end).ok());
         self.count.take().into_iter().for_each(|count| count(end));
@@ -359,12 +359,12 @@
 }
 
 /// An answer's body: whole, or as it comes.
-pub enum Given {
-    Whole(Option<Bytes>),
-    Through(Box<Through>),
+pub enum ResponseBody {
+    Buffered(Option<Bytes>),
+    Streamed(Box<StreamedResponse>),
 }
 
-impl Body for Given {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = Error;
 
@@ -373,24 +373,24 @@
         cx: &mut Context,
     ) -> Poll<Option<Result<Frame<Bytes>, Error>>> {
         match &mut *self {
-            Given::Whole(bytes) => Poll::Ready(bytes.take().map(|b| Ok(Frame::data(b)))),
-            Given::Through(body) => Pin::new(&mut **body).poll_frame(cx),
+            ResponseBody::Buffered(bytes) => Poll::Ready(bytes.take().map(|b| Ok(Frame::data(b)))),
+            ResponseBody::Streamed(body) => Pin::new(&mut **body).poll_frame(cx),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Given::Whole(bytes) => bytes.is_none(),
-            Given::Through(body) => body.is_end_stream(),
+            ResponseBody::Buffered(bytes) => bytes.is_none(),
+            ResponseBody::Streamed(body) => body.is_end_stream(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Given::Whole(bytes) => {
+            ResponseBody::Buffered(bytes) => {
                 SizeHint::with_exact(bytes.as_ref().map_or(0, |b| b.len() as u64))
             }
-            Given::Through(body) => body.size_hint(),
+            ResponseBody::Streamed(body) => body.size_hint(),
         }
     }
 }
--- a/crates/gateway/src/clients/connection.rs
+++ b/crates/gateway/src/clients/connection.rs
@@ -13,81 +13,86 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
-use super::Patience;
+use super::ClientTimeouts;
 use crate::bodies::CLIENT_SILENT;
 use crate::clock::Clock;
-use crate::heads::Heads;
+use crate::request_heads::HeadScanner;
 
 /// A body may be slow, but not silent ([`CLIENT_SILENT`]), nor slower than so many bytes a second once it has
 /// come for a while: a byte now and then would hold its place for good.
-const SLOW_FOR: Duration = Duration::from_secs(5);
-const SLOWEST: u64 = 16 << 10;
+const SLOW_BODY_GRACE: Duration = Duration::from_secs(5);
+const MIN_BYTES_PER_S: u64 = 16 << 10;
 /// A client that takes nothing of an answer that is streamed to it for this long is held for gone: at 64 kB
 /// a second a socket's buffer of megabytes frees room only every ten seconds or so.
-const UNREAD: Duration = Duration::from_secs(30);
+const UNREAD_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// What a client's connection waits for.
 #[derive(Clone, Copy, PartialEq)]
-pub(super) enum Awaits {
+pub(super) enum ConnectionState {
     /// Its first request, whole.
     New,
     /// The rest of a later request.
-    Asking,
+    ReadingHead,
     /// A request's body.
-    Giving,
+    ReadingBody,
     /// That the last byte of our answer is handed to the system.
-    Taking,
+    WritingResponse,
     /// Our answer.
-    Held,
+    AwaitingResponse,
     /// The next request.
-    Quiet,
+    Idle,
 }
 
 /// A client's connection: its stand, since when, and whether it ever brought an invocation.
-pub(super) struct Conn {
+pub(super) struct ClientConnection {
     pub(super) socket: Rc<RefCell<TcpStream>>,
-    pub(super) stand: Cell<Awaits>,
+    pub(super) state: Cell<ConnectionState>,
     pub(super) since: Cell<Duration>,
     /// When its request's body began to come, and bytes of it so far.
-    pub(super) began: Cell<Duration>,
-    pub(super) came: Cell<u64>,
-    pub(super) proven: Cell<bool>,
-    pub(super) heads: RefCell<Heads>,
+    pub(super) started: Cell<Duration>,
+    pub(super) received: Cell<u64>,
+    pub(super) has_sent_request: Cell<bool>,
+    pub(super) heads: RefCell<HeadScanner>,
     /// To be closed: after what is open on it, or at once.
     pub(super) close: Notify,
-    pub(super) at_once: Cell<bool>,
+    pub(super) close_now: Cell<bool>,
     /// The answer has come whole from its backend; its last bytes may still wait to be written.
-    pub(super) given: Cell<bool>,
+    pub(super) response_complete: Cell<bool>,
     /// Its request's body was not read to the end: its answer ends the connection.
     pub(super) unread: Cell<bool>,
-    pub(super) patience: Rc<Cell<Patience>>,
+    pub(super) timeouts: Rc<Cell<ClientTimeouts>>,
 }
 
-impl Conn {
-    pub(super) fn turn(&self, stand: Awaits, now: Duration) {
-        self.stand.set(stand);
+impl ClientConnection {
+    pub(super) fn enter(&self, state: ConnectionState, now: Duration) {
+        self.state.set(state);
         self.since.set(now);
     }
 
     /// Whether no whole request is on it, and no answer.
     pub(super) fn is_free(&self) -> bool {
         matches!(
-            self.stand.get(),
-            Awaits::New | Awaits::Asking | Awaits::Quiet
+            self.state.get(),
+            ConnectionState::New | ConnectionState::ReadingHead | ConnectionState::Idle
         )
     }
 
     /// When its client's time for this stand is over.
     pub(super) fn due(&self) -> Option<Duration> {
-        match self.stand.get() {
-            Awaits::New | Awaits::Asking => Some(self.since.get() + self.patience.get().whole),
-            Awaits::Giving => {
-                let paid = Duration::from_millis(self.came.get() * 1000 / SLOWEST);
-                Some((self.since.get() + CLIENT_SILENT).min(self.began.get() + SLOW_FOR + paid))
+        match self.state.get() {
+            ConnectionState::New | ConnectionState::ReadingHead => {
+                Some(self.since.get() + self.timeouts.get().head)
             }
-            Awaits::Taking => Some(self.since.get() + UNREAD),
-            Awaits::Quiet => Some(self.since.get() + self.patience.get().quiet),
-            Awaits::Held => None,
+            ConnectionState::ReadingBody => {
+                let paid = Duration::from_millis(self.received.get() * 1000 / MIN_BYTES_PER_S);
+                Some(
+                    (self.since.get() + CLIENT_SILENT)
+                        .min(self.started.get() + SLOW_BODY_GRACE + paid),
+                )
+            }
+            ConnectionState::WritingResponse => Some(self.since.get() + UNREAD_TIMEOUT),
+            ConnectionState::Idle => Some(self.since.get() + self.timeouts.get().idle),
+            ConnectionState::AwaitingResponse => None,
         }
     }
 }
@@ -95,15 +100,18 @@
 /// A client's socket, with an ear on what comes in.
 pub(super) struct ObservedSocket {
     pub(super) socket: Rc<RefCell<TcpStream>>,
-    pub(super) conn: Rc<Conn>,
+    pub(super) connection: Rc<ClientConnection>,
     pub(super) clock: Clock,
 }
 
 impl ObservedSocket {
     /// A client that goes on reading its answer, however slowly, is not quiet yet.
     fn wrote(&self) {
-        if matches!(self.conn.stand.get(), Awaits::Quiet | Awaits::Taking) {
-            self.conn.since.set(self.clock.now());
+        if matches!(
+            self.connection.state.get(),
+            ConnectionState::Idle | ConnectionState::WritingResponse
+        ) {
+            self.connection.since.set(self.clock.now());
         }
     }
 }
@@ -122,16 +130,20 @@
     ) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
         ready!(Pin::new(&mut *self.socket.borrow_mut()).poll_read(cx, buf))?;
-        let came = &buf.filled()[before..];
-        match self.conn.stand.get() {
-            Awaits::Quiet if !came.is_empty() => self.conn.turn(Awaits::Asking, self.clock.now()),
-            Awaits::Giving => {
-                self.conn.since.set(self.clock.now());
-                self.conn.came.set(self.conn.came.get() + came.len() as u64);
+        let received = &buf.filled()[before..];
+        match self.connection.state.get() {
+            ConnectionState::Idle if !received.is_empty() => self
+                .connection
+                .enter(ConnectionState::ReadingHead, self.clock.now()),
+            ConnectionState::ReadingBody => {
+                self.connection.since.set(self.clock.now());
+                self.connection
+                    .received
+                    .set(self.connection.received.get() + received.len() as u64);
             }
             _ => {}
         }
-        self.conn.heads.borrow_mut().came(came);
+        self.connection.heads.borrow_mut().scan(received);
         Poll::Ready(Ok(()))
     }
 }
@@ -145,8 +157,11 @@
 
     /// Hyper flushes once all that it holds is written.
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context) -> Poll<io::Result<()>> {
-        if self.conn.stand.get() == Awaits::Taking && self.conn.given.get() {
-            self.conn.turn(Awaits::Quiet, self.clock.now());
+        if self.connection.state.get() == ConnectionState::WritingResponse
+            && self.connection.response_complete.get()
+        {
+            self.connection
+                .enter(ConnectionState::Idle, self.clock.now());
         }
         Poll::Ready(Ok(()))
     }
--- a/crates/gateway/src/clients/invocation.rs
+++ b/crates/gateway/src/clients/invocation.rs
@@ -9,16 +9,16 @@
 use hyper::{Method, Request, StatusCode};
 use tokio::sync::{mpsc, oneshot};
 
-use super::connection::{Awaits, Conn};
-use super::{ClientResponse, Clients, Decoded, Rejection, rejection};
-use crate::bodies::{self, Coming, End, Given, Load};
-use crate::last_call::ELSEWHERE;
+use super::connection::{ClientConnection, ConnectionState};
+use super::{ClientResponse, Clients, DecodedRequest, Rejection, rejection};
+use crate::bodies::{self, RequestBody, ResponseBody, StreamEnd, StreamedBody};
 use crate::log::log;
-use crate::mail::*;
+use crate::messages::*;
+use crate::shutdown_admission::ELSEWHERE;
 use crate::sizes::{BODY, LARGE};
 
 /// A body that still comes when its invocation is told runs on no client's time yet; this bounds it.
-const UPLOAD: Duration = Duration::from_secs(600);
+const UPLOAD_TIMEOUT: Duration = Duration::from_secs(600);
 
 impl Clients {
     /// The answer to a request that is not taken, for the program ends.
@@ -26,9 +26,9 @@
         let refused = Answer::Throttled {
             after: Some(ELSEWHERE),
             why: Why::Line,
-            clean: true,
+            none_executed: true,
         };
-        self.front.encode("", None, refused)
+        self.protocol.encode("", None, refused)
     }
 
     /// Counts an answer, where it ends: as it is handed over, or with the last byte of one passed on as it comes.
@@ -41,7 +41,7 @@
             }
             _ => &self.figures.errored,
         };
-        let Given::Through(body) = answer.body_mut() else {
+        let ResponseBody::Streamed(body) = answer.body_mut() else {
             return all.with_label_values(&[&**operation]).inc();
         };
         let (clients, operation) = (self.clone(), operation.clone());
@@ -49,7 +49,7 @@
         body.count = Some(Box::new(move |end| {
             clients.figures.current.dec();
             let figures = &clients.figures;
-            let all = if end == End::Broken {
+            let all = if end == StreamEnd::Broken {
                 &figures.errored
             } else {
                 &figures.answered
@@ -61,90 +61,102 @@
     /// An invocation's answer, or why the request is none.
     pub(super) async fn invoke(
         &self,
-        conn: &Conn,
+        connection: &ClientConnection,
         request: Request<Incoming>,
     ) -> Result<ClientResponse, Rejection> {
         let (head, body) = request.into_parts();
         let inv = InvId(self.next.replace(self.next.get() + 1));
-        let Decoded {
-            mut told,
+        let DecodedRequest {
+            mut invocation,
             repeatable,
             name,
-            mut about,
-            left,
+            mut context,
+            time_left,
             headers,
-            to,
-        } = self.front.decode(inv, &head)?;
+            dispatcher,
+        } = self.protocol.decode(inv, &head)?;
         let body = self
-            .body(conn, &head.method, body, told.inv, left, &to)
+            .body(
+                connection,
+                &head.method,
+                body,
+                invocation.inv,
+                time_left,
+                &dispatcher,
+            )
             .await
             .map_err(rejection)?;
-        told.coming = body.coming().is_some();
+        invocation.coming = body.streamed().is_some();
         // Its client's time runs from its last byte.
-        let came = self.clock.now();
-        told.deadline = came + if told.coming { UPLOAD } else { left };
+        let received = self.clock.now();
+        invocation.deadline = received
+            + if invocation.coming {
+                UPLOAD_TIMEOUT
+            } else {
+                time_left
+            };
         // Two of a name would share one effect, and each would get the other's answer.
         if !self.open.borrow_mut().insert(name.clone()) {
             log!(warn, "invocation-twice", "{name}");
             return Err(rejection(StatusCode::CONFLICT));
         }
         self.figures.current.inc();
-        let mut held = Held {
-            inv: told.inv,
+        let mut open_invocation = OpenInvocation {
+            inv: invocation.inv,
             name,
             clients: self,
-            to: to.clone(),
+            dispatcher: dispatcher.clone(),
             answered: false,
         };
-        conn.proven.set(true);
-        conn.turn(Awaits::Held, Duration::ZERO);
-        let coming = body.coming().cloned();
-        let ask = Rc::new(Ask {
+        connection.has_sent_request.set(true);
+        connection.enter(ConnectionState::AwaitingResponse, Duration::ZERO);
+        let streamed = body.streamed().cloned();
+        let forwarded = Rc::new(ForwardedRequest {
             method: head.method,
             uri: head.uri,
             headers,
             body,
         });
-        self.front.taken(&ask, &mut about);
+        self.protocol.request_accepted(&forwarded, &mut context);
         let (answer, answered) = oneshot::channel();
-        if to
-            .send(ToModule::Invocation {
-                told,
-                left,
+        if dispatcher
+            .send(ToDispatcher::Invocation {
+                invocation,
+                time_left,
                 repeatable,
-                ask,
+                request: forwarded,
                 answer,
             })
             .await
             .is_err()
         {
-            held.answered = true;
+            open_invocation.answered = true;
             return Err(rejection(StatusCode::SERVICE_UNAVAILABLE));
         }
         let answer = answered.await.unwrap_or(Answer::Errored);
-        held.answered = true;
+        open_invocation.answered = true;
         self.figures
             .answer_seconds
-            .observe(self.clock.now().saturating_sub(came).as_secs_f64());
-        if let Some(coming) = coming.filter(|c| !c.ended()) {
-            conn.unread.set(true);
-            tokio::task::spawn_local(async move { coming.drain().await });
+            .observe(self.clock.now().saturating_sub(received).as_secs_f64());
+        if let Some(streamed) = streamed.filter(|c| !c.is_complete()) {
+            connection.unread.set(true);
+            tokio::task::spawn_local(async move { streamed.drain().await });
         }
-        Ok(self.front.encode(&held.name, about, answer))
+        Ok(self.protocol.encode(&open_invocation.name, context, answer))
     }
 
     /// A request's body: whole where it is small, else its start and what still comes.
     async fn body(
         &self,
-        conn: &Conn,
+        connection: &ClientConnection,
         method: &Method,
         mut body: Incoming,
         inv: InvId,
-        left: Duration,
-        to: &mpsc::Sender<ToModule>,
-    ) -> Result<Load, StatusCode> {
+        time_left: Duration,
+        dispatcher: &mpsc::Sender<ToDispatcher>,
+    ) -> Result<RequestBody, StatusCode> {
         if body.is_end_stream() {
-            return Ok(Load::Whole(bytes::Bytes::new()));
+            return Ok(RequestBody::Buffered(bytes::Bytes::new()));
         }
         if *method == Method::GET {
             return Err(StatusCode::BAD_REQUEST);
@@ -154,31 +166,33 @@
             return Err(StatusCode::PAYLOAD_TOO_LARGE);
         }
         let room = length.map_or(BODY, |n| BODY.min(n as usize));
-        let Some(room) = self.bodies.take(room) else {
+        let Some(room) = self.bodies.reserve(room) else {
             log!(warn, "bodies-full", "no room for a body of {room} bytes");
             return Err(StatusCode::SERVICE_UNAVAILABLE);
         };
-        conn.turn(Awaits::Giving, self.clock.now());
-        conn.began.set(self.clock.now());
-        conn.came.set(0);
-        let (first, whole) = bodies::begin(&mut body, None)
+        connection.enter(ConnectionState::ReadingBody, self.clock.now());
+        connection.started.set(self.clock.now());
+        connection.received.set(0);
+        let (first, whole) = bodies::read_start(&mut body, None)
             .await
             .map_err(|_| StatusCode::BAD_REQUEST)?;
         let first = room.keep(first);
         if whole {
-            return Ok(Load::Whole(first));
+            return Ok(RequestBody::Buffered(first));
         }
-        let (module, clock) = (to.clone(), self.clock);
+        let (dispatcher, clock) = (dispatcher.clone(), self.clock);
         let whole = move || {
-            let told = ToModule::Whole {
+            let invocation = ToDispatcher::BodyComplete {
                 inv,
-                deadline: clock.now() + left,
+                deadline: clock.now() + time_left,
             };
-            if let Err(mpsc::error::TrySendError::Full(told)) = module.try_send(told) {
-                tokio::task::spawn_local(async move { module.send(told).await.ok() });
+            if let Err(mpsc::error::TrySendError::Full(invocation)) =
+                dispatcher.try_send(invocation)
+            {
+                tokio::task::spawn_local(async move { dispatcher.send(invocation).await.ok() });
             }
         };
-        Ok(Load::Coming(Coming::new(
+        Ok(RequestBody::Streamed(StreamedBody::new(
             first,
             body,
             length,
@@ -188,25 +202,25 @@
 }
 
 /// An invocation that the module holds; dropped unanswered, its client has hung up.
-struct Held<'a> {
+struct OpenInvocation<'a> {
     inv: InvId,
     name: String,
     clients: &'a Clients,
-    to: mpsc::Sender<ToModule>,
+    dispatcher: mpsc::Sender<ToDispatcher>,
     answered: bool,
 }
 
-impl Drop for Held<'_> {
+impl Drop for OpenInvocation<'_> {
     fn drop(&mut self) {
         self.clients.open.borrow_mut().remove(&self.name);
         self.clients.figures.current.dec();
         if self.answered {
             return;
         }
-        let left = ToModule::Left { inv: self.inv };
-        if let Err(mpsc::error::TrySendError::Full(left)) = self.to.try_send(left) {
-            let module = self.to.clone();
-            tokio::task::spawn_local(async move { module.send(left).await.ok() });
+        let message = ToDispatcher::ClientGone { inv: self.inv };
+        if let Err(mpsc::error::TrySendError::Full(message)) = self.dispatcher.try_send(message) {
+            let dispatcher = self.dispatcher.clone();
+            tokio::task::spawn_local(async move { dispatcher.send(message).await.ok() });
         }
     }
 }
--- a/crates/gateway/src/clients/services.rs
+++ b/crates/gateway/src/clients/services.rs
@@ -11,9 +11,9 @@
 use hyper::{Request, StatusCode};
 use tower::Service;
 
-use super::connection::{Awaits, Conn};
+use super::connection::{ClientConnection, ConnectionState};
 use super::{ClientResponse, Clients, plain};
-use crate::bodies::Given;
+use crate::bodies::ResponseBody;
 
 type Answering = Pin<Box<dyn Future<Output = Result<ClientResponse, Infallible>>>>;
 
@@ -21,7 +21,7 @@
 #[derive(Clone)]
 pub(super) struct PhaseService {
     pub(super) full: bool,
-    pub(super) inner: Invoke,
+    pub(super) inner: InvocationService,
 }
 
 impl Service<Request<Incoming>> for PhaseService {
@@ -34,50 +34,58 @@
     }
 
     fn call(&mut self, request: Request<Incoming>) -> Answering {
-        let (conn, full, clients) = (
-            self.inner.conn.clone(),
+        let (connection, full, clients) = (
+            self.inner.connection.clone(),
             self.full,
             self.inner.clients.clone(),
         );
-        let up = clients.front.asks_up(request.uri());
-        let both = conn.heads.borrow().both();
+        let up = clients.protocol.is_readiness_check(request.uri());
+        let both = connection.heads.borrow().has_conflicting_length();
         // Where the next head starts is not known after one.
         let chunked = request.headers().contains_key(TRANSFER_ENCODING);
-        let named = clients.front.named(request.uri());
-        let began = clients.clock.now();
-        let too_late = !clients.last_call.takes(began);
+        let named = clients.protocol.operation_name(request.uri());
+        let started = clients.clock.now();
+        let too_late = !clients.shutdown_admission.takes(started);
         let inner = (!up && !full && !both && !too_late).then(|| self.inner.call(request));
         Box::pin(async move {
             let mut answer = match inner {
                 Some(inner) => {
                     let answer = inner.await?;
                     clients
-                        .last_call
-                        .answered(clients.clock.now().saturating_sub(began));
+                        .shutdown_admission
+                        .answered(clients.clock.now().saturating_sub(started));
                     answer
                 }
                 // A second request may hide in its body.
                 None if both => plain(StatusCode::BAD_REQUEST),
                 None if too_late => clients.refusal(),
-                None if up && clients.now.stage().serves() => plain(StatusCode::OK),
+                None if up && clients.phase.get().is_serving() => plain(StatusCode::OK),
                 None => plain(StatusCode::SERVICE_UNAVAILABLE),
             };
-            let (now, sends_away) = (clients.clock.now(), clients.now.stage().sends_away());
-            let streamed = matches!(answer.body(), Given::Through(_));
-            conn.given.set(!streamed);
-            conn.turn(Awaits::Taking, now);
+            let (now, closes_connections) = (
+                clients.clock.now(),
+                clients.phase.get().closes_connections(),
+            );
+            let streamed = matches!(answer.body(), ResponseBody::Streamed(_));
+            connection.response_complete.set(!streamed);
+            connection.enter(ConnectionState::WritingResponse, now);
             if let Some(named) = named {
                 clients.count(&named, &mut answer);
             }
-            if let Given::Through(body) = answer.body_mut() {
-                let (counted, conn) = (body.count.take(), conn.clone());
+            if let ResponseBody::Streamed(body) = answer.body_mut() {
+                let (counted, connection) = (body.count.take(), connection.clone());
                 body.count = Some(Box::new(move |end| {
                     counted.into_iter().for_each(|count| count(end));
-                    conn.given.set(true);
+                    connection.response_complete.set(true);
                 }));
             }
-            let ends = full || both || chunked || sends_away || conn.unread.get();
-            if ends || clients.door.borrow_mut().ends(clients.most.get(), now) {
+            let ends = full || both || chunked || closes_connections || connection.unread.get();
+            if ends
+                || clients
+                    .admission
+                    .borrow_mut()
+                    .closes_after_response(clients.max_connections.get(), now)
+            {
                 answer
                     .headers_mut()
                     .insert(CONNECTION, HeaderValue::from_static("close"));
@@ -89,12 +97,12 @@
 
 /// Second layer: a request becomes an invocation, the module's answer becomes a response.
 #[derive(Clone)]
-pub(super) struct Invoke {
+pub(super) struct InvocationService {
     pub(super) clients: Rc<Clients>,
-    pub(super) conn: Rc<Conn>,
+    pub(super) connection: Rc<ClientConnection>,
 }
 
-impl Service<Request<Incoming>> for Invoke {
+impl Service<Request<Incoming>> for InvocationService {
     type Response = ClientResponse;
     type Error = Infallible;
     type Future = Answering;
@@ -104,10 +112,10 @@
     }
 
     fn call(&mut self, request: Request<Incoming>) -> Answering {
-        let (clients, conn) = (self.clients.clone(), self.conn.clone());
+        let (clients, connection) = (self.clients.clone(), self.connection.clone());
         Box::pin(async move {
             Ok(clients
-                .invoke(&conn, request)
+                .invoke(&connection, request)
                 .await
                 .unwrap_or_else(|answer| *answer))
         })
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Deserializer};
 use serde_json::Value;
 
-use crate::list::Page;
+use crate::backend_list::DiscoveryPage;
 use crate::sizes::{BODY, CONNECTION};
 
 /// Descriptors kept for all but clients and backends: listener, counter, list, peers, the runtime's own, and
@@ -20,7 +20,7 @@
 
 /// What a reload can change: where others are reached.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Places {
+pub struct ServiceAddresses {
     pub discovery: SocketAddr,
     pub counter: Option<SocketAddr>,
 }
@@ -28,7 +28,7 @@
 pub struct Config {
     pub name: String,
     pub listen: SocketAddr,
-    pub places: Places,
+    pub addresses: ServiceAddresses,
     /// Where operators call, if anywhere.
     pub admin: Option<SocketAddr>,
     pub peer_listen: Option<SocketAddr>,
@@ -37,7 +37,7 @@
     /// Gateways tell each other what they added to the counter (docs/counter-failure.md); needs `peers`.
     pub witness: bool,
     pub seed: u64,
-    pub known: Page,
+    pub known: DiscoveryPage,
     pub facts: Facts,
     /// The file as it was read.
     pub source: Value,
@@ -54,7 +54,7 @@
 }
 
 #[derive(Deserialize)]
-struct Raw {
+struct ConfigFile {
     name: Option<String>,
     listen: Option<String>,
     discovery: Option<String>,
@@ -70,7 +70,7 @@
     counter: Option<String>,
     seed: Option<String>,
     #[serde(default)]
-    known: Page,
+    known: DiscoveryPage,
     settings: Value,
 }
 
@@ -106,7 +106,7 @@
     pub fn parse(text: &str, env: impl Fn(&str) -> Option<String>) -> Result<Self, String> {
         let source = text;
         let mut text = serde_json::Deserializer::from_str(text);
-        let raw: Raw = named(&mut text).map_err(|e| format!("NODE_CONFIG: {e}"))?;
+        let raw: ConfigFile = named(&mut text).map_err(|e| format!("NODE_CONFIG: {e}"))?;
         let addr = |key: &str, value: &str| {
             value
                 .parse::<SocketAddr>()
@@ -154,7 +154,7 @@
         Ok(Config {
             name: given("name", raw.name, "NODE_NAME")?,
             listen: addr("listen", &given("listen", raw.listen, "NODE_LISTEN")?)?,
-            places: Places { discovery, counter },
+            addresses: ServiceAddresses { discovery, counter },
             admin: some(
                 "admin_addr",
                 &raw.admin_addr.or_else(|| env("NODE_ADMIN_ADDR")),
@@ -346,7 +346,7 @@
 pub fn unknown_keys(text: &str) -> (Vec<String>, Vec<String>) {
     let (mut own, mut settings) = (Vec::new(), Vec::new());
     let mut text = serde_json::Deserializer::from_str(text);
-    let raw: Result<Raw, _> =
+    let raw: Result<ConfigFile, _> =
         serde_ignored::deserialize(&mut text, |path| own.push(path.to_string()));
     if let Ok(raw) = raw {
         let facts: Result<Facts, _> = serde_ignored::deserialize(raw.settings, |path| {
--- a/crates/gateway/src/counter.rs
+++ b/crates/gateway/src/counter_client.rs
@@ -14,51 +14,56 @@
 
 use crate::clock::Clock;
 use crate::log::log;
-use crate::mail::*;
+use crate::messages::*;
 
 /// With calls out and nothing heard for this long at most, the connection is held for dead. It begins with
 /// one call's time-out: later answers are of no use, and each call more that goes to a dead connection is
 /// lost. It doubles with each connection that said nothing, or a slow counter would get little but those.
-const SILENT: Duration = Duration::from_secs(1);
+const MAX_SILENCE: Duration = Duration::from_secs(1);
 /// An answer is a word and a number; a longer line is none.
-const LINE: usize = 128;
+const MAX_LINE_BYTES: usize = 128;
 
 /// A call on its way, with the place in the stream where its last byte stands; none once it is given up,
 /// for its answer still takes its turn.
-struct Sent {
-    call: Option<Call>,
+struct SentCall {
+    call: Option<CounterCall>,
     end: u64,
     at: Duration,
 }
 
-pub struct Counter {
+pub struct CounterClient {
     pub at: SocketAddr,
     pub timeout: Duration,
     pub connect_timeout: Duration,
     pub clock: Clock,
-    pub module: mpsc::Sender<ToModule>,
+    pub dispatcher: mpsc::Sender<ToDispatcher>,
     pub mailbox: mpsc::Receiver<ToCounter>,
 }
 
 #[derive(Default)]
-struct Stream {
-    out: Vec<u8>,
+struct CallStream {
+    unwritten: Vec<u8>,
     written: u64,
     end: u64,
-    sent: VecDeque<Sent>,
-    heard: Duration,
+    sent: VecDeque<SentCall>,
+    last_heard: Duration,
     /// How long it may be silent.
-    patience: Duration,
+    silence_limit: Duration,
     read: Vec<u8>,
 }
 
-impl Stream {
-    fn encode(&mut self, call: Call) {
+impl CallStream {
+    fn encode(&mut self, call: CounterCall) {
         use std::io::Write;
-        let (before, keep) = (self.out.len(), call.keep.as_millis().max(1));
-        write!(self.out, "tally {} {} {keep}\r\n", call.name, call.add).expect("memory takes it");
-        self.end += (self.out.len() - before) as u64;
-        self.sent.push_back(Sent {
+        let (before, keep) = (self.unwritten.len(), call.keep.as_millis().max(1));
+        write!(
+            self.unwritten,
+            "tally {} {} {keep}\r\n",
+            call.name, call.add
+        )
+        .expect("memory takes it");
+        self.end += (self.unwritten.len() - before) as u64;
+        self.sent.push_back(SentCall {
             at: call.at,
             call: Some(call),
             end: self.end,
@@ -66,10 +71,10 @@
     }
 
     fn write(&mut self, socket: &OwnedWriteHalf) -> Result<(), Error> {
-        while !self.out.is_empty() {
-            match socket.try_write(&self.out) {
+        while !self.unwritten.is_empty() {
+            match socket.try_write(&self.unwritten) {
                 Ok(n) => {
-                    self.out.drain(..n);
+                    self.unwritten.drain(..n);
                     self.written += n as u64;
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => break,
@@ -95,7 +100,7 @@
 
 /// Whether a line that has no end yet can still become an answer. Noise without an end would hold the
 /// calls behind it until the connection counts as silent.
-fn begins(line: &[u8]) -> bool {
+fn may_become_answer(line: &[u8]) -> bool {
     let number = |b: &u8| b.is_ascii_digit() || b" +-.eE\r".contains(b);
     let word = [b"ok ".as_slice(), b"busy\r", b"error"]
         .iter()
@@ -107,22 +112,22 @@
 }
 
 /// Why a connection was left.
-enum Left {
+enum Disconnected {
     Moved,
     Broken(Error),
 }
 
-impl From<Error> for Left {
+impl From<Error> for Disconnected {
     fn from(e: Error) -> Self {
-        Left::Broken(e)
+        Disconnected::Broken(e)
     }
 }
 
-impl Counter {
+impl CounterClient {
     pub async fn run(mut self) {
         // Calls that wait for a connection.
-        let mut waiting: VecDeque<Call> = VecDeque::new();
-        let mut patience = self.timeout;
+        let mut waiting: VecDeque<CounterCall> = VecDeque::new();
+        let mut silence_limit = self.timeout;
         loop {
             if waiting.is_empty() {
                 match self.mailbox.recv().await {
@@ -135,77 +140,81 @@
             match self.connect(&mut waiting).await {
                 Some(Ok(socket)) => {
                     let began = self.clock.now();
-                    let mut stream = Stream {
-                        heard: began,
-                        patience,
-                        ..Stream::default()
+                    let mut stream = CallStream {
+                        last_heard: began,
+                        silence_limit,
+                        ..CallStream::default()
                     };
                     waiting.drain(..).for_each(|call| stream.encode(call));
-                    let why = self.talk(socket, &mut stream).await;
-                    let spoilt =
-                        matches!(&why, Some(Left::Broken(e)) if e.kind() == ErrorKind::InvalidData);
-                    for (n, s) in std::mem::take(&mut stream.sent).into_iter().enumerate() {
-                        let outcome = match s.end <= stream.written {
+                    let why = self.exchange(socket, &mut stream).await;
+                    let unreadable = matches!(&why, Some(Disconnected::Broken(e)) if e.kind() == ErrorKind::InvalidData);
+                    for (n, sent_call) in std::mem::take(&mut stream.sent).into_iter().enumerate() {
+                        let outcome = match sent_call.end <= stream.written {
                             // Answered, so added, though how much is there by now can't be read.
-                            true if spoilt && n == 0 => Outcome::Failed,
+                            true if unreadable && n == 0 => Outcome::Failed,
                             true => Outcome::TimedOut,
                             false => Outcome::ConnectFailed,
                         };
-                        self.tell(s.call, outcome, 0.0).await;
+                        self.report(sent_call.call, outcome, 0.0).await;
                     }
-                    let mute = stream.heard == began;
-                    patience = if mute {
-                        (patience * 2).min(SILENT.max(self.timeout))
+                    let was_silent = stream.last_heard == began;
+                    silence_limit = if was_silent {
+                        (silence_limit * 2).min(MAX_SILENCE.max(self.timeout))
                     } else {
                         self.timeout
                     };
                     match why {
-                        Some(Left::Broken(e)) => log!(warn, "counter-lost", "{}: {e}", self.at),
-                        Some(Left::Moved) => {}
+                        Some(Disconnected::Broken(e)) => {
+                            log!(warn, "counter-lost", "{}: {e}", self.at)
+                        }
+                        Some(Disconnected::Moved) => {}
                         None => return,
                     }
                 }
-                Some(Err(Left::Broken(e))) => {
+                Some(Err(Disconnected::Broken(e))) => {
                     log!(warn, "counter-unreachable", "{}: {e}", self.at);
                     for call in waiting.drain(..) {
-                        self.tell(Some(call), Outcome::ConnectFailed, 0.0).await;
+                        self.report(Some(call), Outcome::ConnectFailed, 0.0).await;
                     }
                 }
-                Some(Err(Left::Moved)) => {}
+                Some(Err(Disconnected::Moved)) => {}
                 None => return,
             }
         }
     }
 
     /// Connects while calls come in and run out of time; nothing was written of those.
-    async fn connect(&mut self, waiting: &mut VecDeque<Call>) -> Option<Result<TcpStream, Left>> {
+    async fn connect(
+        &mut self,
+        waiting: &mut VecDeque<CounterCall>,
+    ) -> Option<Result<TcpStream, Disconnected>> {
         let connect = timeout(self.connect_timeout, TcpStream::connect(self.at));
         tokio::pin!(connect);
         loop {
-            let due = waiting.front().map(|c| c.at + self.timeout);
+            let deadline = waiting.front().map(|c| c.at + self.timeout);
             tokio::select! {
                 biased;
                 done = &mut connect => {
                     let socket = done.unwrap_or_else(|_| Err(ErrorKind::TimedOut.into()));
-                    return Some(socket.and_then(|s| s.set_nodelay(true).map(|()| s)).map_err(Left::from));
+                    return Some(socket.and_then(|sent_call| sent_call.set_nodelay(true).map(|()| sent_call)).map_err(Disconnected::from));
                 }
-                mail = self.mailbox.recv() => match mail? {
+                message = self.mailbox.recv() => match message? {
                     ToCounter::Call(call) => waiting.push_back(call),
                     ToCounter::Move(at) => {
                         self.at = at;
-                        return Some(Err(Left::Moved));
+                        return Some(Err(Disconnected::Moved));
                     }
                 },
-                () = sleep_until(self.clock.instant(due.unwrap_or_default())), if due.is_some() => {
+                () = sleep_until(self.clock.instant(deadline.unwrap_or_default())), if deadline.is_some() => {
                     let call = waiting.pop_front();
-                    self.tell(call, Outcome::ConnectFailed, 0.0).await;
+                    self.report(call, Outcome::ConnectFailed, 0.0).await;
                 }
             }
         }
     }
 
     /// Takes in what has come; an error where it is no answer to a call.
-    async fn hear(&self, stream: &mut Stream) -> Result<(), Error> {
+    async fn handle_answers(&self, stream: &mut CallStream) -> Result<(), Error> {
         let bad = |what| Error::new(ErrorKind::InvalidData, what);
         let mut from = 0;
         while let Some(n) = stream.read[from..].iter().position(|b| *b == b'\n') {
@@ -216,11 +225,14 @@
                 .sent
                 .pop_front()
                 .ok_or_else(|| bad("an answer to no call"))?;
-            self.tell(sent.call, outcome, total).await;
+            self.report(sent.call, outcome, total).await;
         }
         stream.read.drain(..from);
         let more = !stream.read.is_empty();
-        if stream.read.len() > LINE || !begins(&stream.read) || more && stream.sent.is_empty() {
+        if stream.read.len() > MAX_LINE_BYTES
+            || !may_become_answer(&stream.read)
+            || more && stream.sent.is_empty()
+        {
             return Err(bad("noise"));
         }
         Ok(())
@@ -228,19 +240,23 @@
 
     /// Until the connection ends, or the counter has moved and all calls out have ended; none when the
     /// mailbox did.
-    async fn talk(&mut self, socket: TcpStream, stream: &mut Stream) -> Option<Left> {
+    async fn exchange(
+        &mut self,
+        socket: TcpStream,
+        stream: &mut CallStream,
+    ) -> Option<Disconnected> {
         // Read by halves: a read that leaves room then knows that there is no more without asking.
         let (mut reading, socket) = socket.into_split();
         if let Err(e) = stream.write(&socket) {
             return Some(e.into());
         }
-        let due = sleep_until(self.clock.instant(self.clock.now() + self.timeout));
-        tokio::pin!(due);
+        let deadline = sleep_until(self.clock.instant(self.clock.now() + self.timeout));
+        tokio::pin!(deadline);
         let (mut armed, mut moved) = (true, false);
         loop {
             // Calls of a name are answered in their order: none goes out elsewhere before these have ended.
-            if moved && stream.sent.iter().all(|s| s.call.is_none()) {
-                return Some(Left::Moved);
+            if moved && stream.sent.iter().all(|sent_call| sent_call.call.is_none()) {
+                return Some(Disconnected::Moved);
             }
             tokio::select! {
                 biased;
@@ -250,61 +266,61 @@
                         Ok(_) => {}
                         Err(e) => return Some(e.into()),
                     }
-                    stream.heard = self.clock.now();
-                    if let Err(e) = self.hear(stream).await {
+                    stream.last_heard = self.clock.now();
+                    if let Err(e) = self.handle_answers(stream).await {
                         return Some(e.into());
                     }
                 }
-                mail = self.mailbox.recv(), if !moved => {
-                    let mut mail = Some(mail?);
-                    while let Some(next) = mail {
+                message = self.mailbox.recv(), if !moved => {
+                    let mut message = Some(message?);
+                    while let Some(next) = message {
                         match next {
                             ToCounter::Call(call) => stream.encode(call),
                             ToCounter::Move(at) => (self.at, moved) = (at, true),
                         }
-                        mail = if moved { None } else { self.mailbox.try_recv().ok() };
+                        message = if moved { None } else { self.mailbox.try_recv().ok() };
                     }
                     if let Err(e) = stream.write(&socket) {
                         return Some(e.into());
                     }
                     if !armed {
                         armed = true;
-                        due.as_mut().reset(self.clock.instant(self.clock.now() + self.timeout));
+                        deadline.as_mut().reset(self.clock.instant(self.clock.now() + self.timeout));
                     }
                 }
-                _ = socket.writable(), if !stream.out.is_empty() => {
+                _ = socket.writable(), if !stream.unwritten.is_empty() => {
                     if let Err(e) = stream.write(&socket) {
                         return Some(e.into());
                     }
                 }
-                () = &mut due, if armed => {
+                () = &mut deadline, if armed => {
                     let now = self.clock.now();
-                    while let Some(s) = stream.sent.iter_mut().find(|s| s.call.is_some())
-                        && s.at + self.timeout <= now
+                    while let Some(sent_call) = stream.sent.iter_mut().find(|sent_call| sent_call.call.is_some())
+                        && sent_call.at + self.timeout <= now
                     {
-                        let call = s.call.take();
-                        self.tell(call, Outcome::TimedOut, 0.0).await;
+                        let call = sent_call.call.take();
+                        self.report(call, Outcome::TimedOut, 0.0).await;
                     }
-                    let oldest = stream.sent.front().map(|s| s.at);
-                    if oldest.is_some_and(|at| at.max(stream.heard) + stream.patience <= now) {
+                    let oldest = stream.sent.front().map(|sent_call| sent_call.at);
+                    if oldest.is_some_and(|at| at.max(stream.last_heard) + stream.silence_limit <= now) {
                         return Some(Error::new(ErrorKind::TimedOut, "silent").into());
                     }
-                    let next = stream.sent.iter().find(|s| s.call.is_some()).map(|s| s.at + self.timeout);
-                    let next = next.or(oldest.map(|at| at.max(stream.heard) + stream.patience));
+                    let next = stream.sent.iter().find(|sent_call| sent_call.call.is_some()).map(|sent_call| sent_call.at + self.timeout);
+                    let next = next.or(oldest.map(|at| at.max(stream.last_heard) + stream.silence_limit));
                     armed = next.is_some();
-                    next.into_iter().for_each(|at| due.as_mut().reset(self.clock.instant(at)));
+                    next.into_iter().for_each(|at| deadline.as_mut().reset(self.clock.instant(at)));
                 }
             }
         }
     }
 
-    async fn tell(&self, call: Option<Call>, outcome: Outcome, total: f64) {
-        let Some(Call { name, at, .. }) = call else {
+    async fn report(&self, call: Option<CounterCall>, outcome: Outcome, total: f64) {
+        let Some(CounterCall { name, at, .. }) = call else {
             return;
         };
         let latency = self.clock.now().saturating_sub(at);
-        self.module
-            .send(ToModule::Total {
+        self.dispatcher
+            .send(ToDispatcher::CounterTotal {
                 name,
                 outcome,
                 total,
--- /dev/null
+++ b/crates/gateway/src/dispatcher/mod.rs
@@ -0,0 +1,477 @@
+//! The module's actor: owns the rules, feeds them events in order of arrival, carries out their actions.
+
+mod actions;
+mod attempt_policy;
+mod overdue;
+mod peer_reports;
+mod send_attempt;
+mod shutdown;
+
+use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::sync::Arc;
+use std::time::Duration;
+
+use damsonbeam::Rules;
+use damsonbeam::interface::*;
+use damsonbeam_admin::Figures;
+use tokio::sync::{mpsc, oneshot};
+use tokio::time::sleep_until;
+
+pub use self::attempt_policy::{AttemptDecision, AttemptPolicy};
+use self::overdue::Overdue;
+use crate::account::Account;
+use crate::attempts::{Attempts, Ending};
+use crate::clock::Clock;
+use crate::messages::{
+    Answer, AttemptEnded, BackendHandle, BackendListUpdate, BackendResponse, CancelHandle,
+    ForwardedRequest, ToCounter, ToDispatcher, ToListWatcher, ToPeers,
+};
+use crate::peer_admissions::{self, PeerAdmissions};
+
+/// Events taken from the mailbox at a time.
+const MAX_BATCH: usize = 64;
+/// The figures that are looked up, not counted, are this old at most.
+const FIGURES_INTERVAL: Duration = Duration::from_millis(200);
+
+/// An invocation that is not over, or that has deliveries out.
+struct PendingRequest {
+    request: Rc<ForwardedRequest>,
+    deadline: Duration,
+    /// While its body comes: how long its client waits from then on.
+    coming: Option<Duration>,
+    answer: Option<oneshot::Sender<Answer>>,
+    /// A failed delivery's answer, which the client gets where no better one comes.
+    fallback: Option<BackendResponse>,
+    attempts: Attempts,
+    overdue: Option<Overdue>,
+    in_flight: Vec<Option<InFlightAttempt>>,
+}
+
+/// A delivery that is out.
+struct InFlightAttempt {
+    tgt: TgtId,
+    sent: Duration,
+    until: Duration,
+    cancel_handle: Rc<CancelHandle>,
+}
+
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+enum Timer {
+    Rules(String),
+    AttemptTimeout(InvId, DeliveryNo),
+    /// An overdue attempt after which nothing follows.
+    OverdueEnd(InvId),
+    /// The witness's report to the peers.
+    PeerReport,
+    /// The figures that only the rules know.
+    Figures,
+}
+
+/// Starts the actor of a backend: where it is, and what it is called.
+pub type SpawnBackend = Box<dyn Fn(SocketAddr, &Arc<str>) -> BackendHandle>;
+
+pub struct Dispatcher {
+    pub rules: Rules,
+    pub clock: Clock,
+    pub mailbox: mpsc::Receiver<ToDispatcher>,
+    /// Starts a backend's actor.
+    pub spawn_backend: SpawnBackend,
+    /// The module's own mailbox, for what its deliveries tell.
+    pub own_mailbox: mpsc::Sender<ToDispatcher>,
+    /// What all gateways share besides the quotas: where the protocol sets it.
+    pub attempt_policy: Option<Box<dyn AttemptPolicy>>,
+    pub counter: Option<mpsc::Sender<ToCounter>>,
+    pub list_watcher: mpsc::Sender<ToListWatcher>,
+    pub peers: Option<mpsc::Sender<ToPeers>>,
+    /// Where `peer_admissions` is set: the other gateways' adds, and the peers (by number) to report to.
+    pub peer_admissions: Option<(PeerAdmissions, Vec<GatewayId>)>,
+    pub state: DispatcherState,
+    pub figures: Figures,
+    pub account: Option<Account>,
+    /// Whether somebody may ask for the figures.
+    pub reports_figures: bool,
+    /// Who waits for what the rules hand over.
+    pub carry: Option<oneshot::Sender<Box<Carry>>>,
+}
+
+#[derive(Default)]
+pub struct DispatcherState {
+    requests: HashMap<InvId, PendingRequest>,
+    backends: BTreeMap<TgtId, BackendHandle>,
+    timers: BTreeSet<(Duration, Timer)>,
+    /// Events that actions gave rise to.
+    follow_up_events: VecDeque<Event>,
+}
+
+impl Dispatcher {
+    pub async fn run(mut self) {
+        if self.peer_admissions.is_some() {
+            self.state.timers.insert((
+                self.clock.now() + peer_admissions::REPORT_INTERVAL,
+                Timer::PeerReport,
+            ));
+        }
+        if self.reports_figures {
+            self.state.timers.insert((self.clock.now(), Timer::Figures));
+        }
+        let wake = sleep_until(self.clock.instant(Duration::ZERO));
+        tokio::pin!(wake);
+        let mut armed: Option<Duration> = None;
+        let mut batch = Vec::with_capacity(MAX_BATCH);
+        loop {
+            let next = self.state.timers.first().map(|(at, _)| *at);
+            if let Some(at) = next.filter(|_| next != armed) {
+                wake.as_mut().reset(self.clock.instant(at));
+            }
+            armed = next;
+            tokio::select! {
+                biased;
+                n = self.mailbox.recv_many(&mut batch, MAX_BATCH) => {
+                    if n == 0 {
+                        return;
+                    }
+                    batch.drain(..).for_each(|message| self.handle_message(message));
+                }
+                () = &mut wake, if armed.is_some() => armed = None,
+            }
+            self.run_timers();
+        }
+    }
+
+    fn run_timers(&mut self) {
+        let now = self.clock.now();
+        while self.state.timers.first().is_some_and(|(at, _)| *at <= now) {
+            match self.state.timers.pop_first().expect("seen above").1 {
+                Timer::Rules(token) => self.handle_event(Event::Timer { token }),
+                Timer::AttemptTimeout(inv, number) => self.timed_out(inv, number),
+                Timer::OverdueEnd(inv) => self.overdue_timed_out(inv),
+                Timer::PeerReport => self.report_to_peers(now),
+                Timer::Figures => {
+                    let (listed, avoided) = self.rules.backends();
+                    self.figures.cluster_size.set(listed as i64);
+                    self.figures.cluster_unhealthy.set(avoided as i64);
+                    self.state
+                        .timers
+                        .insert((now + FIGURES_INTERVAL, Timer::Figures));
+                }
+            }
+        }
+    }
+
+    fn handle_message(&mut self, message: ToDispatcher) {
+        match message {
+            ToDispatcher::Invocation {
+                invocation,
+                time_left,
+                repeatable,
+                request,
+                answer,
+            } => {
+                let request = PendingRequest {
+                    request,
+                    deadline: invocation.deadline,
+                    coming: invocation.coming.then_some(time_left),
+                    answer: Some(answer),
+                    fallback: None,
+                    attempts: Attempts::new(repeatable),
+                    overdue: None,
+                    in_flight: Vec::new(),
+                };
+                self.state.requests.insert(invocation.inv, request);
+                self.handle_event(Event::Invocation(invocation));
+            }
+            ToDispatcher::BodyComplete { inv, deadline } => self.body_complete(inv, deadline),
+            ToDispatcher::BodyConsumed { inv } => {
+                if self.state.requests.contains_key(&inv) {
+                    self.handle_event(Event::Spent { inv });
+                }
+            }
+            ToDispatcher::Settings(settings) => self.handle_event(Event::Settings(settings)),
+            ToDispatcher::Yield(reply_to) => {
+                self.carry = Some(reply_to);
+                self.handle_event(Event::Yield);
+            }
+            ToDispatcher::Resume => self.handle_event(Event::Resume),
+            ToDispatcher::RefuseUnsent(reply_to) => drop(reply_to.send(self.refuse_unsent())),
+            ToDispatcher::AnswerAll(reply_to) => drop(reply_to.send(self.answer_all())),
+            ToDispatcher::TakeOver(carry) => self.handle_event(Event::Carried(carry)),
+            ToDispatcher::ClientGone { inv } => self.client_gone(inv),
+            ToDispatcher::AttemptEnded(ended) => self.handle_attempt_ended(ended),
+            ToDispatcher::CounterTotal {
+                name,
+                outcome,
+                total,
+                latency,
+            } => self.counter_total(name, outcome, total, latency),
+            ToDispatcher::BackendList(update) => self.update_backends(update),
+            ToDispatcher::PeerMessage { from, bytes } => self.peer_message(from, bytes),
+        }
+    }
+
+    fn client_gone(&mut self, inv: InvId) {
+        let Some(request) = self.state.requests.get_mut(&inv) else {
+            return;
+        };
+        if let Some(overdue) = request.overdue.take() {
+            overdue.cancel();
+        }
+        if request.answer.take().is_some() {
+            self.handle_event(Event::Left { inv });
+            self.forget_if_finished(inv);
+        }
+    }
+
+    fn handle_attempt_ended(&mut self, ended: AttemptEnded) {
+        let (inv, number) = (ended.inv, ended.number);
+        // One whose time was over has had its outcome.
+        let Some(attempt) = self.take_attempt(inv, number) else {
+            return self.overdue_done(ended);
+        };
+        let AttemptEnded {
+            ending,
+            response,
+            report,
+            ..
+        } = ended;
+        let outcome = ending.outcome();
+        let request = self.state.requests.get_mut(&inv);
+        if let (Ending::NotExecuted(proof), Some(request)) = (ending, request) {
+            request.attempts.not_executed(number, proof);
+        }
+        match (response, self.state.requests.get_mut(&inv)) {
+            (Some(response), _) if outcome == Outcome::Ok => {
+                self.answer(inv, Answer::Succeeded(response));
+            }
+            (fallback @ Some(_), Some(request)) => request.fallback = fallback,
+            _ => {}
+        }
+        self.attempt_ended(inv, number, &attempt, outcome, report);
+    }
+
+    fn counter_total(&mut self, name: String, outcome: Outcome, total: f64, latency: Duration) {
+        let calls = &self.figures.counter_calls;
+        calls.with_label_values(&[outcome_name(outcome)]).inc();
+        let now = self.clock.now();
+        let others = match &self.peer_admissions {
+            Some((admissions, _)) => admissions.admitted_by_peers(&name, now),
+            None => 0.0,
+        };
+        self.handle_event(Event::Total {
+            name,
+            outcome,
+            total,
+            others,
+            latency,
+        });
+    }
+
+    /// A datagram of another gateway: a report of what it admitted, or one for the rules.
+    fn peer_message(&mut self, from: GatewayId, bytes: Vec<u8>) {
+        let now = self.clock.now();
+        let is_report = match &mut self.peer_admissions {
+            Some((admissions, _)) => admissions.record_report(from.0, &bytes, now),
+            None => false,
+        };
+        if !is_report {
+            self.handle_event(Event::Peer { from, bytes });
+        }
+    }
+
+    /// Backends have an actor from the first list that names them to the one that has them gone.
+    fn update_backends(
+        &mut self,
+        BackendListUpdate {
+            form,
+            entries,
+            addresses,
+            names,
+        }: BackendListUpdate,
+    ) {
+        let unnamed: Arc<str> = "".into();
+        if matches!(form, ListForm::Replace | ListForm::Restored) {
+            let named: BTreeSet<TgtId> = entries.iter().map(|e| e.tgt).collect();
+            self.state.backends.retain(|tgt, _| named.contains(tgt));
+        }
+        for (n, (e, at)) in entries.iter().zip(addresses).enumerate() {
+            if e.health == Health::Gone {
+                self.state.backends.remove(&e.tgt);
+            } else if self.state.backends.get(&e.tgt).is_none_or(|b| b.at != at) {
+                self.state.backends.insert(
+                    e.tgt,
+                    (self.spawn_backend)(at, names.get(n).unwrap_or(&unnamed)),
+                );
+            }
+            if let Some(peer) = self.state.backends.get(&e.tgt) {
+                peer.closed.set(e.health != Health::Up);
+            }
+        }
+        self.handle_event(Event::Targets { form, entries });
+    }
+
+    /// A body's last byte has come: its deliveries' times run from now.
+    fn body_complete(&mut self, inv: InvId, deadline: Duration) {
+        let now = self.clock.now();
+        let Some(request) = self.state.requests.get_mut(&inv) else {
+            return;
+        };
+        (request.deadline, request.coming) = (deadline, None);
+        for (number, attempt) in request
+            .in_flight
+            .iter_mut()
+            .enumerate()
+            .filter_map(|(number, o)| Some((number, o.as_mut()?)))
+        {
+            let number = DeliveryNo(number as u32);
+            self.state
+                .timers
+                .remove(&(attempt.until, Timer::AttemptTimeout(inv, number)));
+            (attempt.sent, attempt.until) = (now, deadline);
+            self.state
+                .timers
+                .insert((attempt.until, Timer::AttemptTimeout(inv, number)));
+        }
+        self.handle_event(Event::Whole { inv, deadline });
+    }
+
+    /// Takes a delivery off those out.
+    fn take_attempt(&mut self, inv: InvId, number: DeliveryNo) -> Option<InFlightAttempt> {
+        let attempt = self
+            .state
+            .requests
+            .get_mut(&inv)?
+            .in_flight
+            .get_mut(number.0 as usize)?
+            .take()?;
+        // Left there, it would wake the gateway for nothing.
+        self.state
+            .timers
+            .remove(&(attempt.until, Timer::AttemptTimeout(inv, number)));
+        Some(attempt)
+    }
+
+    /// How a delivery ended; the invocation is closed if its final answer has gone out.
+    fn outcome_event(
+        &self,
+        inv: InvId,
+        number: DeliveryNo,
+        attempt: &InFlightAttempt,
+        outcome: Outcome,
+        report: Report,
+    ) -> Event {
+        self.figures
+            .deliveries
+            .with_label_values(&[outcome_name(outcome)])
+            .inc();
+        let closed = self
+            .state
+            .requests
+            .get(&inv)
+            .is_none_or(|h| h.answer.is_none());
+        let latency = self.clock.now().saturating_sub(attempt.sent);
+        let (tgt, used, true_units) = (attempt.tgt, None, None);
+        Event::Outcome {
+            inv,
+            no: number,
+            tgt,
+            outcome,
+            latency,
+            closed,
+            used,
+            true_units,
+            report,
+        }
+    }
+
+    fn attempt_ended(
+        &mut self,
+        inv: InvId,
+        number: DeliveryNo,
+        attempt: &InFlightAttempt,
+        outcome: Outcome,
+        report: Report,
+    ) {
+        self.notify_policy(attempt, outcome);
+        let event = self.outcome_event(inv, number, attempt, outcome, report);
+        self.handle_event(event);
+        self.forget_if_finished(inv);
+    }
+
+    /// A delivery that went out is over.
+    fn notify_policy(&mut self, attempt: &InFlightAttempt, outcome: Outcome) {
+        if let Some(attempt_policy) = &mut self.attempt_policy {
+            let now = self.clock.now();
+            attempt_policy.after_attempt(
+                attempt.tgt,
+                outcome,
+                now.saturating_sub(attempt.sent),
+                now,
+            );
+        }
+    }
+
+    /// The same for one that ends by an action, told once all actions are carried out.
+    fn queue_ended(
+        &mut self,
+        inv: InvId,
+        number: DeliveryNo,
+        attempt: &InFlightAttempt,
+        outcome: Outcome,
+    ) {
+        let event = self.outcome_event(inv, number, attempt, outcome, vec![]);
+        self.state.follow_up_events.push_back(event);
+    }
+
+    /// Forgets an invocation that is over and has nothing out.
+    fn forget_if_finished(&mut self, inv: InvId) {
+        let over =
+            |h: &PendingRequest| h.answer.is_none() && h.in_flight.iter().all(Option::is_none);
+        if self.state.requests.get(&inv).is_some_and(over) {
+            self.state.requests.remove(&inv);
+        }
+    }
+
+    fn answer(&mut self, inv: InvId, answer: Answer) {
+        let Some(request) = self.state.requests.get_mut(&inv) else {
+            return;
+        };
+        request.overdue.take().into_iter().for_each(Overdue::cancel);
+        request.answer.take().map(|to| to.send(answer).ok());
+    }
+
+    /// The decision module has nothing better for the client; an overdue attempt may.
+    fn answer_failure(&mut self, inv: InvId, failure: Answer) {
+        if let Some(failure) = self.defer_failure(inv, failure) {
+            self.answer(inv, failure);
+        }
+    }
+
+    /// Hands the rules an event, and those that their actions give rise to.
+    pub fn handle_event(&mut self, event: Event) {
+        let mut event = Some(event);
+        while let Some(now) = event.take() {
+            let at = self.clock.now();
+            self.account.iter_mut().for_each(|a| a.event(at, &now));
+            for action in self.rules.on(at, now) {
+                self.account.iter_mut().for_each(|a| a.action(at, &action));
+                self.carry_out(action);
+            }
+            event = self.state.follow_up_events.pop_front();
+        }
+    }
+}
+
+/// An outcome as the figures name it.
+fn outcome_name(outcome: Outcome) -> &'static str {
+    match outcome {
+        Outcome::Ok => "ok",
+        Outcome::Failed => "failed",
+        Outcome::Full => "full",
+        Outcome::TimedOut => "timed_out",
+        Outcome::ConnectFailed => "connect_failed",
+        Outcome::Reset => "reset",
+        Outcome::Canceled => "canceled",
+        Outcome::Ignored => "ignored",
+    }
+}
--- a/crates/gateway/src/module/stop.rs
+++ b/crates/gateway/src/dispatcher/shutdown.rs
@@ -2,23 +2,23 @@
 
 use damsonbeam::interface::{Event, InvId, Why};
 
-use super::Module;
-use crate::last_call::ELSEWHERE;
-use crate::mail::{Answer, Unanswered};
+use super::Dispatcher;
+use crate::messages::{Answer, Unanswered};
+use crate::shutdown_admission::ELSEWHERE;
 
-impl Module {
+impl Dispatcher {
     /// Refuses what waits and has not run: its client has time left to go elsewhere.
     pub(super) fn refuse_unsent(&mut self) -> Unanswered {
         let unanswered = self.unanswered();
-        let (unsent, at_work): (Vec<InvId>, Vec<InvId>) = unanswered
+        let (unsent, in_progress): (Vec<InvId>, Vec<InvId>) = unanswered
             .into_iter()
-            .partition(|inv| self.state.held[inv].attempts.none_executed());
+            .partition(|inv| self.state.requests[inv].attempts.none_executed());
         for inv in &unsent {
-            self.drop_with(*inv, refusal());
+            self.answer_without_rules(*inv, refusal());
         }
         Unanswered {
             refused: unsent.len(),
-            at_work: at_work.len(),
+            in_progress: in_progress.len(),
         }
     }
 
@@ -26,7 +26,7 @@
     pub(super) fn answer_all(&mut self) -> Unanswered {
         let counts = self.refuse_unsent();
         for inv in self.unanswered() {
-            self.drop_with(inv, Answer::Errored);
+            self.answer_without_rules(inv, Answer::Errored);
         }
         counts
     }
@@ -34,17 +34,17 @@
     fn unanswered(&self) -> Vec<InvId> {
         let waiting = self
             .state
-            .held
+            .requests
             .iter()
-            .filter(|(_, held)| held.answer.is_some());
+            .filter(|(_, request)| request.answer.is_some());
         waiting.map(|(inv, _)| *inv).collect()
     }
 
     /// Answers a request without the decision module, which hears that it is over.
-    fn drop_with(&mut self, inv: InvId, answer: Answer) {
+    fn answer_without_rules(&mut self, inv: InvId, answer: Answer) {
         self.answer(inv, answer);
-        self.feed(Event::Left { inv });
-        self.tidy(inv);
+        self.handle_event(Event::Left { inv });
+        self.forget_if_finished(inv);
     }
 }
 
@@ -52,6 +52,6 @@
     Answer::Throttled {
         after: Some(ELSEWHERE),
         why: Why::Line,
-        clean: true,
+        none_executed: true,
     }
 }
--- a/crates/gateway/src/handover.rs
+++ b/crates/gateway/src/handover.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use damsonbeam_handover::{Said, VERSION};
+use damsonbeam_handover::{HandoverMessage, VERSION};
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader, Take};
 use tokio::net::unix::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::{UnixListener, UnixStream};
@@ -14,9 +14,9 @@
 
 /// What the other says in answer comes within this, or it is held for gone: the platform gives a new process
 /// 6 s in all.
-const ANSWER: Duration = Duration::from_millis(1500);
+const REPLY_TIMEOUT: Duration = Duration::from_millis(1500);
 /// A line at most: state grows with the customers, some hundred bytes each.
-const LINE: u64 = 64 << 20;
+const MAX_LINE_BYTES: u64 = 64 << 20;
 
 /// Where a gateway's processes find each other; none where the platform hands over no listening socket, for
 /// then a second process can't listen anyway.
@@ -31,76 +31,81 @@
 }
 
 /// A connection between the two.
-pub struct Link {
+pub struct HandoverConnection {
     from: Take<BufReader<OwnedReadHalf>>,
     to: OwnedWriteHalf,
     /// A line's beginning, kept when a wait for its end is given up.
     line: Vec<u8>,
 }
 
-impl Link {
+impl HandoverConnection {
     fn new(stream: UnixStream) -> Self {
         let (from, to) = stream.into_split();
-        Link {
-            from: BufReader::new(from).take(LINE),
+        HandoverConnection {
+            from: BufReader::new(from).take(MAX_LINE_BYTES),
             to,
             line: Vec::new(),
         }
     }
 
     /// Greets the process that serves; none where there is none, or it does not listen.
-    pub async fn greet(path: &PathBuf, name: &str) -> Option<Link> {
-        let mut link = Link::new(
-            timeout(ANSWER, UnixStream::connect(path))
+    pub async fn connect(path: &PathBuf, name: &str) -> Option<HandoverConnection> {
+        let mut connection = HandoverConnection::new(
+            timeout(REPLY_TIMEOUT, UnixStream::connect(path))
                 .await
                 .ok()?
                 .ok()?,
         );
-        let hello = Said::Hello {
+        let hello = HandoverMessage::Hello {
             version: VERSION,
             name: name.to_owned(),
         };
-        link.say(&hello).await.then_some(link)
+        connection.send(&hello).await.then_some(connection)
     }
 
     /// False where the other is gone, or does not read.
-    pub async fn say(&mut self, said: &Said) -> bool {
-        let Ok(mut line) = serde_json::to_vec(said) else {
+    pub async fn send(&mut self, message: &HandoverMessage) -> bool {
+        let Ok(mut line) = serde_json::to_vec(message) else {
             return false;
         };
         line.push(b'\n');
-        matches!(timeout(ANSWER, self.to.write_all(&line)).await, Ok(Ok(())))
+        matches!(
+            timeout(REPLY_TIMEOUT, self.to.write_all(&line)).await,
+            Ok(Ok(()))
+        )
     }
 
     /// The next thing said; none where the other is gone or says what can't be read. May be dropped midway.
-    pub async fn hear(&mut self) -> Option<Said> {
+    pub async fn receive(&mut self) -> Option<HandoverMessage> {
         self.from.read_until(b'\n', &mut self.line).await.ok()?;
-        self.from.set_limit(LINE);
+        self.from.set_limit(MAX_LINE_BYTES);
         if !self.line.ends_with(b"\n") {
             return None;
         }
-        let said = serde_json::from_slice(&self.line);
+        let message = serde_json::from_slice(&self.line);
         self.line.clear();
-        said.map_err(|e| log!(warn, "handover-garbled", "{e}")).ok()
+        message
+            .map_err(|e| log!(warn, "handover-garbled", "{e}"))
+            .ok()
     }
 
     /// The same, within the time that an answer may take.
-    pub async fn hear_soon(&mut self) -> Option<Said> {
-        timeout(ANSWER, self.hear()).await.ok().flatten()
+    pub async fn receive_reply(&mut self) -> Option<HandoverMessage> {
+        timeout(REPLY_TIMEOUT, self.receive()).await.ok().flatten()
     }
 }
 
 /// Where a younger process may come.
-pub struct Seat {
+pub struct HandoverListener {
     listener: UnixListener,
 }
 
-impl Seat {
+impl HandoverListener {
     /// Takes the place; a socket that is left there from another process is replaced.
-    pub fn take(path: &PathBuf) -> Option<Seat> {
+    pub fn bind(path: &PathBuf) -> Option<HandoverListener> {
         std::fs::remove_file(path).ok();
         match UnixListener::bind(path) {
-            Ok(listener) => Some(Seat { listener }),
+            Ok(listener) => Some(HandoverListener { listener }),
             Err(e) => {
                 log!(
                     warn,
@@ -113,8 +118,8 @@
         }
     }
 
-    pub async fn came(&self) -> Option<Link> {
+    pub async fn accept(&self) -> Option<HandoverConnection> {
         let (stream, _) = self.listener.accept().await.ok()?;
-        Some(Link::new(stream))
+        Some(HandoverConnection::new(stream))
     }
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,33 +1,33 @@
 //! The gateway on sockets. It carries events to the module and its actions out, and decides nothing.
-//! Ground floor: `mail` (what the actors say to each other), `stage`, `sizes`; these import no actor.
-//! Files go by peer: clients, backends, the counter, the list, the other gateways; `module` is the actor
+//! Ground floor: `message` (what the actors say to each other), `phase`, `sizes`; these import no actor.
+//! Files go by peer: clients, backends, the counter, the list, the other gateways; `dispatcher` is the actor
 //! that owns the rules, `life` the phases from start to exit;
 //! it alone wires the actors.
 
 pub mod account;
-pub mod admission;
 pub mod attempts;
+pub mod backend_list;
 pub mod backends;
 pub mod bodies;
 pub mod clients;
 pub mod clock;
 pub mod config;
-pub mod counter;
-pub mod front;
+pub mod connection_admission;
+pub mod counter_client;
+pub mod dispatcher;
 pub mod handover;
-pub mod heads;
-pub mod last_call;
-pub mod life;
-pub mod list;
 pub mod log;
-pub mod mail;
-pub mod meter;
-pub mod module;
+pub mod memory_budget;
+pub mod messages;
+pub mod peer_admissions;
 pub mod peers;
-pub mod room;
+pub mod phase;
+pub mod platform_protocol;
+pub mod request_heads;
+pub mod server;
+pub mod shutdown_admission;
 pub mod sizes;
-pub mod stage;
-pub mod witness;
+pub mod write_meter;
 
 use std::process::ExitCode;
 
@@ -41,7 +41,7 @@
         .build_local(LocalOptions::default());
     runtime
         .map_err(|e| format!("runtime: {e}"))?
-        .block_on(life::Life::default().run(config))
+        .block_on(server::Server::default().run(config))
 }
 
 /// From start to exit.
--- a/crates/gateway/src/room.rs
+++ b/crates/gateway/src/memory_budget.rs
@@ -7,58 +7,58 @@
 
 /// So many bytes for all of a kind together.
 #[derive(Clone)]
-pub struct Rooms {
+pub struct MemoryBudget {
     most: usize,
     taken: Arc<AtomicUsize>,
 }
 
 /// A part of it.
-pub struct Room {
+pub struct MemoryReservation {
     bytes: usize,
     taken: Arc<AtomicUsize>,
 }
 
-impl Rooms {
+impl MemoryBudget {
     pub fn new(most: usize) -> Self {
-        Rooms {
+        MemoryBudget {
             most,
             taken: Arc::default(),
         }
     }
 
     /// None where it is full.
-    pub fn take(&self, bytes: usize) -> Option<Room> {
+    pub fn reserve(&self, bytes: usize) -> Option<MemoryReservation> {
         let taken = self.taken.load(Ordering::Relaxed);
         if bytes > self.most - taken {
             return None;
         }
         self.taken.store(taken + bytes, Ordering::Relaxed);
-        Some(Room {
+        Some(MemoryReservation {
             bytes,
             taken: self.taken.clone(),
         })
     }
 }
 
-impl Room {
+impl MemoryReservation {
     /// The bytes, which keep the room until the last of their users lets go.
     pub fn keep(self, bytes: Bytes) -> Bytes {
-        Bytes::from_owner(Kept { bytes, _room: self })
+        Bytes::from_owner(ReservedBytes { bytes, _room: self })
     }
 }
 
-impl Drop for Room {
+impl Drop for MemoryReservation {
     fn drop(&mut self) {
         self.taken.fetch_sub(self.bytes, Ordering::Relaxed);
     }
 }
 
-struct Kept {
+struct ReservedBytes {
     bytes: Bytes,
-    _room: Room,
+    _room: MemoryReservation,
 }
 
-impl AsRef<[u8]> for Kept {
+impl AsRef<[u8]> for ReservedBytes {
     fn as_ref(&self) -> &[u8] {
         &self.bytes
     }
--- a/crates/gateway/src/mail.rs
+++ b/crates/gateway/src/messages.rs
@@ -14,26 +14,26 @@
 use tokio::sync::{mpsc, oneshot};
 
 use crate::attempts::{Ending, Repeatable, SendPermit};
-use crate::bodies::{Given, Load};
+use crate::bodies::{RequestBody, ResponseBody};
 
 /// To the module.
-pub enum ToModule {
-    Listed(Listed),
-    /// `left`: how long its client waits from its last byte on.
+pub enum ToDispatcher {
+    BackendList(BackendListUpdate),
+    /// `time_left`: how long its client waits from its last byte on.
     Invocation {
-        told: Invocation,
-        left: Duration,
+        invocation: Invocation,
+        time_left: Duration,
         repeatable: Option<Repeatable>,
-        ask: Rc<Ask>,
+        request: Rc<ForwardedRequest>,
         answer: oneshot::Sender<Answer>,
     },
     /// The last byte of a body that was still coming is here; its client waits until then.
-    Whole {
+    BodyComplete {
         inv: InvId,
         deadline: Duration,
     },
     /// Part of its body is gone for good: no other delivery can carry it.
-    Spent {
+    BodyConsumed {
         inv: InvId,
     },
     Settings(Box<Settings>),
@@ -44,18 +44,18 @@
     RefuseUnsent(oneshot::Sender<Unanswered>),
     /// Its time to end is over: each request that is left gets an error.
     AnswerAll(oneshot::Sender<Unanswered>),
-    Carried(Box<Carry>),
-    Left {
+    TakeOver(Box<Carry>),
+    ClientGone {
         inv: InvId,
     },
-    Done(Done),
-    Total {
+    AttemptEnded(AttemptEnded),
+    CounterTotal {
         name: String,
         outcome: Outcome,
         total: f64,
         latency: Duration,
     },
-    Peer {
+    PeerMessage {
         from: GatewayId,
         bytes: Vec<u8>,
     },
@@ -67,61 +67,61 @@
     /// Refused: no attempt was executed, and none is out.
     pub refused: usize,
     /// Sent to a backend.
-    pub at_work: usize,
+    pub in_progress: usize,
 }
 
 /// The one final answer of an invocation.
 pub enum Answer {
-    Succeeded(Reply),
+    Succeeded(BackendResponse),
     /// When to come back; whether none of its deliveries has run or will.
     Throttled {
         after: Option<Duration>,
         why: Why,
-        clean: bool,
+        none_executed: bool,
     },
     Errored,
 }
 
 /// What of a client's request goes on to a backend.
-pub struct Ask {
+pub struct ForwardedRequest {
     pub method: Method,
     pub uri: Uri,
     pub headers: HeaderMap,
-    pub body: Load,
+    pub body: RequestBody,
 }
 
 /// A backend's answer that goes to the client.
-pub struct Reply {
+pub struct BackendResponse {
     pub status: StatusCode,
     pub headers: HeaderMap,
-    pub body: Given,
+    pub body: ResponseBody,
 }
 
 /// To a backend.
 pub enum ToBackend {
-    Deliver(Job),
+    Send(OutgoingAttempt),
     CloseIdle,
 }
 
-pub struct Job {
+pub struct OutgoingAttempt {
     pub inv: InvId,
-    pub no: DeliveryNo,
+    pub number: DeliveryNo,
     pub permit: SendPermit,
-    pub ask: Rc<Ask>,
+    pub request: Rc<ForwardedRequest>,
     /// How long the gateway will wait.
-    pub wait: Duration,
-    pub line: Rc<Line>,
+    pub time_left: Duration,
+    pub cancel_handle: Rc<CancelHandle>,
     /// An overdue attempt, given up once this one is written.
-    pub replaces: Option<Rc<Line>>,
-    pub to: mpsc::Sender<ToModule>,
+    pub replaces: Option<Rc<CancelHandle>>,
+    pub to: mpsc::Sender<ToDispatcher>,
 }
 
 /// How a delivery ended; the reply with a succeeded one, or with one that failed and may go to the client.
-pub struct Done {
+pub struct AttemptEnded {
     pub inv: InvId,
-    pub no: DeliveryNo,
+    pub number: DeliveryNo,
     pub ending: Ending,
-    pub reply: Option<Reply>,
+    pub response: Option<BackendResponse>,
     pub report: Report,
 }
 
@@ -129,15 +129,15 @@
 
 /// A delivery's hold on its connection, by which it is given up.
 #[derive(Default)]
-pub struct Line {
-    pub over: Cell<bool>,
+pub struct CancelHandle {
+    pub cancelled: Cell<bool>,
     pub socket: RefCell<Weak<Socket>>,
 }
 
-impl Line {
+impl CancelHandle {
     /// Ends the connection at once: whatever is sent after this leaves later.
-    pub fn give_up(&self) {
-        self.over.set(true);
+    pub fn cancel(&self) {
+        self.cancelled.set(true);
         if let Some(socket) = self.socket.borrow().upgrade() {
             SockRef::from(&*socket.borrow())
                 .shutdown(Shutdown::Both)
@@ -147,30 +147,30 @@
 }
 
 /// A backend's actor, as the module reaches it.
-pub struct Peer {
+pub struct BackendHandle {
     pub at: SocketAddr,
     pub mailbox: mpsc::Sender<ToBackend>,
     /// It drains or is gone: what is not written to it yet is not written any more.
-    pub shut: Rc<Cell<bool>>,
+    pub closed: Rc<Cell<bool>>,
 }
 
-impl Drop for Peer {
+impl Drop for BackendHandle {
     fn drop(&mut self) {
-        self.shut.set(true);
+        self.closed.set(true);
     }
 }
 
 /// A list as the module takes it, with where each backend is reached.
-pub struct Listed {
+pub struct BackendListUpdate {
     pub form: ListForm,
     pub entries: Arc<[Entry]>,
-    pub addrs: Vec<SocketAddr>,
+    pub addresses: Vec<SocketAddr>,
     /// By which each backend is told from others that had its address, where the list says.
     pub names: Vec<Arc<str>>,
 }
 
 /// To the list.
-pub enum ToList {
+pub enum ToListWatcher {
     Watch {
         on: bool,
     },
@@ -179,7 +179,7 @@
     Move(SocketAddr),
 }
 
-pub struct Call {
+pub struct CounterCall {
     pub name: String,
     pub add: f64,
     pub keep: Duration,
@@ -188,7 +188,7 @@
 
 /// To the counter.
 pub enum ToCounter {
-    Call(Call),
+    Call(CounterCall),
     /// It is at another address from now on.
     Move(SocketAddr),
 }
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -8,14 +8,14 @@
 use tokio::sync::mpsc;
 
 use crate::log::log;
-use crate::mail::*;
+use crate::messages::*;
 use crate::sizes::DATAGRAM;
 
 pub struct Peers {
     pub socket: UdpSocket,
     pub peers: Vec<SocketAddr>,
     pub all: Option<SocketAddr>,
-    pub module: mpsc::Sender<ToModule>,
+    pub dispatcher: mpsc::Sender<ToDispatcher>,
     pub mailbox: mpsc::Receiver<ToPeers>,
 }
 
@@ -33,8 +33,8 @@
         let mut bytes = [0; DATAGRAM + 1];
         loop {
             tokio::select! {
-                mail = self.mailbox.recv() => {
-                    let Some(ToPeers { to, bytes }) = mail else { return };
+                message = self.mailbox.recv() => {
+                    let Some(ToPeers { to, bytes }) = message else { return };
                     let at = match to {
                         Some(g) => self.peers.get(g.0 as usize).copied(),
                         None => self.all,
@@ -49,7 +49,7 @@
                     let from = self.peers.iter().position(|p| *p == sender);
                     if let Some(from) = from.filter(|_| n <= DATAGRAM) {
                         let (from, bytes) = (GatewayId(from as u32), bytes[..n].to_vec());
-                        if self.module.send(ToModule::Peer { from, bytes }).await.is_err() {
+                        if self.dispatcher.send(ToDispatcher::PeerMessage { from, bytes }).await.is_err() {
                             return;
                         }
                     }
--- a/crates/gateway/src/stage.rs
+++ b/crates/gateway/src/phase.rs
@@ -15,7 +15,7 @@
 /// | Draining | no | taken, the answer ends its connection | kept | Finishing |
 /// | Finishing | no | none accepted | closed | Ended |
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Stage {
+pub enum Phase {
     /// Reads its configuration, binds its sockets, starts its actors.
     Starting,
     /// Takes invocations; `/up` says so.
@@ -33,31 +33,31 @@
     Ended,
 }
 
-impl Stage {
+impl Phase {
     /// Whether new invocations are welcome.
-    pub fn serves(self) -> bool {
-        self == Stage::Serving
+    pub fn is_serving(self) -> bool {
+        self == Phase::Serving
     }
 
     /// Whether an answer ends its connection, so that its client goes elsewhere.
-    pub fn sends_away(self) -> bool {
-        self >= Stage::Evacuated
+    pub fn closes_connections(self) -> bool {
+        self >= Phase::Evacuated
     }
 }
 
 /// The present stage: `life` alone enters one, whoever holds it may look, from any thread.
 #[derive(Clone)]
-pub struct Now(Arc<AtomicU8>);
+pub struct CurrentPhase(Arc<AtomicU8>);
 
-impl Default for Now {
+impl Default for CurrentPhase {
     fn default() -> Self {
-        Now(Arc::new(AtomicU8::new(Stage::Starting as u8)))
+        CurrentPhase(Arc::new(AtomicU8::new(Phase::Starting as u8)))
     }
 }
 
-impl Now {
-    pub fn stage(&self) -> Stage {
-        use Stage::*;
+impl CurrentPhase {
+    pub fn get(&self) -> Phase {
+        use Phase::*;
         let all = [
             Starting, Serving, Yielding, Evacuated, Yielded, Draining, Finishing,
         ];
@@ -66,8 +66,8 @@
             .unwrap_or(Ended)
     }
 
-    pub fn enter(&self, stage: Stage, name: &str) {
-        self.0.store(stage as u8, Ordering::Relaxed);
-        log!(info, "stage", "{name}: {stage:?}");
+    pub fn enter(&self, phase: Phase, name: &str) {
+        self.0.store(phase as u8, Ordering::Relaxed);
+        log!(info, "stage", "{name}: {phase:?}");
     }
 }
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/platform_protocol.rs
@@ -18,15 +18,17 @@
 use tokio::sync::mpsc;
 
 use crate::attempts::Repeatable;
-use crate::backends::{ID, TIME_LEFT, end_to_end};
-use crate::clients::{About, ClientProtocol, ClientResponse, Decoded, Rejection, plain, rejection};
+use crate::backends::{CORRELATION_ID, TIME_LEFT, keep_end_to_end};
+use crate::clients::{
+    ClientProtocol, ClientResponse, DecodedRequest, Rejection, RequestContext, plain, rejection,
+};
 use crate::log::log;
-use crate::mail::{Answer, ToModule};
+use crate::messages::{Answer, ToDispatcher};
 
 /// A client that says it waits longer is not believed.
-const WAIT: Duration = Duration::from_secs(24 * 3600);
+const MAX_WAIT: Duration = Duration::from_secs(24 * 3600);
 /// Bytes of an invocation's name at most.
-const NAME: usize = 64;
+const MAX_NAME_BYTES: usize = 64;
 
 /// How an operation is asked for.
 struct Operation {
@@ -36,14 +38,14 @@
 }
 
 /// What requests are decoded by: the settings' names and bounds.
-struct Fields {
+struct DecodingTables {
     operations: HashMap<Arc<str>, Operation>,
     plans: HashMap<Arc<str>, PlanId>,
     most_units: f64,
     gateways: u32,
 }
 
-impl Fields {
+impl DecodingTables {
     fn new(settings: &Settings) -> Self {
         let operation = |op: &OpId| {
             let o = &settings.operations[op.0];
@@ -57,7 +59,7 @@
                 },
             )
         };
-        Fields {
+        DecodingTables {
             operations: settings.in_force.operations.iter().map(operation).collect(),
             plans: settings
                 .in_force
@@ -77,31 +79,35 @@
 
 /// The protocol, by the settings in force.
 pub struct PlatformRequests {
-    fields: RefCell<Rc<Fields>>,
+    tables: RefCell<Rc<DecodingTables>>,
     figures: Figures,
-    module: mpsc::Sender<ToModule>,
+    dispatcher: mpsc::Sender<ToDispatcher>,
 }
 
 impl PlatformRequests {
-    pub fn new(settings: &Settings, figures: &Figures, module: mpsc::Sender<ToModule>) -> Self {
+    pub fn new(
+        settings: &Settings,
+        figures: &Figures,
+        dispatcher: mpsc::Sender<ToDispatcher>,
+    ) -> Self {
         settings
             .operations
             .iter()
             .for_each(|o| figures.name(&o.name));
         PlatformRequests {
-            fields: RefCell::new(Rc::new(Fields::new(settings))),
+            tables: RefCell::new(Rc::new(DecodingTables::new(settings))),
             figures: figures.clone(),
-            module,
+            dispatcher,
         }
     }
 
     /// New settings: requests are decoded by them from now on. The module must have them first.
-    pub fn settle(&self, settings: &Settings) {
+    pub fn set_settings(&self, settings: &Settings) {
         settings
             .operations
             .iter()
             .for_each(|o| self.figures.name(&o.name));
-        *self.fields.borrow_mut() = Rc::new(Fields::new(settings));
+        *self.tables.borrow_mut() = Rc::new(DecodingTables::new(settings));
     }
 
     /// What a request says, if all of it can be used.
@@ -111,7 +117,7 @@
         method: &Method,
         uri: &hyper::Uri,
         headers: &HeaderMap,
-    ) -> Option<Decoded> {
+    ) -> Option<DecodedRequest> {
         let plain = uri.scheme().is_none() && uri.authority().is_none();
         let operation = uri
             .path()
@@ -119,28 +125,31 @@
             .filter(|_| plain)?
             .split('/')
             .next()?;
-        let fields = self.fields.borrow().clone();
-        let asked = fields.operations.get(operation)?;
+        let tables = self.tables.borrow().clone();
+        let asked = tables.operations.get(operation)?;
         if (asked.repeat == Repeat::Idempotent) != (method == Method::GET)
             || matches!(*method, Method::HEAD | Method::CONNECT)
         {
             return None;
         }
-        let plan = one(headers, "x-tariff")?;
-        let plan = *fields.plans.get(plan)?;
-        let name = one(headers, ID.as_str())?;
-        let customer = one(headers, "x-subscriber")?;
+        let plan = single_header(headers, "x-tariff")?;
+        let plan = *tables.plans.get(plan)?;
+        let name = single_header(headers, CORRELATION_ID.as_str())?;
+        let customer = single_header(headers, "x-subscriber")?;
         let hex = customer.len() == 16 && customer.bytes().all(|b| b.is_ascii_hexdigit());
         let known = hex && u64::from_str_radix(customer, 16).is_ok_and(|c| c < 1 << 33);
-        let left = Duration::from_millis(number(one(headers, TIME_LEFT.as_str())?)?);
+        let time_left = Duration::from_millis(parse_plain_number(single_header(
+            headers,
+            TIME_LEFT.as_str(),
+        )?)?);
         let (mut units, mut spread, mut first) = (None, None, None);
-        for field in one(headers, "x-weight")?.split(',') {
+        for field in single_header(headers, "x-weight")?.split(',') {
             let (name, value) = field.trim().split_once('=')?;
             // Said twice, another may read it the other way.
             let again = match name {
-                "units" => units.replace(number::<f64>(value)?).is_some(),
-                "spread" => spread.replace(number::<u32>(value)?).is_some(),
-                "first" => first.replace(number::<u32>(value)?).is_some(),
+                "units" => units.replace(parse_plain_number::<f64>(value)?).is_some(),
+                "spread" => spread.replace(parse_plain_number::<u32>(value)?).is_some(),
+                "first" => first.replace(parse_plain_number::<u32>(value)?).is_some(),
                 _ => false,
             };
             if again {
@@ -148,12 +157,18 @@
             }
         }
         let (units, spread, first) = (units?, spread?, first?);
-        let set = (1..=fields.gateways).contains(&spread) && first < fields.gateways;
-        let named = (1..=NAME).contains(&name.len());
-        if !(known && set && named && units > 0.0 && units <= fields.most_units && left <= WAIT) {
+        let set = (1..=tables.gateways).contains(&spread) && first < tables.gateways;
+        let named = (1..=MAX_NAME_BYTES).contains(&name.len());
+        if !(known
+            && set
+            && named
+            && units > 0.0
+            && units <= tables.most_units
+            && time_left <= MAX_WAIT)
+        {
             return None;
         }
-        let told = Invocation {
+        let invocation = Invocation {
             inv,
             deadline: Duration::ZERO,
             op: asked.op,
@@ -163,35 +178,35 @@
             first_gateway: GatewayId(first),
             spread,
             write: false,
-            repeat: one(headers, "x-repeat") == Some("1"),
+            repeat: single_header(headers, "x-repeat") == Some("1"),
             coming: false,
         };
         // No client waits longer than its operation's time, whatever it says.
-        let (name, left) = (name.to_owned(), left.min(asked.integration_timeout));
+        let (name, time_left) = (name.to_owned(), time_left.min(asked.integration_timeout));
         let mut headers = headers.clone();
-        end_to_end(&mut headers, &name);
+        keep_end_to_end(&mut headers, &name);
         let repeatable = Repeatable::by(asked.repeat);
-        Some(Decoded {
-            told,
+        Some(DecodedRequest {
+            invocation,
             repeatable,
             name,
-            about: None,
-            left,
+            context: None,
+            time_left,
             headers,
-            to: self.module.clone(),
+            dispatcher: self.dispatcher.clone(),
         })
     }
 }
 
 impl ClientProtocol for PlatformRequests {
-    fn asks_up(&self, uri: &hyper::Uri) -> bool {
+    fn is_readiness_check(&self, uri: &hyper::Uri) -> bool {
         uri.path() == "/up"
     }
 
-    fn named(&self, uri: &hyper::Uri) -> Option<Arc<str>> {
+    fn operation_name(&self, uri: &hyper::Uri) -> Option<Arc<str>> {
         let name = uri.path().strip_prefix('/')?.split('/').next()?;
         Some(
-            self.fields
+            self.tables
                 .borrow()
                 .operations
                 .get_key_value(name)?
@@ -200,7 +215,7 @@
         )
     }
 
-    fn decode(&self, inv: InvId, head: &Parts) -> Result<Decoded, Rejection> {
+    fn decode(&self, inv: InvId, head: &Parts) -> Result<DecodedRequest, Rejection> {
         self.read(inv, &head.method, &head.uri, &head.headers)
             .ok_or_else(|| {
                 log!(warn, "invocation-malformed", "{} {}", head.method, head.uri);
@@ -208,12 +223,12 @@
             })
     }
 
-    fn encode(&self, _: &str, _: About, answer: Answer) -> ClientResponse {
+    fn encode(&self, _: &str, _: RequestContext, answer: Answer) -> ClientResponse {
         match answer {
-            Answer::Succeeded(reply) => {
-                let mut answer = Response::new(reply.body);
-                *answer.status_mut() = reply.status;
-                *answer.headers_mut() = reply.headers;
+            Answer::Succeeded(response) => {
+                let mut answer = Response::new(response.body);
+                *answer.status_mut() = response.status;
+                *answer.headers_mut() = response.headers;
                 answer
             }
             Answer::Throttled { after, .. } => {
@@ -231,14 +246,14 @@
 }
 
 /// A header that is there once: of two, another on the way may take the other.
-pub fn one<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+pub fn single_header<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     let mut all = headers.get_all(name).iter();
     let value = all.next()?.to_str().ok()?.trim();
     all.next().is_none().then_some(value)
 }
 
 /// Plain decimal: no sign, no exponent, no `inf`.
-fn number<T: FromStr>(text: &str) -> Option<T> {
+fn parse_plain_number<T: FromStr>(text: &str) -> Option<T> {
     let plain = text.bytes().all(|b| b.is_ascii_digit() || b == b'.');
     text.parse().ok().filter(|_| plain)
 }
--- a/crates/gateway/src/heads.rs
+++ b/crates/gateway/src/request_heads.rs
@@ -6,7 +6,7 @@
 /// Looks for a head that gives its body's length in both ways. Hyper follows the one and drops the other
 /// unseen; whoever follows the other finds a second request in the body.
 #[derive(Default)]
-pub struct Heads {
+pub struct HeadScanner {
     line: Vec<u8>,
     /// Inside a head, and what it has said so far.
     inside: bool,
@@ -19,13 +19,13 @@
     blind: bool,
 }
 
-impl Heads {
+impl HeadScanner {
     /// Whether a head has said both.
-    pub fn both(&self) -> bool {
+    pub fn has_conflicting_length(&self) -> bool {
         self.both
     }
 
-    pub fn came(&mut self, mut bytes: &[u8]) {
+    pub fn scan(&mut self, mut bytes: &[u8]) {
         while !bytes.is_empty() && !self.both && !self.blind {
             if self.skip > 0 {
                 let over = self.skip.min(bytes.len() as u64);
--- /dev/null
+++ b/crates/gateway/src/server/start.rs
@@ -0,0 +1,347 @@
+//! The start: the actors are made from the configuration and connected; a predecessor's state is taken over.
+
+use std::cell::RefCell;
+use std::path::PathBuf;
+use std::rc::Rc;
+use std::sync::Arc;
+use std::time::Duration;
+
+use damsonbeam::Rules;
+use damsonbeam::interface::{GatewayId, ListForm};
+use damsonbeam_admin::{Admin, Asked, Figures};
+use damsonbeam_handover::{HandoverMessage, Successor};
+use futures_util::stream::FuturesUnordered;
+use tokio::signal::unix::{SignalKind, signal};
+use tokio::sync::{mpsc, oneshot};
+use tokio::task::{JoinHandle, spawn_local};
+use tokio::time::sleep;
+
+use super::Server;
+use super::listener::listen;
+use super::running::{Running, send};
+use super::succession::Succession;
+use crate::account::Account;
+use crate::backend_list::{BackendListWatcher, DiscoveryPage, NameTable};
+use crate::backends::{Backend, ConnectionPools, Platform};
+use crate::clients::Clients;
+use crate::clock::Clock;
+use crate::config::Config;
+use crate::counter_client::CounterClient;
+use crate::dispatcher::{Dispatcher, DispatcherState};
+use crate::handover::{self, HandoverConnection};
+use crate::log::log;
+use crate::messages::{ToCounter, ToDispatcher, ToListWatcher, ToPeers};
+use crate::peer_admissions::PeerAdmissions;
+use crate::peers::Peers;
+use crate::platform_protocol::PlatformRequests;
+
+/// Room in the mailboxes: the dispatcher's for all that its peers can have on the way, another's for a burst.
+const DISPATCHER_MAILBOX_CAPACITY: usize = 4096;
+const MAILBOX_CAPACITY: usize = 1024;
+const ORDER_QUEUE_CAPACITY: usize = 8;
+/// How long the last known list has to do, where there is one, before invocations are taken with it.
+const LIST_TIMEOUT: Duration = Duration::from_millis(300);
+
+/// The predecessor that is greeted at the start, and how far the hand-over from it has come.
+struct Takeover {
+    state: Successor,
+    connection: Option<HandoverConnection>,
+}
+
+impl Takeover {
+    /// Greets the process that serves, if there is one.
+    async fn begin(path: Option<&PathBuf>, name: &str) -> Self {
+        let connection = match path {
+            Some(path) => HandoverConnection::connect(path, name).await,
+            None => None,
+        };
+        Takeover {
+            state: Successor::Greeted,
+            connection,
+        }
+    }
+
+    /// The list that the predecessor knows, where it is no older than the one in the configuration.
+    async fn receive_list(&mut self, configured: DiscoveryPage) -> DiscoveryPage {
+        let Some(connection) = &mut self.connection else {
+            return configured;
+        };
+        let message = connection.receive_reply().await;
+        self.state.handle(message.as_ref());
+        let Some(HandoverMessage::Known(page)) = message else {
+            return configured;
+        };
+        serde_json::from_value::<DiscoveryPage>(page)
+            .ok()
+            .filter(|page| page.revision >= configured.revision)
+            .unwrap_or(configured)
+    }
+
+    /// Takes over the predecessor's state, and its clients from now on.
+    async fn finish(self, running: &mut Running) -> Result<(), String> {
+        let (mut state, Some(mut connection)) = (self.state, self.connection) else {
+            return Ok(());
+        };
+        if state.prepared() {
+            let message = if connection.send(&HandoverMessage::Prepared).await {
+                connection.receive_reply().await
+            } else {
+                None
+            };
+            state.handle(message.as_ref());
+            if let Some(HandoverMessage::Carry(carry)) = message {
+                send(&running.dispatcher, ToDispatcher::TakeOver(carry)).await?;
+            }
+        }
+        log!(info, "handover", "{}: successor: {state:?}", running.name);
+        let counter = &running.figures.handovers;
+        counter.with_label_values(&[&format!("{state:?}")]).inc();
+        if state == Successor::Follows {
+            running.clients.share_with_predecessor();
+            running.predecessor = Some(connection);
+        }
+        running.accept();
+        Ok(())
+    }
+}
+
+/// What the actors share.
+struct Parts {
+    clock: Clock,
+    figures: Figures,
+    dispatcher: mpsc::Sender<ToDispatcher>,
+    actors: FuturesUnordered<JoinHandle<()>>,
+}
+
+impl Parts {
+    /// Starts an actor without which nothing is served.
+    fn start(&self, actor: impl Future<Output = ()> + 'static) {
+        self.actors.push(spawn_local(actor));
+    }
+
+    /// Starts the counter's client, where the settings have a counter.
+    fn start_counter_client(&self, config: &Config) -> Option<mpsc::Sender<ToCounter>> {
+        let counter_settings = config.settings.counter.as_ref()?;
+        let address = config.addresses.counter?;
+        let (sender, mailbox) = mpsc::channel(MAILBOX_CAPACITY);
+        let client = CounterClient {
+            at: address,
+            timeout: counter_settings.timeout,
+            connect_timeout: config.settings.limits.connect_timeout,
+            clock: self.clock,
+            dispatcher: self.dispatcher.clone(),
+            mailbox,
+        };
+        self.start(client.run());
+        Some(sender)
+    }
+
+    /// Starts the exchange with the other gateways, where the configuration says so.
+    fn start_peers(&self, config: &Config) -> Result<Option<mpsc::Sender<ToPeers>>, String> {
+        let Some(address) = config.peer_listen.filter(|_| config.settings.limits.tell) else {
+            return Ok(None);
+        };
+        let (sender, mailbox) = mpsc::channel(MAILBOX_CAPACITY);
+        let socket = Peers::bind(address).map_err(|e| format!("peer_listen: {address}: {e}"))?;
+        let peers = Peers {
+            socket,
+            peers: config.peers.clone(),
+            all: config.peers_all,
+            dispatcher: self.dispatcher.clone(),
+            mailbox,
+        };
+        spawn_local(peers.run());
+        Ok(Some(sender))
+    }
+
+    /// The clients, and the protocol by which their requests are read.
+    fn clients(&self, config: &Config, server: &Server) -> (Rc<PlatformRequests>, Rc<Clients>) {
+        let protocol =
+            PlatformRequests::new(&config.settings, &self.figures, self.dispatcher.clone());
+        let protocol = Rc::new(protocol);
+        let clients = Clients::new(
+            protocol.clone(),
+            config.clients,
+            config.bodies,
+            self.clock,
+            server.phase.clone(),
+            &self.figures,
+        );
+        (protocol, Rc::new(clients))
+    }
+
+    /// The decision module's actor, not yet started.
+    fn dispatcher(
+        &self,
+        config: &Config,
+        mailbox: mpsc::Receiver<ToDispatcher>,
+        actors: DispatcherPeers,
+    ) -> Dispatcher {
+        let connection_pools = ConnectionPools::new(
+            config.settings.limits.connect_timeout,
+            Duration::from_nanos(config.facts.ceilings.conn_idle_ns),
+            config.facts.report.names.clone(),
+            Box::new(Platform),
+            config.backends,
+            config.bodies,
+            &self.figures,
+        );
+        let settings = &config.settings;
+        let peer_admissions = (config.witness && actors.peers.is_some())
+            .then(|| (PeerAdmissions::default(), other_gateways(config)));
+        Dispatcher {
+            rules: Rules::new(config.seed, settings.clone(), self.clock.now()),
+            clock: self.clock,
+            mailbox,
+            spawn_backend: Box::new(move |address, name| {
+                Backend::spawn(&connection_pools, address, name)
+            }),
+            own_mailbox: self.dispatcher.clone(),
+            attempt_policy: None,
+            counter: actors.counter,
+            list_watcher: actors.list_watcher,
+            peers: actors.peers,
+            peer_admissions,
+            state: DispatcherState::default(),
+            figures: self.figures.clone(),
+            account: Account::new(settings.cold_for),
+            reports_figures: config.admin.is_some(),
+            carry: None,
+        }
+    }
+}
+
+/// The actors that the dispatcher calls.
+struct DispatcherPeers {
+    counter: Option<mpsc::Sender<ToCounter>>,
+    list_watcher: mpsc::Sender<ToListWatcher>,
+    peers: Option<mpsc::Sender<ToPeers>>,
+}
+
+fn other_gateways(config: &Config) -> Vec<GatewayId> {
+    let all = (0..config.peers.len() as u32).map(GatewayId);
+    all.filter(|gateway| *gateway != config.settings.me)
+        .collect()
+}
+
+impl Server {
+    /// Starts all actors; returns once there is a list of backends, and clients are accepted.
+    pub(super) async fn start(&self, config: Config) -> Result<Running, String> {
+        // SIGHUP ends a program that has not asked for it.
+        let reload = signal(SignalKind::hangup()).map_err(|e| format!("SIGHUP: {e}"))?;
+        let terminate = signal(SignalKind::terminate()).map_err(|e| format!("SIGTERM: {e}"))?;
+        let (dispatcher, dispatcher_mailbox) = mpsc::channel(DISPATCHER_MAILBOX_CAPACITY);
+        let parts = Parts {
+            clock: Clock::start(),
+            figures: Figures::new().map_err(|e| format!("figures: {e}"))?,
+            dispatcher,
+            actors: FuturesUnordered::new(),
+        };
+        let orders = self.serve_operators(&config, &parts.figures)?;
+        let path = handover::path(&config.name);
+        let mut takeover = Takeover::begin(path.as_ref(), &config.name).await;
+        let known = takeover.receive_list(config.known.clone()).await;
+
+        let (protocol, clients) = parts.clients(&config, self);
+        let counter = parts.start_counter_client(&config);
+        let peers = parts.start_peers(&config)?;
+        let (list_watcher, list_mailbox) = mpsc::channel(MAILBOX_CAPACITY);
+        let dispatcher = parts.dispatcher(
+            &config,
+            dispatcher_mailbox,
+            DispatcherPeers {
+                counter: counter.clone(),
+                list_watcher: list_watcher.clone(),
+                peers,
+            },
+        );
+        let knows_backends = !known.members.is_empty();
+        let last_list = Rc::new(RefCell::new(known.clone()));
+        let revision = known.revision;
+        let mut names = NameTable::new(config.facts.dcs.clone(), config.facts.kinds.clone());
+        let restored = names.to_update(known, ListForm::Restored);
+        send(&parts.dispatcher, ToDispatcher::BackendList(restored)).await?;
+        parts.start(dispatcher.run());
+        let (first_list, listed) = oneshot::channel();
+        let watcher = BackendListWatcher {
+            at: config.addresses.discovery,
+            names,
+            mode: config.settings.discovery,
+            known: revision,
+            last_list: last_list.clone(),
+            dispatcher: parts.dispatcher.clone(),
+            mailbox: list_mailbox,
+            first: Some(first_list),
+        };
+        parts.start(watcher.run());
+        let listener =
+            listen(config.listen).map_err(|e| format!("listen: {}: {e}", config.listen))?;
+        let mut running = Running {
+            name: config.name,
+            clients,
+            protocol,
+            listener: Rc::new(listener),
+            accepting: None,
+            dispatcher: parts.dispatcher,
+            actors: parts.actors,
+            terminate,
+            reload,
+            settings: config.settings,
+            source: config.source,
+            addresses: config.addresses,
+            list_watcher,
+            counter,
+            figures: parts.figures,
+            orders,
+            last_list,
+            predecessor: None,
+            succession: Succession {
+                path,
+                ..Succession::default()
+            },
+        };
+        if takeover.connection.is_none() {
+            running.accept();
+        }
+        wait_for_list(&mut running, listed, knows_backends).await?;
+        takeover.finish(&mut running).await?;
+        Ok(running)
+    }
+
+    /// Answers operators from now on, where the configuration says so; their orders come back.
+    fn serve_operators(
+        &self,
+        config: &Config,
+        figures: &Figures,
+    ) -> Result<mpsc::Receiver<Asked>, String> {
+        let (sender, orders) = mpsc::channel(ORDER_QUEUE_CAPACITY);
+        if let Some(address) = config.admin {
+            let phase = self.phase.clone();
+            let admin = Admin {
+                figures: figures.clone(),
+                ready: Arc::new(move || phase.get().is_serving()),
+                orders: sender,
+            };
+            admin.start(address)?;
+        }
+        Ok(orders)
+    }
+}
+
+/// Waits for the first list of backends: up before it knows one, a gateway would throttle all that comes.
+async fn wait_for_list(
+    running: &mut Running,
+    listed: oneshot::Receiver<()>,
+    knows_backends: bool,
+) -> Result<(), String> {
+    tokio::select! {
+        _ = listed => {}
+        _ = running.terminate.recv() => {
+            return Err("SIGTERM before there was a list of backends".into());
+        }
+        () = sleep(LIST_TIMEOUT), if knows_backends => {
+            log!(warn, "list-late", "serving with the list as last known");
+        }
+    }
+    Ok(())
+}
--- a/crates/gateway/src/last_call.rs
+++ b/crates/gateway/src/shutdown_admission.rs
@@ -12,12 +12,12 @@
 
 /// How long slow answers take of late, and by when all must be given.
 #[derive(Debug, Default)]
-pub struct LastCall {
+pub struct ShutdownAdmission {
     slow: Cell<Duration>,
     end: Cell<Option<Duration>>,
 }
 
-impl LastCall {
+impl ShutdownAdmission {
     /// An answer took so long.
     pub fn answered(&self, took: Duration) {
         self.slow.set(took.max(self.slow.get().mul_f64(FADING)));
--- a/crates/gateway/tests/attempts.rs
+++ b/crates/gateway/tests/attempts.rs
@@ -4,14 +4,14 @@
 
 use damsonbeam::interface::{Outcome, Repeat};
 use damsonbeam_gateway::attempts::{Attempts, Ending, Refusal, Repeatable, Verdict};
-use damsonbeam_gateway::meter::Meter;
+use damsonbeam_gateway::write_meter::WriteMeter;
 
 /// Endings of an attempt of which so many bytes of its head and body were written.
 fn endings(written: &[u8]) -> impl Iterator<Item = (Ending, bool)> {
-    let meter = Rc::new(Meter::default());
+    let meter = Rc::new(WriteMeter::default());
     meter.begin(4);
     meter.wrote(written);
-    let whole = meter.whole();
+    let whole = meter.is_complete();
     let make = move |n| {
         let permit = Attempts::new(None)
             .permit()
--- a/crates/handover/src/lib.rs
+++ b/crates/handover/src/lib.rs
@@ -21,7 +21,7 @@
 
 /// What the two say to each other, a JSON line each.
 #[derive(Debug, Serialize, Deserialize)]
-pub enum Said {
+pub enum HandoverMessage {
     Hello {
         version: u32,
         name: String,
@@ -35,7 +35,7 @@
 
 /// How far the elder has come.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Elder {
+pub enum Predecessor {
     /// It serves; nobody is there to follow it.
     #[default]
     Alone,
@@ -51,7 +51,7 @@
 
 /// What happens to the elder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum PredecessorEvent {
     /// A greeting, and whether its version and the gateway's name are ours.
     Hello {
         ours: bool,
@@ -66,7 +66,7 @@
 
 /// What the elder does, in order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Does {
+pub enum PredecessorAction {
     TellKnown,
     StopAccepting,
     /// The module yields; what it hands over is sent.
@@ -78,33 +78,46 @@
     HangUp,
 }
 
-impl Elder {
+impl Predecessor {
     /// The next step, and what is to be done.
-    pub fn on(&mut self, heard: Heard) -> &'static [Does] {
-        let (next, does): (Elder, &'static [Does]) = match (*self, heard) {
-            (Elder::Ending, _) => (Elder::Ending, &[]),
-            (_, Heard::Terminate) => (Elder::Ending, &[]),
-            (Elder::Alone, Heard::Hello { ours: true }) => (Elder::Asked, &[Does::TellKnown]),
-            (Elder::Asked, Heard::Prepared) => {
-                (Elder::Yielded, &[Does::StopAccepting, Does::SendCarry])
+    pub fn handle(&mut self, event: PredecessorEvent) -> &'static [PredecessorAction] {
+        let (next, actions): (Predecessor, &'static [PredecessorAction]) = match (*self, event) {
+            (Predecessor::Ending, _) => (Predecessor::Ending, &[]),
+            (_, PredecessorEvent::Terminate) => (Predecessor::Ending, &[]),
+            (Predecessor::Alone, PredecessorEvent::Hello { ours: true }) => {
+                (Predecessor::Asked, &[PredecessorAction::TellKnown])
             }
-            (Elder::Yielded, Heard::Taken) => (Elder::Followed, &[Does::SendClientsAway]),
-            (Elder::Alone | Elder::Asked, _) => (Elder::Alone, &[Does::HangUp]),
-            (Elder::Yielded | Elder::Followed, _) => (Elder::Alone, &[Does::HangUp, Does::Resume]),
+            (Predecessor::Asked, PredecessorEvent::Prepared) => (
+                Predecessor::Yielded,
+                &[
+                    PredecessorAction::StopAccepting,
+                    PredecessorAction::SendCarry,
+                ],
+            ),
+            (Predecessor::Yielded, PredecessorEvent::Taken) => {
+                (Predecessor::Followed, &[PredecessorAction::SendClientsAway])
+            }
+            (Predecessor::Alone | Predecessor::Asked, _) => {
+                (Predecessor::Alone, &[PredecessorAction::HangUp])
+            }
+            (Predecessor::Yielded | Predecessor::Followed, _) => (
+                Predecessor::Alone,
+                &[PredecessorAction::HangUp, PredecessorAction::Resume],
+            ),
         };
         *self = next;
-        does
+        actions
     }
 
     /// Whether another process serves in this one's place, or is about to.
     pub fn is_followed(self) -> bool {
-        matches!(self, Elder::Yielded | Elder::Followed)
+        matches!(self, Predecessor::Yielded | Predecessor::Followed)
     }
 }
 
 /// How far the younger has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Younger {
+pub enum Successor {
     /// It has greeted, and waits for the list.
     Greeted,
     /// It has the list, and starts its own parts.
@@ -117,24 +130,24 @@
     Alone,
 }
 
-impl Younger {
+impl Successor {
     /// The next step after what the elder said; none: it is gone, silent, or says what has no place here.
-    pub fn on(&mut self, said: Option<&Said>) -> Younger {
-        *self = match (*self, said) {
-            (Younger::Greeted, Some(Said::Known(_))) => Younger::Starting,
-            (Younger::Prepared, Some(Said::Carry(_))) => Younger::Follows,
+    pub fn handle(&mut self, message: Option<&HandoverMessage>) -> Successor {
+        *self = match (*self, message) {
+            (Successor::Greeted, Some(HandoverMessage::Known(_))) => Successor::Starting,
+            (Successor::Prepared, Some(HandoverMessage::Carry(_))) => Successor::Follows,
             // Once it follows, the elder's end is what is meant to come.
-            (Younger::Follows, None) => Younger::Follows,
-            _ => Younger::Alone,
+            (Successor::Follows, None) => Successor::Follows,
+            _ => Successor::Alone,
         };
         *self
     }
 
     /// It has started all but taking clients; false where there is nobody to tell so.
     pub fn prepared(&mut self) -> bool {
-        let there = *self == Younger::Starting;
+        let there = *self == Successor::Starting;
         if there {
-            *self = Younger::Prepared;
+            *self = Successor::Prepared;
         }
         there
     }
@@ -144,54 +157,69 @@
 mod tests {
     use super::*;
 
-    const OURS: Heard = Heard::Hello { ours: true };
-    const ALL: [Heard; 6] = [
+    const OURS: PredecessorEvent = PredecessorEvent::Hello { ours: true };
+    const ALL: [PredecessorEvent; 6] = [
         OURS,
-        Heard::Hello { ours: false },
-        Heard::Prepared,
-        Heard::Taken,
-        Heard::Lost,
-        Heard::Terminate,
+        PredecessorEvent::Hello { ours: false },
+        PredecessorEvent::Prepared,
+        PredecessorEvent::Taken,
+        PredecessorEvent::Lost,
+        PredecessorEvent::Terminate,
     ];
 
-    fn after(heard: &[Heard]) -> (Elder, Vec<Does>) {
-        let mut elder = Elder::default();
-        let does = heard.iter().flat_map(|h| elder.on(*h)).copied().collect();
-        (elder, does)
+    fn after(event: &[PredecessorEvent]) -> (Predecessor, Vec<PredecessorAction>) {
+        let mut predecessor = Predecessor::default();
+        let actions = event
+            .iter()
+            .flat_map(|h| predecessor.handle(*h))
+            .copied()
+            .collect();
+        (predecessor, actions)
     }
 
     #[test]
     fn the_steps_of_a_hand_over_come_in_order() {
-        let (elder, does) = after(&[OURS, Heard::Prepared, Heard::Taken]);
+        let (predecessor, actions) =
+            after(&[OURS, PredecessorEvent::Prepared, PredecessorEvent::Taken]);
         let all = [
-            Does::TellKnown,
-            Does::StopAccepting,
-            Does::SendCarry,
-            Does::SendClientsAway,
+            PredecessorAction::TellKnown,
+            PredecessorAction::StopAccepting,
+            PredecessorAction::SendCarry,
+            PredecessorAction::SendClientsAway,
         ];
-        assert_eq!((elder, does.as_slice()), (Elder::Followed, all.as_slice()));
         assert_eq!(
-            after(&[OURS, Heard::Prepared, Heard::Taken, Heard::Terminate]).0,
-            Elder::Ending
+            (predecessor, actions.as_slice()),
+            (Predecessor::Followed, all.as_slice())
+        );
+        assert_eq!(
+            after(&[
+                OURS,
+                PredecessorEvent::Prepared,
+                PredecessorEvent::Taken,
+                PredecessorEvent::Terminate
+            ])
+            .0,
+            Predecessor::Ending
         );
     }
 
     #[test]
-    fn a_younger_that_dies_leaves_the_elder_as_it_was() {
+    fn a_successor_that_dies_leaves_the_predecessor_as_it_was() {
         for n in 1..=3 {
-            let mut heard = [OURS, Heard::Prepared, Heard::Taken][..n].to_vec();
-            heard.push(Heard::Lost);
-            let (elder, does) = after(&heard);
-            assert_eq!(elder, Elder::Alone, "{heard:?}");
-            let stopped = does.contains(&Does::StopAccepting);
+            let mut event =
+                [OURS, PredecessorEvent::Prepared, PredecessorEvent::Taken][..n].to_vec();
+            event.push(PredecessorEvent::Lost);
+            let (predecessor, actions) = after(&event);
+            assert_eq!(predecessor, Predecessor::Alone, "{event:?}");
+            let stopped = actions.contains(&PredecessorAction::StopAccepting);
             assert_eq!(
-                does.contains(&Does::Resume),
+                actions.contains(&PredecessorAction::Resume),
                 stopped,
-                "it accepts again iff it had stopped: {heard:?}"
+                "it accepts again iff it had stopped: {event:?}"
             );
             // And the next one can follow it.
-            heard.extend([OURS, Heard::Prepared]);
-            assert_eq!(after(&heard).0, Elder::Yielded);
+            event.extend([OURS, PredecessorEvent::Prepared]);
+            assert_eq!(after(&event).0, Predecessor::Yielded);
         }
     }
 
@@ -199,56 +227,62 @@
     fn told_to_end_nothing_takes_it_back_and_out_of_order_nothing_is_handed_over() {
         // All sequences of five.
         for n in 0..ALL.len().pow(5) {
-            let heard: Vec<Heard> = (0..5)
+            let event: Vec<PredecessorEvent> = (0..5)
                 .map(|i| ALL[n / ALL.len().pow(i) % ALL.len()])
                 .collect();
-            let (elder, does) = after(&heard);
-            let ended = heard.iter().position(|h| *h == Heard::Terminate);
+            let (predecessor, actions) = after(&event);
+            let ended = event.iter().position(|h| *h == PredecessorEvent::Terminate);
             if let Some(ended) = ended {
-                assert_eq!(elder, Elder::Ending);
+                assert_eq!(predecessor, Predecessor::Ending);
                 assert_eq!(
-                    does,
-                    after(&heard[..ended]).1,
-                    "after SIGTERM nothing is done: {heard:?}"
+                    actions,
+                    after(&event[..ended]).1,
+                    "after SIGTERM nothing is done: {event:?}"
                 );
             }
-            let stops = does.iter().filter(|d| **d == Does::StopAccepting).count();
-            let resumes = does.iter().filter(|d| **d == Does::Resume).count();
+            let stops = actions
+                .iter()
+                .filter(|d| **d == PredecessorAction::StopAccepting)
+                .count();
+            let resumes = actions
+                .iter()
+                .filter(|d| **d == PredecessorAction::Resume)
+                .count();
             let silent = stops - resumes;
             assert!(silent <= 1);
             if ended.is_none() {
                 assert_eq!(
                     silent == 1,
-                    elder.is_followed(),
-                    "{heard:?}: it accepts unless it is followed"
+                    predecessor.is_followed(),
+                    "{event:?}: it accepts unless it is followed"
                 );
             }
         }
     }
 
     #[test]
-    fn the_younger_serves_alone_from_whatever_step_the_elder_leaves_it() {
-        let known = Said::Known(serde_json::Value::Null);
-        let carry = Said::Carry(Box::default());
-        let mut younger = Younger::Greeted;
-        assert_eq!(younger.on(Some(&known)), Younger::Starting);
-        assert!(younger.prepared());
-        assert_eq!(younger.on(Some(&carry)), Younger::Follows);
-        assert_eq!(younger.on(None), Younger::Follows);
+    fn the_successor_serves_alone_from_whatever_step_the_predecessor_leaves_it() {
+        let known = HandoverMessage::Known(serde_json::Value::Null);
+        let carry = HandoverMessage::Carry(Box::default());
+        let mut successor = Successor::Greeted;
+        assert_eq!(successor.handle(Some(&known)), Successor::Starting);
+        assert!(successor.prepared());
+        assert_eq!(successor.handle(Some(&carry)), Successor::Follows);
+        assert_eq!(successor.handle(None), Successor::Follows);
         for before in [
-            Younger::Greeted,
-            Younger::Starting,
-            Younger::Prepared,
-            Younger::Alone,
+            Successor::Greeted,
+            Successor::Starting,
+            Successor::Prepared,
+            Successor::Alone,
         ] {
-            let mut younger = before;
-            assert_eq!(younger.on(None), Younger::Alone, "{before:?}");
-            assert!(!younger.prepared(), "nobody is there to tell");
+            let mut successor = before;
+            assert_eq!(successor.handle(None), Successor::Alone, "{before:?}");
+            assert!(!successor.prepared(), "nobody is there to tell");
         }
-        let mut younger = Younger::Greeted;
+        let mut successor = Successor::Greeted;
         assert_eq!(
-            younger.on(Some(&carry)),
-            Younger::Alone,
+            successor.handle(Some(&carry)),
+            Successor::Alone,
             "a state that was not asked for is not taken"
         );
     }
--- a/crates/proxy/src/dispatch.rs
+++ b/crates/proxy/src/dispatch/mod.rs
@@ -1,38 +1,36 @@
 //! The decision module as the system runs it: one instance for each service, home regions and number of attempts, each
 //! with the backends that may serve what comes to it. Operations are distinguished by what the module reads of a route.
 
+mod limits;
+mod module_settings;
+
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::rc::Rc;
-use std::time::Duration;
 
 use damsonbeam::Rules;
 use damsonbeam::interface::*;
 use damsonbeam_admin::Figures;
 use damsonbeam_control::config::{Route, RouteKind};
-use damsonbeam_gateway::backends::{Backend, Fleet};
+use damsonbeam_gateway::backends::{Backend, ConnectionPools};
 use damsonbeam_gateway::clock::Clock;
-use damsonbeam_gateway::mail::{Listed, ToCounter, ToModule, Unanswered};
-use damsonbeam_gateway::module::{Guard, Module, Sent, State};
-use damsonbeam_gateway::stage::Now;
+use damsonbeam_gateway::dispatcher::{Dispatcher, DispatcherState};
+use damsonbeam_gateway::messages::{BackendListUpdate, ToCounter, ToDispatcher, Unanswered};
+use damsonbeam_gateway::phase::CurrentPhase;
 use tokio::sync::{mpsc, oneshot};
 
 use crate::backend_pool::BackendPool;
 use crate::retry_budget::RetryBudget;
 use crate::routing_table::{HomeRegions, RoutingTable};
+use limits::SharedLimits;
+pub use module_settings::repeat;
+use module_settings::{TICK, module_settings, operation_settings};
 
 /// Events that wait for a module at most.
 const EVENT_QUEUE_CAPACITY: usize = 4096;
-/// The counts are answered at once: the module's timeout for one only has to be longer than its queue.
-const COUNT_TIMEOUT: Duration = Duration::from_millis(100);
 /// Slots of a window and the longest in seconds, as the module cuts them.
 const SLOTS_PER_WINDOW: f64 = 2.0;
 const LONGEST_SLOT_S: f64 = 8.0;
-const TICK: Duration = Duration::from_millis(1);
-/// Clients are advised to come back after this at most.
-const MAX_RETRY_AFTER: Duration = Duration::from_secs(1);
-/// The part of a request's value that a late answer keeps, where nobody says: some, so that late ones are still tried.
-const LATE_VALUE: f64 = 0.5;
 /// The plan of a request without a tenant.
 pub const NO_PLAN: PlanId = PlanId(usize::MAX);
 
@@ -41,7 +39,7 @@
     /// The call.
     pub call: ToCounter,
     /// The module that made it.
-    pub answer_to: mpsc::Sender<ToModule>,
+    pub answer_to: mpsc::Sender<ToDispatcher>,
 }
 
 /// What distinguishes module instances.
@@ -61,19 +59,19 @@
 }
 
 /// A module instance.
-struct Dispatcher {
+struct DispatcherHandle {
     service: String,
     homes: HomeRegions,
-    module: mpsc::Sender<ToModule>,
+    events: mpsc::Sender<ToDispatcher>,
     settings: Settings,
     operations: HashMap<OperationKey, OpId>,
 }
 
-impl Dispatcher {
+impl DispatcherHandle {
     /// Sends the settings to the module.
     fn send_settings(&self) {
         let settings = Box::new(self.settings.clone());
-        self.module.try_send(ToModule::Settings(settings)).ok();
+        self.events.try_send(ToDispatcher::Settings(settings)).ok();
     }
 
     /// The operation of a route; a new one is added to the settings.
@@ -98,7 +96,7 @@
 /// The module that takes a request, and the request's operation there.
 pub struct DispatchTarget {
     /// The module.
-    pub module: mpsc::Sender<ToModule>,
+    pub events: mpsc::Sender<ToDispatcher>,
     /// The operation.
     pub operation: OpId,
 }
@@ -110,7 +108,7 @@
     /// The budget of retries.
     pub retry_budget: Rc<RefCell<RetryBudget>>,
     /// The connections to backends.
-    pub fleet: Rc<Fleet>,
+    pub connection_pools: Rc<ConnectionPools>,
     /// The modules' clock.
     pub clock: Clock,
     /// What is counted for operators.
@@ -118,7 +116,7 @@
     /// Where calls to the shared counts go.
     pub counts: mpsc::Sender<CountCall>,
     /// The phase of the process.
-    pub stage: Now,
+    pub phase: CurrentPhase,
 }
 
 /// All module instances.
@@ -126,47 +124,7 @@
     shared: SharedParts,
     nearby_proxies: u32,
     plans: Vec<Plan>,
-    dispatchers: HashMap<DispatcherKey, Dispatcher>,
-}
-
-/// What the attempts of one service use up that all proxies share.
-struct SharedLimits {
-    service: String,
-    backend_pool: Rc<RefCell<BackendPool>>,
-    retry_budget: Rc<RefCell<RetryBudget>>,
-    stage: Now,
-}
-
-impl Guard for SharedLimits {
-    fn again(&mut self, _: Duration) -> bool {
-        self.retry_budget.borrow_mut().spend(&self.service)
-    }
-
-    fn sent(&mut self, backend: TgtId, now: Duration) -> Sent {
-        let mut pool = self.backend_pool.borrow_mut();
-        let was_warming = pool.slow_start().is_warming(backend, now);
-        let go = pool.slow_start().take_turn(backend, now);
-        if let Some(load_reports) = pool.load_reports().filter(|_| go) {
-            load_reports.attempt_sent(backend, now);
-        }
-        let entry = if was_warming {
-            pool.closed_entry(backend, now)
-        } else {
-            None
-        };
-        Sent { go, entry }
-    }
-
-    fn ended(&mut self, backend: TgtId, outcome: Outcome, took: Duration, now: Duration) {
-        if let Some(load_reports) = self.backend_pool.borrow_mut().load_reports() {
-            load_reports.attempt_ended(backend, outcome, took, now);
-        }
-    }
-
-    /// Told to end, a proxy waits for what its backends work on: the budget may allow no second attempt.
-    fn may_give_up(&self) -> bool {
-        !self.stage.stage().sends_away()
-    }
+    dispatchers: HashMap<DispatcherKey, DispatcherHandle>,
 }
 
 impl Dispatchers {
@@ -208,50 +166,52 @@
         let dispatcher = self.dispatchers.get_mut(&key)?;
         let operation = dispatcher.operation(route);
         Some(DispatchTarget {
-            module: dispatcher.module.clone(),
+            events: dispatcher.events.clone(),
             operation,
         })
     }
 
-    fn start_dispatcher(&self, key: &DispatcherKey, homes: HomeRegions) -> Dispatcher {
+    fn start_dispatcher(&self, key: &DispatcherKey, homes: HomeRegions) -> DispatcherHandle {
         let shared = &self.shared;
         let (module, events) = mpsc::channel(EVENT_QUEUE_CAPACITY);
         let gateways = shared
             .backend_pool
             .borrow()
             .gateways(&key.service, self.nearby_proxies);
-        let connect_timeout = shared.fleet.connect_timeout;
+        let connect_timeout = shared.connection_pools.connect_timeout;
         let plans = self.plans.clone();
         let settings = module_settings(gateways, key.max_attempts, connect_timeout, plans);
-        let fleet = shared.fleet.clone();
+        let connection_pools = shared.connection_pools.clone();
         let limits = SharedLimits {
             service: key.service.clone(),
             backend_pool: shared.backend_pool.clone(),
             retry_budget: shared.retry_budget.clone(),
-            stage: shared.stage.clone(),
+            phase: shared.phase.clone(),
         };
-        let actor = Module {
+        let actor = Dispatcher {
             rules: Rules::new(rand::random(), settings.clone(), shared.clock.now()),
             clock: shared.clock,
             mailbox: events,
-            hire: Box::new(move |address, name| Backend::hire(&fleet, address, name)),
-            me: module.clone(),
-            guard: Some(Box::new(limits)),
+            spawn_backend: Box::new(move |address, name| {
+                Backend::spawn(&connection_pools, address, name)
+            }),
+            own_mailbox: module.clone(),
+            attempt_policy: Some(Box::new(limits)),
             counter: Some(self.start_count_calls(module.clone())),
-            list: mpsc::channel(1).0,
+            list_watcher: mpsc::channel(1).0,
             peers: None,
-            witness: None,
-            state: State::default(),
+            peer_admissions: None,
+            state: DispatcherState::default(),
             figures: shared.figures.clone(),
             account: None,
-            shown: false,
+            reports_figures: false,
             carry: None,
         };
         tokio::task::spawn_local(actor.run());
-        let dispatcher = Dispatcher {
+        let dispatcher = DispatcherHandle {
             service: key.service.clone(),
             homes,
-            module,
+            events: module,
             settings,
             operations: HashMap::new(),
         };
@@ -266,7 +226,7 @@
     }
 
     /// Marks a module's calls to the counts with where their answers go.
-    fn start_count_calls(&self, module: mpsc::Sender<ToModule>) -> mpsc::Sender<ToCounter> {
+    fn start_count_calls(&self, module: mpsc::Sender<ToDispatcher>) -> mpsc::Sender<ToCounter> {
         let (sender, mut calls) = mpsc::channel(EVENT_QUEUE_CAPACITY);
         let counts = self.shared.counts.clone();
         tokio::task::spawn_local(async move {
@@ -281,14 +241,14 @@
     }
 
     /// Sends a module its backends as they are now; returns how many.
-    fn send_backends_to(&self, dispatcher: &Dispatcher) -> usize {
+    fn send_backends_to(&self, dispatcher: &DispatcherHandle) -> usize {
         let pool = self.shared.backend_pool.borrow();
         let now = self.shared.clock.now();
         let backends = pool.backends(&dispatcher.service, &dispatcher.homes, now);
         let count = backends.len();
-        let listed = Listed {
+        let listed = BackendListUpdate {
             form: ListForm::Replace,
-            addrs: backends.iter().map(|backend| backend.address).collect(),
+            addresses: backends.iter().map(|backend| backend.address).collect(),
             names: backends
                 .iter()
                 .map(|backend| backend.name.clone())
@@ -296,8 +256,8 @@
             entries: backends.into_iter().map(|backend| backend.entry).collect(),
         };
         if dispatcher
-            .module
-            .try_send(ToModule::Listed(listed))
+            .events
+            .try_send(ToDispatcher::BackendList(listed))
             .is_err()
         {
             log::warn!("dispatcher: no room for a new list.");
@@ -315,11 +275,11 @@
     /// Sends all modules a message that the process ends; what they had unanswered comes back.
     pub fn send_end(
         &self,
-        message: impl Fn(oneshot::Sender<Unanswered>) -> ToModule,
+        message: impl Fn(oneshot::Sender<Unanswered>) -> ToDispatcher,
     ) -> Vec<oneshot::Receiver<Unanswered>> {
-        let send = |dispatcher: &Dispatcher| {
+        let send = |dispatcher: &DispatcherHandle| {
             let (reply_to, reply) = oneshot::channel();
-            dispatcher.module.try_send(message(reply_to)).ok()?;
+            dispatcher.events.try_send(message(reply_to)).ok()?;
             Some(reply)
         };
         self.dispatchers.values().filter_map(send).collect()
@@ -392,65 +352,3 @@
         }
     }
 }
-
-/// Whether a request on a route of that kind may run more than once.
-pub fn repeat(kind: RouteKind) -> Repeat {
-    match kind {
-        RouteKind::ReadOnly => Repeat::Idempotent,
-        RouteKind::Mutating | RouteKind::Upload => Repeat::NonIdempotent,
-    }
-}
-
-fn operation_settings(route: &Route) -> Operation {
-    let name = format!(
-        "{:?}/{}/{}",
-        route.kind, route.latency_target_ms, route.timeout_ms
-    );
-    Operation {
-        name: name.as_str().into(),
-        repeat: repeat(route.kind),
-        latency_objective: Duration::from_millis(route.latency_target_ms),
-        integration_timeout: Duration::from_millis(route.timeout_ms),
-        billed_value: 1.0,
-        late_value: LATE_VALUE,
-        streamed: false,
-    }
-}
-
-fn module_settings(
-    gateways: u32,
-    max_attempts: u32,
-    connect_timeout: Duration,
-    plans: Vec<Plan>,
-) -> Settings {
-    let in_force = InForce {
-        operations: vec![],
-        plans: (0..plans.len()).map(PlanId).collect(),
-    };
-    let limits = Limits {
-        cancel: true,
-        parallel: false,
-        probes: false,
-        tell: false,
-        retry_after: Some(MAX_RETRY_AFTER),
-        tries: max_attempts,
-        open: usize::MAX,
-        connect_timeout,
-    };
-    Settings {
-        gateways,
-        tick: TICK,
-        plans,
-        in_force,
-        limits,
-        counter: Some(Counter {
-            timeout: COUNT_TIMEOUT,
-            price: 0.0,
-        }),
-        most_units: 1.0,
-        cold_share: 1.0,
-        overload_factor: 1.0,
-        overload_for: Duration::from_secs(1),
-        ..Settings::default()
-    }
-}
--- /dev/null
+++ b/crates/proxy/src/dispatch/module_settings.rs
@@ -0,0 +1,77 @@
+//! The settings of a decision module, from the configuration.
+
+use std::time::Duration;
+
+use damsonbeam::interface::{Counter, InForce, Limits, Operation, Plan, PlanId, Repeat, Settings};
+use damsonbeam_control::config::{Route, RouteKind};
+
+/// The module takes events that come within this for simultaneous.
+pub(super) const TICK: Duration = Duration::from_millis(1);
+/// The counts are answered at once: the module's timeout for one only has to be longer than its queue.
+const COUNT_TIMEOUT: Duration = Duration::from_millis(100);
+/// Clients are advised to come back after this at most.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(1);
+/// The part of a request's value that a late answer keeps, where nobody says: some, so that late ones are still tried.
+const LATE_VALUE: f64 = 0.5;
+
+/// Whether a request on a route of that kind may run more than once.
+pub fn repeat(kind: RouteKind) -> Repeat {
+    match kind {
+        RouteKind::ReadOnly => Repeat::Idempotent,
+        RouteKind::Mutating | RouteKind::Upload => Repeat::NonIdempotent,
+    }
+}
+
+pub(super) fn operation_settings(route: &Route) -> Operation {
+    let name = format!(
+        "{:?}/{}/{}",
+        route.kind, route.latency_target_ms, route.timeout_ms
+    );
+    Operation {
+        name: name.as_str().into(),
+        repeat: repeat(route.kind),
+        latency_objective: Duration::from_millis(route.latency_target_ms),
+        integration_timeout: Duration::from_millis(route.timeout_ms),
+        billed_value: 1.0,
+        late_value: LATE_VALUE,
+        streamed: false,
+    }
+}
+
+pub(super) fn module_settings(
+    gateways: u32,
+    max_attempts: u32,
+    connect_timeout: Duration,
+    plans: Vec<Plan>,
+) -> Settings {
+    let in_force = InForce {
+        operations: vec![],
+        plans: (0..plans.len()).map(PlanId).collect(),
+    };
+    let limits = Limits {
+        cancel: true,
+        parallel: false,
+        probes: false,
+        tell: false,
+        retry_after: Some(MAX_RETRY_AFTER),
+        tries: max_attempts,
+        open: usize::MAX,
+        connect_timeout,
+    };
+    Settings {
+        gateways,
+        tick: TICK,
+        plans,
+        in_force,
+        limits,
+        counter: Some(Counter {
+            timeout: COUNT_TIMEOUT,
+            price: 0.0,
+        }),
+        most_units: 1.0,
+        cold_share: 1.0,
+        overload_factor: 1.0,
+        overload_for: Duration::from_secs(1),
+        ..Settings::default()
+    }
+}
--- a/crates/proxy/src/mirroring.rs
+++ b/crates/proxy/src/mirroring.rs
@@ -9,9 +9,9 @@
 use std::time::Duration;
 
 use damsonbeam_control::config::{MirrorRule, RouteKind};
-use damsonbeam_gateway::bodies::{Given, Load};
+use damsonbeam_gateway::bodies::{RequestBody, ResponseBody};
 use damsonbeam_gateway::clock::Clock;
-use damsonbeam_gateway::mail::Ask;
+use damsonbeam_gateway::messages::ForwardedRequest;
 use damsonbeam_mirror::budget::{Budget, DropReason, MAX_BODY_BYTES};
 use damsonbeam_mirror::selection::{
     ActiveRules, COPY_TIMEOUT, Caller, caller, instance, is_chosen,
@@ -86,9 +86,9 @@
 
 impl MirrorTicket {
     /// The real answer, as it goes to the client.
-    pub fn answered(&self, answer: &Response<Given>, now: Duration) {
+    pub fn answered(&self, answer: &Response<ResponseBody>, now: Duration) {
         let body = match answer.body() {
-            Given::Whole(Some(bytes)) => Some(digest(bytes)),
+            ResponseBody::Buffered(Some(bytes)) => Some(digest(bytes)),
             _ => None,
         };
         self.pair.borrow_mut().real = Some(Answer {
@@ -206,7 +206,7 @@
     pub fn send_all(
         self: &Rc<Self>,
         selected: Vec<Selected>,
-        ask: &Ask,
+        ask: &ForwardedRequest,
         homes: &HomeRegions,
         is_real: &dyn Fn(SocketAddr) -> bool,
     ) -> Vec<MirrorTicket> {
@@ -239,11 +239,11 @@
         &self,
         rule: &MirrorRule,
         caller: Caller,
-        ask: &Ask,
+        ask: &ForwardedRequest,
         homes: &HomeRegions,
         is_real: &dyn Fn(SocketAddr) -> bool,
     ) -> Result<Outgoing, DropReason> {
-        let Load::Whole(body) = &ask.body else {
+        let RequestBody::Buffered(body) = &ask.body else {
             return Err(DropReason::Body);
         };
         let is_home = |region: &str| homes.as_ref().is_none_or(|homes| homes.contains(region));
@@ -349,7 +349,7 @@
 
 /// The mirrored request: the same but for its id, which is its own, and the headers by which everybody can recognise it.
 fn mirrored_request(
-    ask: &Ask,
+    ask: &ForwardedRequest,
     body: Bytes,
     instance: &str,
     rule: &RuleVersion,
--- a/crates/proxy/src/process/counts.rs
+++ b/crates/proxy/src/process/counts.rs
@@ -4,7 +4,7 @@
 use damsonbeam::interface::Outcome;
 use damsonbeam_control::messages::Message;
 use damsonbeam_gateway::clock::Clock;
-use damsonbeam_gateway::mail::{Call, ToCounter, ToModule};
+use damsonbeam_gateway::messages::{CounterCall, ToCounter, ToDispatcher};
 use tokio::sync::mpsc::error::TrySendError;
 
 use crate::control_client::SharedControlState;
@@ -28,12 +28,12 @@
 
     /// Answers a module's call.
     pub(super) fn answer(&mut self, CountCall { call, answer_to }: CountCall) {
-        let ToCounter::Call(Call { name, add, at, .. }) = call else {
+        let ToCounter::Call(CounterCall { name, add, at, .. }) = call else {
             return;
         };
         let now = self.clock.now();
         let total = self.quota.add(&name, add, now);
-        let answer = ToModule::Total {
+        let answer = ToDispatcher::CounterTotal {
             name,
             outcome: Outcome::Ok,
             total,
--- a/crates/proxy/src/process/operator_calls.rs
+++ b/crates/proxy/src/process/operator_calls.rs
@@ -7,7 +7,7 @@
 
 use damsonbeam_admin::Figures;
 use damsonbeam_gateway::clock::Clock;
-use damsonbeam_gateway::stage::Now;
+use damsonbeam_gateway::phase::CurrentPhase;
 use http_body_util::Full;
 use hyper::body::{Bytes, Incoming};
 use hyper::server::conn::http1;
@@ -35,7 +35,7 @@
     pub(super) clock: Clock,
     /// The common time less this process's, in seconds.
     pub(super) time_offset_s: Rc<Cell<f64>>,
-    pub(super) stage: Now,
+    pub(super) phase: CurrentPhase,
 }
 
 impl OperatorCalls {
@@ -71,7 +71,7 @@
         let mut response = Response::new(Full::default());
         if let Some(answer) = self.answer(uri) {
             *response.body_mut() = answer.into();
-        } else if !self.stage.stage().serves() {
+        } else if !self.phase.get().is_serving() {
             *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
         }
         response
--- a/crates/proxy/src/process/proxy.rs
+++ b/crates/proxy/src/process/proxy.rs
@@ -11,10 +11,10 @@
 use damsonbeam_control::config::ConnectionLimits;
 use damsonbeam_control::link::{LinkError, listen};
 use damsonbeam_control::messages::{Backend, Heartbeat};
-use damsonbeam_gateway::clients::{Clients, Patience};
+use damsonbeam_gateway::clients::{ClientTimeouts, Clients};
 use damsonbeam_gateway::clock::Clock;
-use damsonbeam_gateway::mail::{ToModule, Unanswered};
-use damsonbeam_gateway::stage::{Now, Stage};
+use damsonbeam_gateway::messages::{ToDispatcher, Unanswered};
+use damsonbeam_gateway::phase::{CurrentPhase, Phase};
 use rand::Rng;
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::JoinHandle;
@@ -51,7 +51,7 @@
     pub(super) node_name: String,
     pub(super) client_address: SocketAddr,
     pub(super) clock: Clock,
-    pub(super) stage: Now,
+    pub(super) phase: CurrentPhase,
     pub(super) control: SharedControlState,
     pub(super) counts: CountCarrier,
     pub(super) routing_table: Rc<RefCell<Rc<RoutingTable>>>,
@@ -127,9 +127,9 @@
         self.idle_s
             .set(idle.as_secs().saturating_sub(TOLD_IDLE_MARGIN_S));
         let header = Duration::from_millis(limits.header_timeout_ms);
-        self.clients.wait(Patience {
-            whole: header.max(LEAST_HEADER_TIMEOUT),
-            quiet: idle.max(CLOSE_DELAY),
+        self.clients.set_timeouts(ClientTimeouts {
+            head: header.max(LEAST_HEADER_TIMEOUT),
+            idle: idle.max(CLOSE_DELAY),
         });
     }
 
@@ -242,7 +242,7 @@
         self.shutdown = Some((Instant::now(), Shutdown::new(self.grace)));
         self.clients
             .end_by(self.clock.now() + Shutdown::time_to_answer(self.grace));
-        self.stage.enter(Stage::Draining, &self.node_name);
+        self.phase.enter(Phase::Draining, &self.node_name);
         self.control.borrow_mut().set_ready(false);
     }
 
@@ -251,21 +251,21 @@
         let Some((began, shutdown)) = &mut self.shutdown else {
             return false;
         };
-        match shutdown.step(began.elapsed(), self.clients.owed()) {
+        match shutdown.step(began.elapsed(), self.clients.unanswered()) {
             None => {}
             Some(step @ ShutdownStep::RefuseUnsent) => {
-                self.end_modules(step, ToModule::RefuseUnsent)
+                self.end_modules(step, ToDispatcher::RefuseUnsent)
             }
-            Some(step @ ShutdownStep::AnswerAll) => self.end_modules(step, ToModule::AnswerAll),
+            Some(step @ ShutdownStep::AnswerAll) => self.end_modules(step, ToDispatcher::AnswerAll),
             Some(ShutdownStep::StopAccepting) => {
-                self.stage.enter(Stage::Finishing, &self.node_name);
+                self.phase.enter(Phase::Finishing, &self.node_name);
                 if let Some(accepting) = self.accepting.take() {
                     accepting.abort();
                 }
                 self.clients.close();
             }
             Some(ShutdownStep::Exit) => {
-                let owed = self.clients.owed();
+                let owed = self.clients.unanswered();
                 log::info!("proxy: ends with {owed} answers not written in full.");
                 return true;
             }
@@ -276,7 +276,7 @@
     fn end_modules(
         &self,
         step: ShutdownStep,
-        message: impl Fn(oneshot::Sender<Unanswered>) -> ToModule,
+        message: impl Fn(oneshot::Sender<Unanswered>) -> ToDispatcher,
     ) {
         let replies = self.dispatchers.borrow().send_end(message);
         let reports = self.shutdown_reports.clone();
@@ -284,15 +284,18 @@
     }
 
     pub(super) fn log_shutdown_report(&self, report: &ShutdownReport) {
-        let Unanswered { refused, at_work } = report.unanswered;
+        let Unanswered {
+            refused,
+            in_progress,
+        } = report.unanswered;
         if report.step == ShutdownStep::AnswerAll {
             log::warn!(
                 "proxy: the grace is over: {refused} requests refused that had not run, \
-                 {at_work} cut off at their backends."
+                 {in_progress} cut off at their backends."
             );
         } else if refused > 0 {
             log::info!(
-                "proxy: refused {refused} requests that had not run; {at_work} are at their backends."
+                "proxy: refused {refused} requests that had not run; {in_progress} are at their backends."
             );
         }
     }
@@ -319,7 +322,7 @@
         let listener = Rc::new(listen(self.client_address)?);
         let accepting = self.clients.clone().accept(listener);
         self.accepting = Some(tokio::task::spawn_local(accepting));
-        self.stage.enter(Stage::Serving, &self.node_name);
+        self.phase.enter(Phase::Serving, &self.node_name);
         log::info!("proxy: {} serves.", self.node_name);
         self.control.borrow_mut().set_ready(true);
         Ok(())
@@ -336,7 +339,7 @@
     for reply in replies {
         let one = reply.await.unwrap_or_default();
         unanswered.refused += one.refused;
-        unanswered.at_work += one.at_work;
+        unanswered.in_progress += one.in_progress;
     }
     reports.send(ShutdownReport { step, unanswered }).await.ok();
 }
--- a/crates/proxy/src/protocol.rs
+++ b/crates/proxy/src/protocol.rs
@@ -10,14 +10,14 @@
 use damsonbeam::interface::{CustomerId, GatewayId, InvId, Invocation, Why};
 use damsonbeam_control::config::{Route, Tenant};
 use damsonbeam_gateway::attempts::{Refusal, Repeatable, Verdict};
-use damsonbeam_gateway::backends::{BackendProtocol, end_to_end};
-use damsonbeam_gateway::bodies::Given;
+use damsonbeam_gateway::backends::{BackendProtocol, keep_end_to_end};
+use damsonbeam_gateway::bodies::ResponseBody;
 use damsonbeam_gateway::clients::{
-    About, ClientProtocol, ClientResponse, Decoded, Rejection, plain, rejection,
+    ClientProtocol, ClientResponse, DecodedRequest, Rejection, RequestContext, plain, rejection,
 };
 use damsonbeam_gateway::clock::Clock;
-use damsonbeam_gateway::front::one;
-use damsonbeam_gateway::mail::{Answer, Ask};
+use damsonbeam_gateway::messages::{Answer, ForwardedRequest};
+use damsonbeam_gateway::platform_protocol::single_header;
 use hyper::header::{AUTHORIZATION, HOST, HeaderMap, HeaderName, HeaderValue, RETRY_AFTER};
 use hyper::http::request::Parts;
 use hyper::{Response, StatusCode, Uri};
@@ -62,7 +62,7 @@
 
 /// What is kept of a request until its answer.
 #[derive(Default)]
-struct RequestContext {
+struct DecodedContext {
     subject: Subject,
     /// The rules by which it is to be mirrored, until it is taken.
     selected: Vec<Selected>,
@@ -85,14 +85,14 @@
         if head.uri.scheme().is_some() || head.uri.authority().is_some() {
             return None;
         }
-        let id = one(headers, REQUEST_ID.as_str())?;
+        let id = single_header(headers, REQUEST_ID.as_str())?;
         if id.is_empty() || id.len() > MAX_ID_BYTES {
             return None;
         }
-        let host = one(headers, HOST.as_str())?;
-        let authorization = one(headers, AUTHORIZATION.as_str());
+        let host = single_header(headers, HOST.as_str())?;
+        let authorization = single_header(headers, AUTHORIZATION.as_str());
         let deadline_ms = match headers.get(&DEADLINE_MS) {
-            Some(_) => one(headers, DEADLINE_MS.as_str())?.parse().ok()?,
+            Some(_) => single_header(headers, DEADLINE_MS.as_str())?.parse().ok()?,
             None => MAX_DEADLINE_MS,
         };
         Some(RequestHead {
@@ -135,7 +135,7 @@
         headers: &HeaderMap,
         route: &Rc<Route>,
         tenant: Option<&Rc<Tenant>>,
-    ) -> Result<Decoded, Rejection> {
+    ) -> Result<DecodedRequest, Rejection> {
         let subject = Subject {
             route: Some(route.clone()),
             tenant: tenant.cloned(),
@@ -151,8 +151,8 @@
             self.note_unserved(head.id, Cause::Nowhere, false, &subject);
             return Err(retry_later(StatusCode::SERVICE_UNAVAILABLE, Some(RETRY_NOWHERE)).into());
         };
-        let DispatchTarget { module, operation } = target;
-        let told = Invocation {
+        let DispatchTarget { events, operation } = target;
+        let invocation = Invocation {
             inv,
             op: operation,
             plan: tenant.map_or(NO_PLAN, |tenant| dispatchers.plan(&tenant.name)),
@@ -162,19 +162,19 @@
             spread: 1,
             ..Invocation::default()
         };
-        let context = RequestContext {
+        let context = DecodedContext {
             subject,
             selected,
             tickets: vec![],
         };
-        Ok(Decoded {
-            told,
+        Ok(DecodedRequest {
+            invocation,
             repeatable: Repeatable::by(repeat(route.kind)),
             name: head.id.to_owned(),
-            about: Some(Box::new(context) as Box<dyn Any>),
-            left: Duration::from_millis(head.deadline_ms.min(route.timeout_ms)),
+            context: Some(Box::new(context) as Box<dyn Any>),
+            time_left: Duration::from_millis(head.deadline_ms.min(route.timeout_ms)),
             headers: forwarded_headers(headers, tenant.map(|tenant| &**tenant)),
-            to: module,
+            dispatcher: events,
         })
     }
 }
@@ -182,7 +182,7 @@
 /// The headers of a request that go on to its backend. The tenant is named by the proxy alone.
 fn forwarded_headers(headers: &HeaderMap, tenant: Option<&Tenant>) -> HeaderMap {
     let mut forwarded = headers.clone();
-    end_to_end(&mut forwarded, "");
+    keep_end_to_end(&mut forwarded, "");
     for name in [
         &AUTHORIZATION,
         &TENANT_NAME,
@@ -198,20 +198,20 @@
     forwarded
 }
 
-fn context_of(about: &mut About) -> Option<&mut RequestContext> {
-    about.as_mut()?.downcast_mut()
+fn context_of(context: &mut RequestContext) -> Option<&mut DecodedContext> {
+    context.as_mut()?.downcast_mut()
 }
 
 impl ClientProtocol for Requests {
-    fn asks_up(&self, _: &Uri) -> bool {
+    fn is_readiness_check(&self, _: &Uri) -> bool {
         false
     }
 
-    fn named(&self, _: &Uri) -> Option<Arc<str>> {
+    fn operation_name(&self, _: &Uri) -> Option<Arc<str>> {
         None
     }
 
-    fn decode(&self, inv: InvId, head: &Parts) -> Result<Decoded, Rejection> {
+    fn decode(&self, inv: InvId, head: &Parts) -> Result<DecodedRequest, Rejection> {
         let table = self.routing_table.borrow().clone();
         let request = RequestHead::read(head).ok_or_else(|| rejection(StatusCode::BAD_REQUEST))?;
         if table.is_empty() {
@@ -226,8 +226,8 @@
         self.decode_routed(inv, &request, &head.headers, route, tenant)
     }
 
-    fn taken(&self, ask: &Ask, about: &mut About) {
-        let Some(context) = context_of(about) else {
+    fn request_accepted(&self, request: &ForwardedRequest, context: &mut RequestContext) {
+        let Some(context) = context_of(context) else {
             return;
         };
         let route = context
@@ -240,18 +240,20 @@
             let dispatchers = self.dispatchers.borrow();
             let is_real = |address| dispatchers.is_real(address);
             let selected = std::mem::take(&mut context.selected);
-            context.tickets = self.mirror.send_all(selected, ask, &homes, &is_real);
+            context.tickets = self.mirror.send_all(selected, request, &homes, &is_real);
         }
     }
 
-    fn encode(&self, name: &str, about: About, answer: Answer) -> ClientResponse {
-        let context = about.and_then(|about| about.downcast::<RequestContext>().ok());
-        let RequestContext {
+    fn encode(&self, name: &str, context: RequestContext, answer: Answer) -> ClientResponse {
+        let context = context.and_then(|context| context.downcast::<DecodedContext>().ok());
+        let DecodedContext {
             subject, tickets, ..
         } = context.map(|context| *context).unwrap_or_default();
         match &answer {
-            Answer::Throttled { why, clean, .. } => {
-                self.note_unserved(name, Cause::rejected(*why), !clean, &subject);
+            Answer::Throttled {
+                why, none_executed, ..
+            } => {
+                self.note_unserved(name, Cause::rejected(*why), !none_executed, &subject);
             }
             Answer::Errored => self.note_unserved(name, Cause::Failed, true, &subject),
             Answer::Succeeded(_) => {}
@@ -274,22 +276,24 @@
 /// The response to a client. A status of 429 or 503 promises that the request has not run and never will.
 fn response(answer: Answer) -> ClientResponse {
     match answer {
-        Answer::Succeeded(reply) => {
-            let mut response = Response::new(reply.body);
-            *response.status_mut() = reply.status;
-            *response.headers_mut() = reply.headers;
+        Answer::Succeeded(backend_response) => {
+            let mut response = Response::new(backend_response.body);
+            *response.status_mut() = backend_response.status;
+            *response.headers_mut() = backend_response.headers;
             response
         }
         Answer::Throttled {
             after,
             why: Why::Quota | Why::Full,
-            clean: true,
+            none_executed: true,
         } => retry_later(StatusCode::TOO_MANY_REQUESTS, after),
         Answer::Throttled {
-            after, clean: true, ..
+            after,
+            none_executed: true,
+            ..
         } => retry_later(StatusCode::SERVICE_UNAVAILABLE, after),
         Answer::Throttled {
-            clean: false,
+            none_executed: false,
             why: Why::Time,
             ..
         } => plain(StatusCode::GATEWAY_TIMEOUT),
@@ -297,7 +301,7 @@
     }
 }
 
-fn retry_later(status: StatusCode, after: Option<Duration>) -> Response<Given> {
+fn retry_later(status: StatusCode, after: Option<Duration>) -> Response<ResponseBody> {
     let mut response = plain(status);
     let seconds = after.map(|after| format!("{:.3}", after.as_secs_f64()));
     if let Some(value) = seconds.and_then(|seconds| HeaderValue::from_str(&seconds).ok()) {
@@ -310,7 +314,7 @@
 pub struct Backends;
 
 impl BackendProtocol for Backends {
-    fn address(&self, headers: &mut HeaderMap, wait: Duration, backend: &str) {
+    fn add_request_headers(&self, headers: &mut HeaderMap, wait: Duration, backend: &str) {
         headers.insert(&DEADLINE_MS, HeaderValue::from(wait.as_millis() as u64));
         if let Ok(id) = HeaderValue::from_str(backend) {
             headers.insert(&TARGET_INSTANCE, id);
@@ -334,7 +338,7 @@
         }
     }
 
-    fn passes(&self, verdict: Verdict, status: StatusCode, headers: &HeaderMap) -> bool {
+    fn may_forward(&self, verdict: Verdict, status: StatusCode, headers: &HeaderMap) -> bool {
         match verdict {
             Verdict::Succeeded => true,
             // A failure of the backend's own, in answer to this request.
@@ -343,12 +347,12 @@
         }
     }
 
-    fn strip(&self, headers: &mut HeaderMap) {
-        end_to_end(headers, "");
+    fn strip_response_headers(&self, headers: &mut HeaderMap) {
+        keep_end_to_end(headers, "");
         headers.remove(&NOT_EXECUTED);
     }
 
-    fn keep(&self, headers: &HeaderMap) -> Option<Duration> {
+    fn idle_timeout(&self, headers: &HeaderMap) -> Option<Duration> {
         let value = headers.get(&KEEP_ALIVE)?.to_str().ok()?;
         let fields = value
             .split(',')
--- a/crates/proxy/src/quota/mod.rs
+++ b/crates/proxy/src/quota/mod.rs
@@ -11,6 +11,7 @@
 //! Where the coordinator does not answer, every other proxy is taken to use as much as this one, so each keeps to its
 //! share.
 
+mod count;
 mod rate;
 
 use std::collections::{BTreeMap, HashMap};
@@ -20,13 +21,10 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-use rate::RollingSum;
+use count::{Count, REPORT_AGE, Tenant, Units};
 
 /// The coordinator is silent once a report to it has had no answer for this long: several round trips.
 const COORDINATOR_TIMEOUT: Duration = Duration::from_millis(600);
-/// What the coordinator reports of the others is this old when it arrives: their reports' interval and way, and its own
-/// way here.
-const REPORT_AGE: Duration = Duration::from_millis(150);
 /// A tenant whose rate is above this part of its quota is near it: by what is known of the others, or by what is
 /// requested here if as much is requested everywhere, for a surge shows here before anybody reports it.
 const NEAR_QUOTA: f64 = 0.75;
@@ -58,58 +56,6 @@
 /// Between two searches for names to forget.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(4);
 
-/// Units admitted and requested under a name, as reported to the coordinator.
-#[derive(Clone, Copy, Debug, Default, PartialEq)]
-struct Units {
-    admitted: f64,
-    requested: f64,
-}
-
-/// The count of a tenant in a time slot.
-#[derive(Debug, Default)]
-struct Count {
-    tenant: String,
-    /// At this proxy.
-    own: Units,
-    /// What the coordinator was last sent of it; `None`: nothing.
-    reported: Option<Units>,
-    /// At all others, as far as the coordinator has reported.
-    others: Units,
-    first_use: Duration,
-    last_use: Duration,
-    /// When the coordinator last reported.
-    last_totals: Option<Duration>,
-    /// When its slot ends, by the module's time; zero where it has none.
-    slot_end: Duration,
-    /// It was reported once more after the slot's end: its total is final.
-    has_final_report: bool,
-}
-
-impl Count {
-    /// Whether a last report after the slot's end is due.
-    fn needs_final_report(&self, now: Duration) -> bool {
-        let is_over = !self.slot_end.is_zero() && now >= self.slot_end + REPORT_AGE;
-        is_over && !self.has_final_report && self.own.admitted > 0.0
-    }
-}
-
-#[derive(Debug, Default)]
-struct Tenant {
-    /// Its quota in units a second; 0: none.
-    rate: f64,
-    /// The length of a slot in seconds; 0: it has none.
-    slot_s: f64,
-    /// Requested here.
-    requested: RollingSum,
-    /// Admitted here.
-    admitted: RollingSum,
-    /// Admitted by the others.
-    others: RollingSum,
-    /// Requested at the others.
-    others_requested: RollingSum,
-    near_quota_until: Duration,
-}
-
 /// The shared counts as seen from one proxy.
 #[derive(Debug)]
 pub struct QuotaCounter {
--- a/crates/proxy/tests/data_plane.rs
+++ b/crates/proxy/tests/data_plane.rs
@@ -9,11 +9,11 @@
 use damsonbeam_admin::Figures;
 use damsonbeam_control::config::{ConfigChange, ConfigSnapshot};
 use damsonbeam_control::messages::Backend;
-use damsonbeam_gateway::backends::Fleet;
+use damsonbeam_gateway::backends::ConnectionPools;
 use damsonbeam_gateway::clients::Clients;
 use damsonbeam_gateway::clock::Clock;
-use damsonbeam_gateway::mail::{ToModule, Unanswered};
-use damsonbeam_gateway::stage::{Now, Stage};
+use damsonbeam_gateway::messages::{ToDispatcher, Unanswered};
+use damsonbeam_gateway::phase::{CurrentPhase, Phase};
 use damsonbeam_proxy::backend_pool::{BackendPool, RegionPosition};
 use damsonbeam_proxy::dispatch::{Dispatchers, SharedParts};
 use damsonbeam_proxy::mirroring::Mirror;
@@ -115,7 +115,7 @@
 
 struct Proxy {
     at: SocketAddr,
-    stage: Now,
+    phase: CurrentPhase,
     dispatchers: Rc<RefCell<Dispatchers>>,
     clients: Rc<Clients>,
     clock: Clock,
@@ -162,8 +162,12 @@
         snapshot.merge(item);
     }
     let routing_table = RoutingTable::from_snapshot(&snapshot);
-    let (clock, stage, figures) = (Clock::start(), Now::default(), Figures::new().unwrap());
-    stage.enter(Stage::Serving, "test");
+    let (clock, phase, figures) = (
+        Clock::start(),
+        CurrentPhase::default(),
+        Figures::new().unwrap(),
+    );
+    phase.enter(Phase::Serving, "test");
     let mut backend_pool = BackendPool::new("a", "x", [("a".into(), "x".into())].into());
     let servers = backends.iter().enumerate().map(|(n, at)| Backend {
         id: format!("i-{n}"),
@@ -183,7 +187,7 @@
     tokio::task::spawn_local(async move { while calls.recv().await.is_some() {} });
     let connect = Duration::from_millis(350);
     let protocol = Box::new(Backends);
-    let fleet = Fleet::new(
+    let connection_pools = ConnectionPools::new(
         connect,
         Duration::from_secs(4),
         vec![],
@@ -195,11 +199,11 @@
     let dispatchers = Rc::new(RefCell::new(Dispatchers::new(SharedParts {
         backend_pool: Rc::new(RefCell::new(backend_pool)),
         retry_budget: Rc::new(RefCell::new(RetryBudget::new(retries, retries * 100.0))),
-        fleet,
+        connection_pools,
         clock,
         figures: figures.clone(),
         counts: to_quota,
-        stage: stage.clone(),
+        phase: phase.clone(),
     })));
     let requests = Requests {
         dispatchers: dispatchers.clone(),
@@ -214,7 +218,7 @@
         256,
         1 << 24,
         clock,
-        stage.clone(),
+        phase.clone(),
         &figures,
     );
     let clients = Rc::new(clients);
@@ -223,7 +227,7 @@
     tokio::task::spawn_local(clients.clone().accept(listener));
     Proxy {
         at,
-        stage,
+        phase,
         dispatchers,
         clients,
         clock,
@@ -252,12 +256,15 @@
     }
 
     async fn refuse_unsent(&self) -> Unanswered {
-        let told = self.dispatchers.borrow().send_end(ToModule::RefuseUnsent);
+        let told = self
+            .dispatchers
+            .borrow()
+            .send_end(ToDispatcher::RefuseUnsent);
         let mut all = Unanswered::default();
         for told in told {
             let one = told.await.unwrap();
             all.refused += one.refused;
-            all.at_work += one.at_work;
+            all.in_progress += one.in_progress;
         }
         all
     }
@@ -303,14 +310,14 @@
 #[test]
 fn a_slow_read_that_cannot_be_repeated_is_not_cut_off() {
     run(async {
-        for stage in [Stage::Serving, Stage::Draining, Stage::Finishing] {
+        for phase in [Phase::Serving, Phase::Draining, Phase::Finishing] {
             let slow = backend(|_, id| vec![Act::Wait(700), answer(id, "late")]).await;
             let proxy = proxy(&[&slow], 0.0).await;
-            proxy.stage.enter(stage, "test");
+            proxy.phase.enter(phase, "test");
             assert_eq!(
                 proxy.ask("/read/", "one").await,
                 (200, "late".into()),
-                "{stage:?}"
+                "{phase:?}"
             );
             assert_eq!(slow.arrivals.borrow().len(), 1);
         }
@@ -344,25 +351,25 @@
             "{:?}",
             began.elapsed()
         );
-        until(|| proxy.clients.owed() == 0).await;
+        until(|| proxy.clients.unanswered() == 0).await;
     });
 }
 
 #[test]
 fn a_read_is_repeated_elsewhere_and_nothing_is_cut_off_after_sigterm() {
     run(async {
-        for (stage, arrivals) in [(Stage::Serving, 2), (Stage::Draining, 1)] {
+        for (phase, arrivals) in [(Phase::Serving, 2), (Phase::Draining, 1)] {
             let script = |_, id: &str| vec![Act::Wait(800), answer(id, "mine")];
             let (one, two) = (backend(script).await, backend(script).await);
             let proxy = proxy(&[&one, &two], 2.0).await;
-            proxy.stage.enter(stage, "test");
+            proxy.phase.enter(phase, "test");
             assert_eq!(
                 proxy.ask("/read/", "one").await,
                 (200, "mine".into()),
-                "{stage:?}"
+                "{phase:?}"
             );
             let arrived = one.arrivals.borrow().len() + two.arrivals.borrow().len();
-            assert_eq!(arrived, arrivals, "{stage:?}");
+            assert_eq!(arrived, arrivals, "{phase:?}");
         }
     });
 }
@@ -377,11 +384,11 @@
             sockets.push(proxy.send("/fields/", &format!("r{n}"), 15_000).await);
         }
         sleep(Duration::from_millis(150)).await;
-        proxy.stage.enter(Stage::Draining, "test");
+        proxy.phase.enter(Phase::Draining, "test");
         let unanswered = proxy.refuse_unsent().await;
-        let at_work = held.arrivals.borrow().len();
-        assert_eq!(unanswered.at_work, at_work);
-        assert!(at_work > 0 && unanswered.refused > 0, "{unanswered:?}");
+        let in_progress = held.arrivals.borrow().len();
+        assert_eq!(unanswered.in_progress, in_progress);
+        assert!(in_progress > 0 && unanswered.refused > 0, "{unanswered:?}");
         sleep(Duration::from_millis(100)).await;
         held.go.notify_waiters();
         let mut statuses = Vec::new();
@@ -389,11 +396,11 @@
             statuses.push(read_answer(socket).await.expect("an answer").0);
         }
         let of = |status| statuses.iter().filter(|s| **s == status).count();
-        assert_eq!(of(200), at_work, "{statuses:?}");
+        assert_eq!(of(200), in_progress, "{statuses:?}");
         assert_eq!(of(200) + of(503) + of(429), 60, "{statuses:?}");
         assert_eq!(
             held.arrivals.borrow().len(),
-            at_work,
+            in_progress,
             "refused, and sent all the same"
         );
     });
@@ -546,7 +553,7 @@
         let socket = proxy.send("/fields/", "one", 15_000).await;
         until(|| slow.arrivals.borrow().len() == 1).await;
         drop(socket);
-        until(|| proxy.clients.owed() == 0).await;
+        until(|| proxy.clients.unanswered() == 0).await;
         assert_eq!(proxy.ask("/fields/", "two").await, (200, "next".into()));
         slow.go.notify_waiters();
         until(|| slow.closed.get() == 1).await;
--- a/crates/proxy/tests/slow_start.rs
+++ b/crates/proxy/tests/slow_start.rs
@@ -42,8 +42,7 @@
 #[test]
 fn eager_proxies_together_keep_the_bound_of_a_backend_that_warms_up() {
     // The bound: the rate by half again, and 5 (8 for the large fleet).
-    for (proxies, rate_per_s, bound) in [(10, 20.0, 35), (12, 6.7, 15), (69, 20.0, 38)] {
-        let most = most_in_a_second(proxies, rate_per_s);
-        assert!(most <= bound, "{most} of {bound}, {proxies} proxies");
-    }
+    assert!(most_in_a_second(10, 20.0) <= 35, "10 proxies");
+    assert!(most_in_a_second(12, 6.7) <= 15, "12 proxies");
+    assert!(most_in_a_second(69, 20.0) <= 38, "69 proxies");
 }
