--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -6,7 +6,8 @@
 //!
 //! - [`coordinator`], [`counts`], [`backend_list`], [`directory`], [`calls`]: decisions, free of I/O
 //! - `common_time`, `proxies`, `store_session`: the parts of a registry's state
-//! - `registry`: the state as a whole, and what happens to it; `proxy_updates`: what proxies are sent
+//! - `registry`: the state as a whole, and what happens to it; `store_messages`: what the store sends; `proxy_updates`:
+//!   what proxies are sent; `state_report`: what operators are shown
 //! - `gossip`, `links`, `operators`, `platform`: sockets and connections; `report`: bodies of answers
 
 #![warn(missing_docs)]
@@ -25,6 +26,8 @@
 mod proxy_updates;
 mod registry;
 mod report;
+mod state_report;
+mod store_messages;
 mod store_session;
 
 use std::cell::RefCell;
--- a/crates/registry/src/registry.rs
+++ b/crates/registry/src/registry.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use damsonbeam_control::address::{Ip, ip_addr, octets};
-use damsonbeam_control::config::{ConfigSnapshot, Item, ItemKind, Tenant};
+use damsonbeam_control::config::ConfigSnapshot;
 use damsonbeam_control::contact::Contact;
 use damsonbeam_control::lease::LeaseElection;
 use damsonbeam_control::link::MessageSender;
@@ -19,14 +19,12 @@
     encode,
 };
 use damsonbeam_control::settings::Settings;
-use damsonbeam_control::voters::VoterSet;
 use tokio::sync::oneshot;
 
 use crate::common_time::CommonTime;
 use crate::coordinator::{CoordinatorRole, ListOutcome};
 use crate::directory::ProxyEndpoint;
 use crate::proxies::{LinkNumber, ProxySessions};
-use crate::report::{self, CoordinatorReport, ListReport, ProxyReport, StateReport};
 use crate::store_session::StoreSession;
 
 /// Between two heartbeats to a proxy: three in the time after which it would look for another coordinator.
@@ -39,15 +37,15 @@
 pub(crate) type OutgoingDatagram = (Ip, Vec<u8>);
 
 pub(crate) struct Registry {
-    settings: Rc<Settings>,
-    own_ip: Ip,
+    pub(crate) settings: Rc<Settings>,
+    pub(crate) own_ip: Ip,
     pub(crate) time: CommonTime,
-    membership: Membership,
+    pub(crate) membership: Membership,
     pub(crate) lease: LeaseElection,
-    contact: Contact,
+    pub(crate) contact: Contact,
     pub(crate) role: CoordinatorRole,
     pub(crate) proxies: ProxySessions,
-    store: StoreSession,
+    pub(crate) store: StoreSession,
     pub(crate) config: ConfigSnapshot,
     /// The store has sent everything that it knows to be committed.
     pub(crate) has_all_items: bool,
@@ -276,134 +274,12 @@
         }
     }
 
-    /// The connection to the store is up.
-    pub(crate) fn store_connected(&mut self, sender: MessageSender) {
-        self.store.connect(sender);
-        self.store.send_roster(self.membership.alive());
-        log::info!("store: connected.");
-    }
-
-    /// The connection to the store has ended.
-    pub(crate) fn store_disconnected(&mut self) {
-        self.store.disconnect();
-        log::warn!("store: disconnected.");
-    }
-
-    /// Takes a message of the store.
-    pub(crate) fn receive_from_store(&mut self, message: Message) {
-        match message {
-            Message::Roster { ips } => {
-                let own_ip = self.own_ip;
-                self.membership
-                    .add_seeds(ips.into_iter().filter(|ip| *ip != own_ip));
-            }
-            Message::Voters { epoch, voters } => self.set_voters(VoterSet::new(epoch, voters)),
-            Message::EpochConfirmed { number, epoch } => {
-                // It is valid from when the store was asked.
-                if let Some(asked_at) = self.store.receive_epoch(number) {
-                    self.lease.confirm_epoch(epoch, asked_at);
-                }
-            }
-            Message::Committed { items, complete } => self.apply_committed(items, complete),
-            Message::StoreBackends(backends) => {
-                self.lease.observe_term(backends.version.term);
-                if backends.version > self.backends.version {
-                    self.backends = backends;
-                }
-            }
-            Message::Reply { number, reply } => self.store.receive_reply(number, reply),
-            Message::ConfirmSubmit { number } => self.store.confirm_submit(number, self.now()),
-            _ => {}
-        }
-    }
-
-    fn set_voters(&mut self, voters: VoterSet) {
-        if voters.epoch <= self.lease.epoch() {
-            return;
-        }
-        let ips = ip_texts(voters.voters()).join(" ");
-        log::info!("voters: epoch {}, {ips}.", voters.epoch);
-        self.membership.add_seeds(voters.voters().iter().copied());
-        self.contact.set_voters(voters.clone());
-        self.lease.set_voters(voters);
-        self.store.forget_epoch_question();
-    }
-
-    fn apply_committed(&mut self, items: Vec<Item>, complete: bool) {
-        let items = items.into_iter();
-        let new: Vec<Item> = items
-            .filter(|item| self.config.merge(item.clone()))
-            .collect();
-        self.has_all_items |= complete;
-        if new.is_empty() {
-            return;
-        }
-        let is_tenant = |item: &&Item| item.key.kind == ItemKind::Tenant && !item.is_removed();
-        for tenant in new.iter().filter(is_tenant) {
-            if let Ok(tenant) = Tenant::try_from(tenant) {
-                let counts = self.role.counts_mut();
-                counts.set_rate(&tenant.name, tenant.rate_per_s);
-            }
-        }
-        if !complete {
-            let proxies = self.proxies.len();
-            log::info!(
-                "config: {} items committed, to {proxies} proxies.",
-                new.len()
-            );
-        }
-        self.push_items(new);
-    }
-
     /// Hands a command to the store; `None` where it can't be reached.
     pub(crate) fn submit(&mut self, command: Command) -> Option<oneshot::Receiver<CommandReply>> {
         let now = self.now();
         self.store.submit(command, now)
     }
 
-    /// The state of the system as seen from here, for `damsonbeam-ctl state`.
-    pub(crate) fn describe(&self) -> Vec<u8> {
-        let now = self.now();
-        let voters = self
-            .lease
-            .voters()
-            .map_or(&[][..], |voters| voters.voters());
-        let coordinator = self.lease.holder(now).map(|holder| CoordinatorReport {
-            ip: ip_addr(holder.ip).to_string(),
-            term: holder.term,
-        });
-        report::to_json(&StateReport {
-            registry: self.settings.node_name.clone(),
-            up_ms: now.as_millis() as u64,
-            registries: ip_texts(&self.membership.alive()),
-            epoch: self.lease.epoch(),
-            voters: ip_texts(voters),
-            in_contact: self.is_in_contact(),
-            contact_age_ms: self.contact.age(now).map(|age| age.as_millis() as u64),
-            coordinator,
-            store_reached: self.store.is_connected(),
-            items: self.config.items().len(),
-            digest: format!("{:016x}", self.config.digest()),
-            list: ListReport {
-                term: self.backends.version.term,
-                reading: self.backends.version.revision,
-                backends: self.backends.backends.len(),
-            },
-            proxies: self.proxy_reports(now),
-        })
-    }
-
-    fn proxy_reports(&self, now: Duration) -> Vec<ProxyReport> {
-        let sessions = self.proxies.all();
-        let reports = sessions.map(|(_, session)| ProxyReport {
-            node: session.status().node.clone(),
-            ready: session.status().ready,
-            silent_ms: session.silent_for(now).as_millis() as u64,
-            news_not_acknowledged: session.unacknowledged_updates(),
-        });
-        reports.collect()
-    }
-
     /// Takes a message of a proxy.
     pub(crate) fn receive_from_proxy(
         &mut self,
@@ -444,7 +320,3 @@
         log::info!("members: {} is {state:?}.", ip_addr(*ip));
     }
 }
-
-fn ip_texts(ips: &[Ip]) -> Vec<String> {
-    ips.iter().map(|ip| ip_addr(*ip).to_string()).collect()
-}
