--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -11,13 +11,13 @@
 use std::time::Duration;
 
 use damsonbeam::Rules;
-use damsonbeam::interface::Entry;
+use damsonbeam::interface::BackendEntry;
 
 /// All instances of this process, and the lists that the wire numbers for all of them.
 #[derive(Default)]
 struct Host {
     instances: BTreeMap<u32, Rules>,
-    lists: BTreeMap<u32, Arc<[Entry]>>,
+    lists: BTreeMap<u32, Arc<[BackendEntry]>>,
 }
 
 impl Host {
--- a/crates/adapter/src/translate.rs
+++ b/crates/adapter/src/translate.rs
@@ -16,9 +16,9 @@
     u64::try_from(t.as_nanos()).unwrap_or(u64::MAX)
 }
 
-pub fn entry(row: &wire::Row) -> Result<Entry, String> {
-    Ok(Entry {
-        tgt: TgtId(row.backend),
+pub fn entry(row: &wire::Row) -> Result<BackendEntry, String> {
+    Ok(BackendEntry {
+        backend_id: BackendId(row.backend),
         health: match row.health.as_str() {
             "U" => Health::Up,
             "L" => Health::Draining,
@@ -51,7 +51,7 @@
 /// The instance concerned and what happened to it; none for what this build does not know.
 pub fn event(
     h: Happened,
-    lists: &BTreeMap<u32, Arc<[Entry]>>,
+    lists: &BTreeMap<u32, Arc<[BackendEntry]>>,
 ) -> Result<Option<(u32, Event)>, String> {
     Ok(Some(match h {
         Happened::RosterChange {
@@ -75,7 +75,7 @@
                     .ok_or_else(|| format!("roster-change names unknown page {page}"))?
                     .clone()
             };
-            (gateway_id, Event::Targets { form, entries })
+            (gateway_id, Event::BackendList { form, entries })
         }
         Happened::Request {
             gateway_id,
@@ -92,9 +92,9 @@
         } => (
             gateway_id,
             Event::Invocation(Invocation {
-                inv: InvId(msg_id),
+                id: InvocationId(msg_id),
                 deadline: ns(valid_until_ns),
-                op: OpId(cls),
+                operation: OperationId(cls),
                 plan: PlanId(package),
                 customer: CustomerId(account.into()),
                 units,
@@ -102,7 +102,7 @@
                 spread: width,
                 write: mutates,
                 repeat,
-                coming: false,
+                body_pending: false,
             }),
         ),
         Happened::FirstByte {
@@ -114,9 +114,9 @@
         } => (
             gateway_id,
             Event::FirstByte {
-                inv: InvId(msg_id),
-                no: DeliveryNo(r#try),
-                tgt: TgtId(backend),
+                invocation_id: InvocationId(msg_id),
+                attempt: AttemptNumber(r#try),
+                backend_id: BackendId(backend),
                 latency: ns(wait_time_ns),
             },
         ),
@@ -133,10 +133,10 @@
             server_stats,
         } => (
             gateway_id,
-            Event::Outcome {
-                inv: InvId(msg_id),
-                no: DeliveryNo(r#try),
-                tgt: TgtId(backend),
+            Event::AttemptEnded {
+                invocation_id: InvocationId(msg_id),
+                attempt: AttemptNumber(r#try),
+                backend_id: BackendId(backend),
                 outcome: outcome(disposition),
                 latency: ns(wait_time_ns),
                 closed: done_flag,
@@ -147,7 +147,12 @@
                 report: server_stats,
             },
         ),
-        Happened::Left { gateway_id, msg_id } => (gateway_id, Event::Left { inv: InvId(msg_id) }),
+        Happened::Left { gateway_id, msg_id } => (
+            gateway_id,
+            Event::ClientGone {
+                invocation_id: InvocationId(msg_id),
+            },
+        ),
         Happened::DeadlineHit { gateway_id, cookie } => {
             (gateway_id, Event::Timer { token: cookie })
         }
@@ -160,7 +165,7 @@
         } => (
             gateway_id,
             Event::Probed {
-                tgt: TgtId(backend),
+                backend_id: BackendId(backend),
                 outcome: outcome(disposition),
                 latency: ns(wait_time_ns),
                 report: server_stats,
@@ -174,7 +179,7 @@
             let bytes = hex::decode(&raw).map_err(|e| format!("peer-data's `raw`: {e}"))?;
             (
                 gateway_id,
-                Event::Peer {
+                Event::PeerMessage {
                     from: GatewayId(by),
                     bytes,
                 },
@@ -188,7 +193,7 @@
             tally_id,
         } => (
             gateway_id,
-            Event::Total {
+            Event::CounterTotal {
                 name: tally_id,
                 outcome: outcome(disposition),
                 total: sum,
@@ -205,48 +210,57 @@
 
 pub fn output(gateway_id: u32, action: Action) -> Output {
     match action {
-        Action::Deliver { inv, tgt, timeout } => Output::Place {
+        Action::SendAttempt {
+            invocation_id,
+            backend_id,
+            timeout,
+        } => Output::Place {
             gateway_id,
-            msg_id: inv.0,
-            backend: tgt.0,
+            msg_id: invocation_id.0,
+            backend: backend_id.0,
             timeout_ns: timeout.map(to_ns),
         },
-        Action::Cancel { inv, no } => Output::Abandon {
+        Action::CancelAttempt {
+            invocation_id,
+            attempt,
+        } => Output::Abandon {
             gateway_id,
-            msg_id: inv.0,
-            r#try: no.0,
+            msg_id: invocation_id.0,
+            r#try: attempt.0,
         },
         Action::Throttle {
-            inv, retry_after, ..
+            invocation_id,
+            retry_after,
+            ..
         } => Output::PushBack {
             gateway_id,
-            msg_id: inv.0,
+            msg_id: invocation_id.0,
             stay_away_ns: retry_after.map(to_ns),
         },
-        Action::Error { inv } => Output::GiveUp {
+        Action::Fail { invocation_id } => Output::GiveUp {
             gateway_id,
-            msg_id: inv.0,
+            msg_id: invocation_id.0,
         },
-        Action::Timer { after, token } => Output::Schedule {
+        Action::SetTimer { after, token } => Output::Schedule {
             gateway_id,
             wait_ns: to_ns(after),
             cookie: token,
         },
-        Action::Count { name, add, keep } => Output::Count {
+        Action::AddToCounter { name, add, keep } => Output::Count {
             gateway_id,
             tally_id: name,
             step: add,
             lifetime_ns: to_ns(keep),
         },
-        Action::Probe { tgt } => Output::HealthCheck {
+        Action::Probe { backend_id } => Output::HealthCheck {
             gateway_id,
-            backend: tgt.0,
+            backend: backend_id.0,
         },
-        Action::CloseIdle { tgt } => Output::LetGo {
+        Action::CloseIdle { backend_id } => Output::LetGo {
             gateway_id,
-            backend: tgt.0,
+            backend: backend_id.0,
         },
-        Action::Tell { to, bytes } => {
+        Action::SendToPeers { to, bytes } => {
             let target = to.map_or(-1, |g| i64::from(g.0));
             Output::Signal {
                 gateway_id,
@@ -254,8 +268,8 @@
                 raw: hex::encode(bytes),
             }
         }
-        Action::Watch { on } => Output::Observe { gateway_id, on },
-        Action::Fetch => Output::Resolve { gateway_id },
+        Action::WatchBackendList { on } => Output::Observe { gateway_id, on },
+        Action::FetchBackendList => Output::Resolve { gateway_id },
         // The wire has no word for a hand-over, and so no event that asks for one.
         Action::HandOver(_) => Output::Remark {
             gateway_id,
--- a/crates/cli/tests/sockets/main.rs
+++ b/crates/cli/tests/sockets/main.rs
@@ -643,7 +643,7 @@
     let mut list = |form, complete, members| {
         let page = serde_json::from_value(page(1, complete, members)).unwrap();
         (
-            numbers.to_update(page, form).entries[0].tgt,
+            numbers.to_update(page, form).entries[0].backend_id,
             numbers.known(),
         )
     };
--- a/crates/gateway/src/account.rs
+++ b/crates/gateway/src/account.rs
@@ -14,7 +14,7 @@
     second: u64,
     counts: BTreeMap<String, u64>,
     cold_for: Duration,
-    since: BTreeMap<TgtId, Duration>,
+    since: BTreeMap<BackendId, Duration>,
 }
 
 impl Account {
@@ -60,49 +60,52 @@
                 },
                 1,
             ),
-            Event::Targets { form, entries } => {
+            Event::BackendList { form, entries } => {
                 if matches!(form, ListForm::Replace | ListForm::Restored) {
                     self.since.clear();
                 }
-                self.since.extend(entries.iter().map(|e| (e.tgt, e.since)));
+                self.since
+                    .extend(entries.iter().map(|e| (e.backend_id, e.since)));
                 self.add(now, "list.pages", 1);
                 self.add(now, "list.entries", entries.len() as u64);
             }
-            Event::Outcome {
-                inv,
-                no,
-                tgt,
+            Event::AttemptEnded {
+                invocation_id,
+                attempt,
+                backend_id,
                 outcome,
                 latency,
                 ..
             } => {
                 let ms = latency.as_millis() as u64;
-                let state = self.state(now, *tgt);
-                tracing::trace!(code = "delivery", inv = inv.0, no = no.0, tgt = tgt.0, state, outcome = ?outcome, ms, at = now.as_millis() as u64);
+                let state = self.state(now, *backend_id);
+                tracing::trace!(code = "delivery", inv = invocation_id.0, no = attempt.0, tgt = backend_id.0, state, outcome = ?outcome, ms, at = now.as_millis() as u64);
                 let name = format!("ended.{state}.{outcome:?}");
                 self.add(now, &name, 1);
                 self.add(now, "ended.ms", latency.as_millis() as u64);
             }
-            Event::Total {
+            Event::CounterTotal {
                 outcome, latency, ..
             } => {
                 self.add(now, &format!("counter.{outcome:?}"), 1);
                 self.add(now, "counter.ms", latency.as_millis() as u64);
             }
-            Event::Peer { .. } => self.add(now, "peers.heard", 1),
+            Event::PeerMessage { .. } => self.add(now, "peers.heard", 1),
             _ => {}
         }
     }
 
     pub fn action(&mut self, now: Duration, action: &Action) {
         match action {
-            Action::Throttle { why, .. } => self.add(now, &format!("turned.{}", why.name()), 1),
-            Action::Error { .. } => self.add(now, "errored", 1),
-            Action::Deliver { tgt, .. } => {
-                let name = format!("sent.{}", self.state(now, *tgt));
+            Action::Throttle { reason, .. } => {
+                self.add(now, &format!("turned.{}", reason.name()), 1)
+            }
+            Action::Fail { .. } => self.add(now, "errored", 1),
+            Action::SendAttempt { backend_id, .. } => {
+                let name = format!("sent.{}", self.state(now, *backend_id));
                 self.add(now, &name, 1);
             }
-            Action::Count { add, .. } => {
+            Action::AddToCounter { add, .. } => {
                 self.add(
                     now,
                     if *add == 0.0 {
@@ -113,13 +116,13 @@
                     1,
                 );
             }
-            Action::Tell { .. } => self.add(now, "peers.told", 1),
+            Action::SendToPeers { .. } => self.add(now, "peers.told", 1),
             _ => {}
         }
     }
 
-    fn state(&self, now: Duration, tgt: TgtId) -> &'static str {
-        match self.since.get(&tgt) {
+    fn state(&self, now: Duration, backend_id: BackendId) -> &'static str {
+        match self.since.get(&backend_id) {
             None => "gone",
             Some(since) if !since.is_zero() && now < *since + self.cold_for => "cold",
             Some(_) => "warm",
--- a/crates/gateway/src/attempts.rs
+++ b/crates/gateway/src/attempts.rs
@@ -20,7 +20,7 @@
 
 use std::rc::Rc;
 
-use damsonbeam::interface::{DeliveryNo, Outcome, Repeat};
+use damsonbeam::interface::{AttemptNumber, Outcome, Repeat};
 
 use crate::write_meter::WriteMeter;
 
@@ -161,8 +161,8 @@
     }
 
     /// The number of the next attempt.
-    pub fn next(&self) -> DeliveryNo {
-        DeliveryNo(self.all.len() as u32)
+    pub fn next(&self) -> AttemptNumber {
+        AttemptNumber(self.all.len() as u32)
     }
 
     /// Counts an attempt, and gives the permit to send it where it may be sent at all.
@@ -177,7 +177,7 @@
     }
 
     /// That attempt is over, and was not executed.
-    pub fn not_executed(&mut self, number: DeliveryNo, _proof: NotExecuted) {
+    pub fn not_executed(&mut self, number: AttemptNumber, _proof: NotExecuted) {
         self.all[number.0 as usize] = AttemptState::NotExecuted;
     }
 
--- a/crates/gateway/src/backend_list.rs
+++ b/crates/gateway/src/backend_list.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use damsonbeam::interface::{Discovery, Entry, Health, ListForm, TgtId};
+use damsonbeam::interface::{BackendEntry, BackendId, Discovery, Health, ListForm};
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::client::conn::http1::{SendRequest, handshake};
 use hyper::header::HOST;
@@ -77,7 +77,7 @@
 pub struct NameTable {
     zones: Vec<String>,
     kinds: Vec<String>,
-    ids: HashMap<String, TgtId>,
+    ids: HashMap<String, BackendId>,
 }
 
 impl NameTable {
@@ -95,17 +95,17 @@
     }
 
     /// The same at every gateway: made from the id alone, but for the rare two that fall together.
-    fn tgt(&mut self, id: &str) -> TgtId {
+    fn backend_id(&mut self, id: &str) -> BackendId {
         if let Some(known) = self.ids.get(id) {
             return *known;
         }
         let step = |h: u32, b: u8| (h ^ u32::from(b)).wrapping_mul(0x0100_0193); // FNV-1a
-        let mut tgt = TgtId(id.bytes().fold(0x811c_9dc5, step));
-        while self.ids.values().any(|taken| *taken == tgt) {
-            tgt.0 = tgt.0.wrapping_add(1);
+        let mut backend_id = BackendId(id.bytes().fold(0x811c_9dc5, step));
+        while self.ids.values().any(|taken| *taken == backend_id) {
+            backend_id.0 = backend_id.0.wrapping_add(1);
         }
-        self.ids.insert(id.to_owned(), tgt);
-        tgt
+        self.ids.insert(id.to_owned(), backend_id);
+        backend_id
     }
 
     pub fn to_update(&mut self, page: DiscoveryPage, form: ListForm) -> BackendListUpdate {
@@ -114,8 +114,8 @@
             names.iter().position(|n| n == name).unwrap_or(names.len()) as u32
         };
         let addresses = page.members.iter().map(|m| m.host_port).collect();
-        let entry = |m: Member| Entry {
-            tgt: self.tgt(&m.id),
+        let entry = |m: Member| BackendEntry {
+            backend_id: self.backend_id(&m.id),
             health: match m.phase.as_str() {
                 "active" => Health::Up,
                 "left" => Health::Gone,
@@ -243,12 +243,12 @@
                 }
                 None => watching = false,
                 Some(failed) => {
-                    let why =
+                    let reason =
                         failed.map_or("no answer".to_owned(), |r| r.err().unwrap_or_default());
                     log!(
                         warn,
                         "list-unavailable",
-                        "{}: {why}; the last list stays",
+                        "{}: {reason}; the last list stays",
                         self.at
                     );
                     if self.mode == Discovery::Subscribed {
--- a/crates/gateway/src/backends/attempt.rs
+++ b/crates/gateway/src/backends/attempt.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use damsonbeam::interface::{DeliveryNo, InvId, Report};
+use damsonbeam::interface::{AttemptNumber, InvocationId, Report};
 use hyper::Request;
 use hyper::header::{CONNECTION, HeaderMap};
 use tokio::sync::mpsc;
@@ -33,15 +33,15 @@
 
 /// Tells the dispatcher what becomes of an attempt.
 struct Reporter {
-    inv: InvId,
-    number: DeliveryNo,
+    invocation_id: InvocationId,
+    number: AttemptNumber,
     dispatcher: mpsc::Sender<ToDispatcher>,
 }
 
 impl Reporter {
     async fn ended(&self, ending: Ending, response: Option<BackendResponse>, report: Report) {
         let ended = AttemptEnded {
-            inv: self.inv,
+            invocation_id: self.invocation_id,
             number: self.number,
             ending,
             response,
@@ -56,7 +56,9 @@
     }
 
     async fn body_consumed(&self) {
-        let message = ToDispatcher::BodyConsumed { inv: self.inv };
+        let message = ToDispatcher::BodyConsumed {
+            invocation_id: self.invocation_id,
+        };
         self.dispatcher.send(message).await.ok();
     }
 }
@@ -76,7 +78,7 @@
     outgoing: OutgoingAttempt,
 ) -> Option<BackendConnection> {
     let reporter = Reporter {
-        inv: outgoing.inv,
+        invocation_id: outgoing.invocation_id,
         number: outgoing.number,
         dispatcher: outgoing.to,
     };
--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -14,7 +14,7 @@
 use std::task::Poll;
 use std::time::Duration;
 
-use damsonbeam::interface::{InvId, Invocation};
+use damsonbeam::interface::{Invocation, InvocationId};
 use damsonbeam_admin::Figures;
 use hyper::header::HeaderMap;
 use hyper::http::request::Parts;
@@ -65,7 +65,11 @@
     ///
     /// # Errors
     /// The answer.
-    fn decode(&self, inv: InvId, head: &Parts) -> Result<DecodedRequest, Rejection>;
+    fn decode(
+        &self,
+        invocation_id: InvocationId,
+        head: &Parts,
+    ) -> Result<DecodedRequest, Rejection>;
     /// A request that was read is whole, or comes, and goes to its module now.
     fn request_accepted(&self, _: &ForwardedRequest, _: &mut RequestContext) {}
     /// The answer to the request of that name, and what was said of it when it was read.
--- a/crates/gateway/src/clients/invocation.rs
+++ b/crates/gateway/src/clients/invocation.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use damsonbeam::interface::{InvId, Why};
+use damsonbeam::interface::{InvocationId, RejectReason};
 use hyper::body::{Body, Incoming};
 use hyper::{Method, Request, StatusCode};
 use tokio::sync::{mpsc, oneshot};
@@ -25,7 +25,7 @@
     pub(super) fn refusal(&self) -> ClientResponse {
         let refused = Answer::Throttled {
             after: Some(ELSEWHERE),
-            why: Why::Line,
+            reason: RejectReason::Line,
             none_executed: true,
         };
         self.protocol.encode("", None, refused)
@@ -65,7 +65,7 @@
         request: Request<Incoming>,
     ) -> Result<ClientResponse, Rejection> {
         let (head, body) = request.into_parts();
-        let inv = InvId(self.next.replace(self.next.get() + 1));
+        let invocation_id = InvocationId(self.next.replace(self.next.get() + 1));
         let DecodedRequest {
             mut invocation,
             repeatable,
@@ -74,23 +74,23 @@
             time_left,
             headers,
             dispatcher,
-        } = self.protocol.decode(inv, &head)?;
+        } = self.protocol.decode(invocation_id, &head)?;
         let body = self
             .body(
                 connection,
                 &head.method,
                 body,
-                invocation.inv,
+                invocation.id,
                 time_left,
                 &dispatcher,
             )
             .await
             .map_err(rejection)?;
-        invocation.coming = body.streamed().is_some();
+        invocation.body_pending = body.streamed().is_some();
         // Its client's time runs from its last byte.
         let received = self.clock.now();
         invocation.deadline = received
-            + if invocation.coming {
+            + if invocation.body_pending {
                 UPLOAD_TIMEOUT
             } else {
                 time_left
@@ -102,7 +102,7 @@
         }
         self.figures.current.inc();
         let mut open_invocation = OpenInvocation {
-            inv: invocation.inv,
+            invocation_id: invocation.id,
             name,
             clients: self,
             dispatcher: dispatcher.clone(),
@@ -151,7 +151,7 @@
         connection: &ClientConnection,
         method: &Method,
         mut body: Incoming,
-        inv: InvId,
+        invocation_id: InvocationId,
         time_left: Duration,
         dispatcher: &mpsc::Sender<ToDispatcher>,
     ) -> Result<RequestBody, StatusCode> {
@@ -183,7 +183,7 @@
         let (dispatcher, clock) = (dispatcher.clone(), self.clock);
         let whole = move || {
             let invocation = ToDispatcher::BodyComplete {
-                inv,
+                invocation_id,
                 deadline: clock.now() + time_left,
             };
             if let Err(mpsc::error::TrySendError::Full(invocation)) =
@@ -203,7 +203,7 @@
 
 /// An invocation that the module holds; dropped unanswered, its client has hung up.
 struct OpenInvocation<'a> {
-    inv: InvId,
+    invocation_id: InvocationId,
     name: String,
     clients: &'a Clients,
     dispatcher: mpsc::Sender<ToDispatcher>,
@@ -217,7 +217,9 @@
         if self.answered {
             return;
         }
-        let message = ToDispatcher::ClientGone { inv: self.inv };
+        let message = ToDispatcher::ClientGone {
+            invocation_id: self.invocation_id,
+        };
         if let Err(mpsc::error::TrySendError::Full(message)) = self.dispatcher.try_send(message) {
             let dispatcher = self.dispatcher.clone();
             tokio::task::spawn_local(async move { dispatcher.send(message).await.ok() });
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -373,8 +373,8 @@
             Ok(config.notes.into_iter().chain(unread).collect())
         }
         Ok(_) => Err(problems),
-        Err(why) => {
-            problems.insert(0, why.trim_start_matches("NODE_CONFIG: ").to_string());
+        Err(reason) => {
+            problems.insert(0, reason.trim_start_matches("NODE_CONFIG: ").to_string());
             Err(problems)
         }
     }
--- a/crates/gateway/src/counter_client.rs
+++ b/crates/gateway/src/counter_client.rs
@@ -146,8 +146,8 @@
                         ..CallStream::default()
                     };
                     waiting.drain(..).for_each(|call| stream.encode(call));
-                    let why = self.exchange(socket, &mut stream).await;
-                    let unreadable = matches!(&why, Some(Disconnected::Broken(e)) if e.kind() == ErrorKind::InvalidData);
+                    let reason = self.exchange(socket, &mut stream).await;
+                    let unreadable = matches!(&reason, Some(Disconnected::Broken(e)) if e.kind() == ErrorKind::InvalidData);
                     for (n, sent_call) in std::mem::take(&mut stream.sent).into_iter().enumerate() {
                         let outcome = match sent_call.end <= stream.written {
                             // Answered, so added, though how much is there by now can't be read.
@@ -163,7 +163,7 @@
                     } else {
                         self.timeout
                     };
-                    match why {
+                    match reason {
                         Some(Disconnected::Broken(e)) => {
                             log!(warn, "counter-lost", "{}: {e}", self.at)
                         }
--- a/crates/gateway/src/dispatcher/actions.rs
+++ b/crates/gateway/src/dispatcher/actions.rs
@@ -2,7 +2,9 @@
 
 use std::time::Duration;
 
-use damsonbeam::interface::{Action, DeliveryNo, Event, InvId, Outcome, TgtId, Why};
+use damsonbeam::interface::{
+    Action, AttemptNumber, BackendId, Event, InvocationId, Outcome, RejectReason,
+};
 
 use super::{Dispatcher, Timer};
 use crate::log::log;
@@ -15,39 +17,46 @@
 impl Dispatcher {
     pub(super) fn carry_out(&mut self, action: Action) {
         match action {
-            Action::Deliver { inv, tgt, timeout } => self.send_attempt(inv, tgt, timeout),
-            Action::Cancel { inv, no } => self.cancel_attempt(inv, no),
+            Action::SendAttempt {
+                invocation_id,
+                backend_id,
+                timeout,
+            } => self.send_attempt(invocation_id, backend_id, timeout),
+            Action::CancelAttempt {
+                invocation_id,
+                attempt,
+            } => self.cancel_attempt(invocation_id, attempt),
             Action::Throttle {
-                inv,
+                invocation_id,
                 retry_after,
-                why,
-            } => self.turn_away(inv, retry_after, why),
-            Action::Error { inv } => self.answer_error(inv),
-            Action::Timer { after, token } => {
+                reason,
+            } => self.turn_away(invocation_id, retry_after, reason),
+            Action::Fail { invocation_id } => self.answer_error(invocation_id),
+            Action::SetTimer { after, token } => {
                 let at = self.clock.now() + after;
                 self.state.timers.insert((at, Timer::Rules(token)));
             }
-            Action::Count { name, add, keep } => self.call_counter(CounterCall {
+            Action::AddToCounter { name, add, keep } => self.call_counter(CounterCall {
                 name,
                 add,
                 keep,
                 at: self.clock.now(),
             }),
-            Action::CloseIdle { tgt } => {
-                if let Some(backend) = self.state.backends.get(&tgt) {
+            Action::CloseIdle { backend_id } => {
+                if let Some(backend) = self.state.backends.get(&backend_id) {
                     backend.mailbox.try_send(ToBackend::CloseIdle).ok();
                 }
             }
-            Action::Probe { tgt } => self.skip_probe(tgt),
-            Action::Tell { to, bytes } => {
+            Action::Probe { backend_id } => self.skip_probe(backend_id),
+            Action::SendToPeers { to, bytes } => {
                 if let Some(peers) = &self.peers {
                     peers.try_send(ToPeers { to, bytes }).ok();
                 }
             }
-            Action::Watch { on } => {
+            Action::WatchBackendList { on } => {
                 self.list_watcher.try_send(ToListWatcher::Watch { on }).ok();
             }
-            Action::Fetch => {
+            Action::FetchBackendList => {
                 self.list_watcher.try_send(ToListWatcher::Fetch).ok();
             }
             Action::Log { text } => log!(warn, "module", "{text}"),
@@ -57,18 +66,23 @@
         }
     }
 
-    fn cancel_attempt(&mut self, inv: InvId, number: DeliveryNo) {
-        let Some(attempt) = self.take_attempt(inv, number) else {
+    fn cancel_attempt(&mut self, invocation_id: InvocationId, number: AttemptNumber) {
+        let Some(attempt) = self.take_attempt(invocation_id, number) else {
             return;
         };
         attempt.cancel_handle.cancel();
         self.notify_policy(&attempt, Outcome::Canceled);
-        self.queue_ended(inv, number, &attempt, Outcome::Canceled);
-        self.forget_if_finished(inv);
+        self.queue_ended(invocation_id, number, &attempt, Outcome::Canceled);
+        self.forget_if_finished(invocation_id);
     }
 
-    fn turn_away(&mut self, inv: InvId, retry_after: Option<Duration>, why: Why) {
-        let request = self.state.requests.get(&inv);
+    fn turn_away(
+        &mut self,
+        invocation_id: InvocationId,
+        retry_after: Option<Duration>,
+        reason: RejectReason,
+    ) {
+        let request = self.state.requests.get(&invocation_id);
         let was_sent = request.is_some_and(|request| !request.attempts.is_empty());
         let none_executed = request.is_none_or(|request| request.attempts.none_executed());
         let when = if was_sent {
@@ -79,23 +93,23 @@
         let figures = &self.figures;
         figures.turned_away.with_label_values(&[when]).inc();
         let reasons = &figures.turned_away_why;
-        reasons.with_label_values(&[why.name()]).inc();
+        reasons.with_label_values(&[reason.name()]).inc();
         let failure = Answer::Throttled {
             after: retry_after,
-            why,
+            reason,
             none_executed,
         };
-        self.answer_failure(inv, failure);
-        self.forget_if_finished(inv);
+        self.answer_failure(invocation_id, failure);
+        self.forget_if_finished(invocation_id);
     }
 
-    fn answer_error(&mut self, inv: InvId) {
-        let request = self.state.requests.get_mut(&inv);
+    fn answer_error(&mut self, invocation_id: InvocationId) {
+        let request = self.state.requests.get_mut(&invocation_id);
         match request.and_then(|request| request.fallback.take()) {
-            Some(response) => self.answer(inv, Answer::Succeeded(response)),
-            None => self.answer_failure(inv, Answer::Errored),
+            Some(response) => self.answer(invocation_id, Answer::Succeeded(response)),
+            None => self.answer_failure(invocation_id, Answer::Errored),
         }
-        self.forget_if_finished(inv);
+        self.forget_if_finished(invocation_id);
     }
 
     /// Calls the counter; the rules are told at once where there is no room for the call, or no counter.
@@ -109,7 +123,7 @@
             return;
         }
         log!(warn, "counter-crowded", "a call not sent");
-        self.state.follow_up_events.push_back(Event::Total {
+        self.state.follow_up_events.push_back(Event::CounterTotal {
             name,
             outcome: Outcome::Full,
             total: 0.0,
@@ -119,9 +133,9 @@
     }
 
     /// The platform's protocol has no probes.
-    fn skip_probe(&mut self, tgt: TgtId) {
+    fn skip_probe(&mut self, backend_id: BackendId) {
         self.state.follow_up_events.push_back(Event::Probed {
-            tgt,
+            backend_id,
             outcome: Outcome::Ignored,
             latency: Duration::ZERO,
             report: vec![],
--- a/crates/gateway/src/dispatcher/attempt_policy.rs
+++ b/crates/gateway/src/dispatcher/attempt_policy.rs
@@ -2,16 +2,16 @@
 
 use std::time::Duration;
 
-use damsonbeam::interface::{Entry, Outcome, TgtId};
+use damsonbeam::interface::{BackendEntry, BackendId, Outcome};
 
 /// Decides on each attempt by what all gateways share: asked before it is sent, told when it is over.
 pub trait AttemptPolicy {
     /// Whether an attempt beyond its request's first may be made.
     fn may_retry(&mut self, now: Duration) -> bool;
     /// An attempt is to go to that backend.
-    fn before_attempt(&mut self, backend: TgtId, now: Duration) -> AttemptDecision;
+    fn before_attempt(&mut self, backend: BackendId, now: Duration) -> AttemptDecision;
     /// An attempt that went to that backend is over, after that time.
-    fn after_attempt(&mut self, _backend: TgtId, _: Outcome, _took: Duration, _now: Duration) {}
+    fn after_attempt(&mut self, _backend: BackendId, _: Outcome, _took: Duration, _now: Duration) {}
     /// Whether an attempt that its backend may work on may be cancelled before its client's time is over.
     fn may_cancel(&self) -> bool {
         true
@@ -23,5 +23,5 @@
     /// Whether it may be sent.
     pub allowed: bool,
     /// How its backend stands from now on, where that changes.
-    pub health_change: Option<Entry>,
+    pub health_change: Option<BackendEntry>,
 }
--- a/crates/gateway/src/dispatcher/mod.rs
+++ b/crates/gateway/src/dispatcher/mod.rs
@@ -51,7 +51,7 @@
 
 /// A delivery that is out.
 struct InFlightAttempt {
-    tgt: TgtId,
+    backend_id: BackendId,
     sent: Duration,
     until: Duration,
     cancel_handle: Rc<CancelHandle>,
@@ -60,9 +60,9 @@
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum Timer {
     Rules(String),
-    AttemptTimeout(InvId, DeliveryNo),
+    AttemptTimeout(InvocationId, AttemptNumber),
     /// An overdue attempt after which nothing follows.
-    OverdueEnd(InvId),
+    OverdueEnd(InvocationId),
     /// The witness's report to the peers.
     PeerReport,
     /// The figures that only the rules know.
@@ -98,8 +98,8 @@
 
 #[derive(Default)]
 pub struct DispatcherState {
-    requests: HashMap<InvId, PendingRequest>,
-    backends: BTreeMap<TgtId, BackendHandle>,
+    requests: HashMap<InvocationId, PendingRequest>,
+    backends: BTreeMap<BackendId, BackendHandle>,
     timers: BTreeSet<(Duration, Timer)>,
     /// Events that actions gave rise to.
     follow_up_events: VecDeque<Event>,
@@ -145,8 +145,10 @@
         while self.state.timers.first().is_some_and(|(at, _)| *at <= now) {
             match self.state.timers.pop_first().expect("seen above").1 {
                 Timer::Rules(token) => self.handle_event(Event::Timer { token }),
-                Timer::AttemptTimeout(inv, number) => self.timed_out(inv, number),
-                Timer::OverdueEnd(inv) => self.overdue_timed_out(inv),
+                Timer::AttemptTimeout(invocation_id, number) => {
+                    self.timed_out(invocation_id, number)
+                }
+                Timer::OverdueEnd(invocation_id) => self.overdue_timed_out(invocation_id),
                 Timer::PeerReport => self.report_to_peers(now),
                 Timer::Figures => {
                     let (listed, avoided) = self.rules.backends();
@@ -172,20 +174,23 @@
                 let request = PendingRequest {
                     request,
                     deadline: invocation.deadline,
-                    coming: invocation.coming.then_some(time_left),
+                    coming: invocation.body_pending.then_some(time_left),
                     answer: Some(answer),
                     fallback: None,
                     attempts: Attempts::new(repeatable),
                     overdue: None,
                     in_flight: Vec::new(),
                 };
-                self.state.requests.insert(invocation.inv, request);
+                self.state.requests.insert(invocation.id, request);
                 self.handle_event(Event::Invocation(invocation));
             }
-            ToDispatcher::BodyComplete { inv, deadline } => self.body_complete(inv, deadline),
-            ToDispatcher::BodyConsumed { inv } => {
-                if self.state.requests.contains_key(&inv) {
-                    self.handle_event(Event::Spent { inv });
+            ToDispatcher::BodyComplete {
+                invocation_id,
+                deadline,
+            } => self.body_complete(invocation_id, deadline),
+            ToDispatcher::BodyConsumed { invocation_id } => {
+                if self.state.requests.contains_key(&invocation_id) {
+                    self.handle_event(Event::BodyConsumed { invocation_id });
                 }
             }
             ToDispatcher::Settings(settings) => self.handle_event(Event::Settings(settings)),
@@ -196,8 +201,8 @@
             ToDispatcher::Resume => self.handle_event(Event::Resume),
             ToDispatcher::RefuseUnsent(reply_to) => drop(reply_to.send(self.refuse_unsent())),
             ToDispatcher::AnswerAll(reply_to) => drop(reply_to.send(self.answer_all())),
-            ToDispatcher::TakeOver(carry) => self.handle_event(Event::Carried(carry)),
-            ToDispatcher::ClientGone { inv } => self.client_gone(inv),
+            ToDispatcher::TakeOver(carry) => self.handle_event(Event::TakeOver(carry)),
+            ToDispatcher::ClientGone { invocation_id } => self.client_gone(invocation_id),
             ToDispatcher::AttemptEnded(ended) => self.handle_attempt_ended(ended),
             ToDispatcher::CounterTotal {
                 name,
@@ -210,23 +215,23 @@
         }
     }
 
-    fn client_gone(&mut self, inv: InvId) {
-        let Some(request) = self.state.requests.get_mut(&inv) else {
+    fn client_gone(&mut self, invocation_id: InvocationId) {
+        let Some(request) = self.state.requests.get_mut(&invocation_id) else {
             return;
         };
         if let Some(overdue) = request.overdue.take() {
             overdue.cancel();
         }
         if request.answer.take().is_some() {
-            self.handle_event(Event::Left { inv });
-            self.forget_if_finished(inv);
+            self.handle_event(Event::ClientGone { invocation_id });
+            self.forget_if_finished(invocation_id);
         }
     }
 
     fn handle_attempt_ended(&mut self, ended: AttemptEnded) {
-        let (inv, number) = (ended.inv, ended.number);
+        let (invocation_id, number) = (ended.invocation_id, ended.number);
         // One whose time was over has had its outcome.
-        let Some(attempt) = self.take_attempt(inv, number) else {
+        let Some(attempt) = self.take_attempt(invocation_id, number) else {
             return self.overdue_done(ended);
         };
         let AttemptEnded {
@@ -236,18 +241,18 @@
             ..
         } = ended;
         let outcome = ending.outcome();
-        let request = self.state.requests.get_mut(&inv);
+        let request = self.state.requests.get_mut(&invocation_id);
         if let (Ending::NotExecuted(proof), Some(request)) = (ending, request) {
             request.attempts.not_executed(number, proof);
         }
-        match (response, self.state.requests.get_mut(&inv)) {
+        match (response, self.state.requests.get_mut(&invocation_id)) {
             (Some(response), _) if outcome == Outcome::Ok => {
-                self.answer(inv, Answer::Succeeded(response));
+                self.answer(invocation_id, Answer::Succeeded(response));
             }
             (fallback @ Some(_), Some(request)) => request.fallback = fallback,
             _ => {}
         }
-        self.attempt_ended(inv, number, &attempt, outcome, report);
+        self.attempt_ended(invocation_id, number, &attempt, outcome, report);
     }
 
     fn counter_total(&mut self, name: String, outcome: Outcome, total: f64, latency: Duration) {
@@ -258,7 +263,7 @@
             Some((admissions, _)) => admissions.admitted_by_peers(&name, now),
             None => 0.0,
         };
-        self.handle_event(Event::Total {
+        self.handle_event(Event::CounterTotal {
             name,
             outcome,
             total,
@@ -275,7 +280,7 @@
             None => false,
         };
         if !is_report {
-            self.handle_event(Event::Peer { from, bytes });
+            self.handle_event(Event::PeerMessage { from, bytes });
         }
     }
 
@@ -291,29 +296,36 @@
     ) {
         let unnamed: Arc<str> = "".into();
         if matches!(form, ListForm::Replace | ListForm::Restored) {
-            let named: BTreeSet<TgtId> = entries.iter().map(|e| e.tgt).collect();
-            self.state.backends.retain(|tgt, _| named.contains(tgt));
+            let named: BTreeSet<BackendId> = entries.iter().map(|e| e.backend_id).collect();
+            self.state
+                .backends
+                .retain(|backend_id, _| named.contains(backend_id));
         }
         for (n, (e, at)) in entries.iter().zip(addresses).enumerate() {
             if e.health == Health::Gone {
-                self.state.backends.remove(&e.tgt);
-            } else if self.state.backends.get(&e.tgt).is_none_or(|b| b.at != at) {
+                self.state.backends.remove(&e.backend_id);
+            } else if self
+                .state
+                .backends
+                .get(&e.backend_id)
+                .is_none_or(|b| b.at != at)
+            {
                 self.state.backends.insert(
-                    e.tgt,
+                    e.backend_id,
                     (self.spawn_backend)(at, names.get(n).unwrap_or(&unnamed)),
                 );
             }
-            if let Some(peer) = self.state.backends.get(&e.tgt) {
+            if let Some(peer) = self.state.backends.get(&e.backend_id) {
                 peer.closed.set(e.health != Health::Up);
             }
         }
-        self.handle_event(Event::Targets { form, entries });
+        self.handle_event(Event::BackendList { form, entries });
     }
 
     /// A body's last byte has come: its deliveries' times run from now.
-    fn body_complete(&mut self, inv: InvId, deadline: Duration) {
+    fn body_complete(&mut self, invocation_id: InvocationId, deadline: Duration) {
         let now = self.clock.now();
-        let Some(request) = self.state.requests.get_mut(&inv) else {
+        let Some(request) = self.state.requests.get_mut(&invocation_id) else {
             return;
         };
         (request.deadline, request.coming) = (deadline, None);
@@ -323,39 +335,46 @@
             .enumerate()
             .filter_map(|(number, o)| Some((number, o.as_mut()?)))
         {
-            let number = DeliveryNo(number as u32);
+            let number = AttemptNumber(number as u32);
             self.state
                 .timers
-                .remove(&(attempt.until, Timer::AttemptTimeout(inv, number)));
+                .remove(&(attempt.until, Timer::AttemptTimeout(invocation_id, number)));
             (attempt.sent, attempt.until) = (now, deadline);
             self.state
                 .timers
-                .insert((attempt.until, Timer::AttemptTimeout(inv, number)));
+                .insert((attempt.until, Timer::AttemptTimeout(invocation_id, number)));
         }
-        self.handle_event(Event::Whole { inv, deadline });
+        self.handle_event(Event::BodyComplete {
+            invocation_id,
+            deadline,
+        });
     }
 
     /// Takes a delivery off those out.
-    fn take_attempt(&mut self, inv: InvId, number: DeliveryNo) -> Option<InFlightAttempt> {
+    fn take_attempt(
+        &mut self,
+        invocation_id: InvocationId,
+        number: AttemptNumber,
+    ) -> Option<InFlightAttempt> {
         let attempt = self
             .state
             .requests
-            .get_mut(&inv)?
+            .get_mut(&invocation_id)?
             .in_flight
             .get_mut(number.0 as usize)?
             .take()?;
         // Left there, it would wake the gateway for nothing.
         self.state
             .timers
-            .remove(&(attempt.until, Timer::AttemptTimeout(inv, number)));
+            .remove(&(attempt.until, Timer::AttemptTimeout(invocation_id, number)));
         Some(attempt)
     }
 
     /// How a delivery ended; the invocation is closed if its final answer has gone out.
     fn outcome_event(
         &self,
-        inv: InvId,
-        number: DeliveryNo,
+        invocation_id: InvocationId,
+        number: AttemptNumber,
         attempt: &InFlightAttempt,
         outcome: Outcome,
         report: Report,
@@ -367,14 +386,14 @@
         let closed = self
             .state
             .requests
-            .get(&inv)
+            .get(&invocation_id)
             .is_none_or(|h| h.answer.is_none());
         let latency = self.clock.now().saturating_sub(attempt.sent);
-        let (tgt, used, true_units) = (attempt.tgt, None, None);
-        Event::Outcome {
-            inv,
-            no: number,
-            tgt,
+        let (backend_id, used, true_units) = (attempt.backend_id, None, None);
+        Event::AttemptEnded {
+            invocation_id,
+            attempt: number,
+            backend_id,
             outcome,
             latency,
             closed,
@@ -386,16 +405,16 @@
 
     fn attempt_ended(
         &mut self,
-        inv: InvId,
-        number: DeliveryNo,
+        invocation_id: InvocationId,
+        number: AttemptNumber,
         attempt: &InFlightAttempt,
         outcome: Outcome,
         report: Report,
     ) {
         self.notify_policy(attempt, outcome);
-        let event = self.outcome_event(inv, number, attempt, outcome, report);
+        let event = self.outcome_event(invocation_id, number, attempt, outcome, report);
         self.handle_event(event);
-        self.forget_if_finished(inv);
+        self.forget_if_finished(invocation_id);
     }
 
     /// A delivery that went out is over.
@@ -403,7 +422,7 @@
         if let Some(attempt_policy) = &mut self.attempt_policy {
             let now = self.clock.now();
             attempt_policy.after_attempt(
-                attempt.tgt,
+                attempt.backend_id,
                 outcome,
                 now.saturating_sub(attempt.sent),
                 now,
@@ -414,26 +433,26 @@
     /// The same for one that ends by an action, told once all actions are carried out.
     fn queue_ended(
         &mut self,
-        inv: InvId,
-        number: DeliveryNo,
+        invocation_id: InvocationId,
+        number: AttemptNumber,
         attempt: &InFlightAttempt,
         outcome: Outcome,
     ) {
-        let event = self.outcome_event(inv, number, attempt, outcome, vec![]);
+        let event = self.outcome_event(invocation_id, number, attempt, outcome, vec![]);
         self.state.follow_up_events.push_back(event);
     }
 
     /// Forgets an invocation that is over and has nothing out.
-    fn forget_if_finished(&mut self, inv: InvId) {
+    fn forget_if_finished(&mut self, invocation_id: InvocationId) {
         let over =
             |h: &PendingRequest| h.answer.is_none() && h.in_flight.iter().all(Option::is_none);
-        if self.state.requests.get(&inv).is_some_and(over) {
-            self.state.requests.remove(&inv);
+        if self.state.requests.get(&invocation_id).is_some_and(over) {
+            self.state.requests.remove(&invocation_id);
         }
     }
 
-    fn answer(&mut self, inv: InvId, answer: Answer) {
-        let Some(request) = self.state.requests.get_mut(&inv) else {
+    fn answer(&mut self, invocation_id: InvocationId, answer: Answer) {
+        let Some(request) = self.state.requests.get_mut(&invocation_id) else {
             return;
         };
         request.overdue.take().into_iter().for_each(Overdue::cancel);
@@ -441,9 +460,9 @@
     }
 
     /// The decision module has nothing better for the client; an overdue attempt may.
-    fn answer_failure(&mut self, inv: InvId, failure: Answer) {
-        if let Some(failure) = self.defer_failure(inv, failure) {
-            self.answer(inv, failure);
+    fn answer_failure(&mut self, invocation_id: InvocationId, failure: Answer) {
+        if let Some(failure) = self.defer_failure(invocation_id, failure) {
+            self.answer(invocation_id, failure);
         }
     }
 
--- a/crates/gateway/src/dispatcher/overdue.rs
+++ b/crates/gateway/src/dispatcher/overdue.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use damsonbeam::interface::{DeliveryNo, Event, InvId, Outcome};
+use damsonbeam::interface::{AttemptNumber, Event, InvocationId, Outcome};
 
 use super::{Dispatcher, InFlightAttempt, PendingRequest, Timer};
 use crate::attempts::Ending;
@@ -21,7 +21,7 @@
 
 /// An attempt that is overdue and still open.
 pub(super) struct Overdue {
-    number: DeliveryNo,
+    number: AttemptNumber,
     attempt: InFlightAttempt,
     until: Duration,
     /// The answer that the client gets where this attempt brings none: the decision module has no other.
@@ -40,9 +40,9 @@
 
 impl Dispatcher {
     /// The time for an attempt is over: the one that the decision module set for it, or its client's.
-    pub(super) fn timed_out(&mut self, inv: InvId, number: DeliveryNo) {
+    pub(super) fn timed_out(&mut self, invocation_id: InvocationId, number: AttemptNumber) {
         let now = self.clock.now();
-        let Some(request) = self.state.requests.get(&inv) else {
+        let Some(request) = self.state.requests.get(&invocation_id) else {
             return;
         };
         let deadline = request.deadline;
@@ -53,20 +53,20 @@
                 .as_ref()
                 .is_some_and(|g| !g.may_cancel())
         {
-            return self.extend_timeout(inv, number, deadline);
+            return self.extend_timeout(invocation_id, number, deadline);
         }
-        let Some(attempt) = self.take_attempt(inv, number) else {
+        let Some(attempt) = self.take_attempt(invocation_id, number) else {
             return;
         };
         if clients_time_is_over || self.attempt_policy.is_none() {
             attempt.cancel_handle.cancel();
-            return self.attempt_ended(inv, number, &attempt, Outcome::TimedOut, vec![]);
+            return self.attempt_ended(invocation_id, number, &attempt, Outcome::TimedOut, vec![]);
         }
-        let event = self.outcome_event(inv, number, &attempt, Outcome::TimedOut, vec![]);
+        let event = self.outcome_event(invocation_id, number, &attempt, Outcome::TimedOut, vec![]);
         self.notify_policy(&attempt, Outcome::TimedOut);
         let again = now.saturating_sub(attempt.sent) * EXTRA_TIME_FACTOR;
         let until = now + again.min((deadline - now) / TIME_LEFT_DIVISOR);
-        if let Some(request) = self.state.requests.get_mut(&inv) {
+        if let Some(request) = self.state.requests.get_mut(&invocation_id) {
             let before = request.overdue.replace(Overdue {
                 number,
                 attempt,
@@ -78,26 +78,35 @@
         self.handle_event(event);
     }
 
-    fn extend_timeout(&mut self, inv: InvId, number: DeliveryNo, until: Duration) {
-        let Some(request) = self.state.requests.get_mut(&inv) else {
+    fn extend_timeout(
+        &mut self,
+        invocation_id: InvocationId,
+        number: AttemptNumber,
+        until: Duration,
+    ) {
+        let Some(request) = self.state.requests.get_mut(&invocation_id) else {
             return;
         };
         if let Some(Some(attempt)) = request.in_flight.get_mut(number.0 as usize) {
             attempt.until = until;
             self.state
                 .timers
-                .insert((until, Timer::AttemptTimeout(inv, number)));
+                .insert((until, Timer::AttemptTimeout(invocation_id, number)));
         }
     }
 
     /// Keeps a failure back where an overdue attempt may still bring an answer; else it comes back, to be told.
-    pub(super) fn defer_failure(&mut self, inv: InvId, failure: Answer) -> Option<Answer> {
+    pub(super) fn defer_failure(
+        &mut self,
+        invocation_id: InvocationId,
+        failure: Answer,
+    ) -> Option<Answer> {
         let now = self.clock.now();
         let stays = self
             .attempt_policy
             .as_ref()
             .is_some_and(|g| !g.may_cancel());
-        let Some(request) = self.state.requests.get_mut(&inv) else {
+        let Some(request) = self.state.requests.get_mut(&invocation_id) else {
             return Some(failure);
         };
         let deadline = request.deadline;
@@ -113,18 +122,18 @@
         overdue.failure = Some(failure);
         self.state
             .timers
-            .insert((overdue.until, Timer::OverdueEnd(inv)));
+            .insert((overdue.until, Timer::OverdueEnd(invocation_id)));
         None
     }
 
     /// The time for an overdue attempt is over too.
-    pub(super) fn overdue_timed_out(&mut self, inv: InvId) {
+    pub(super) fn overdue_timed_out(&mut self, invocation_id: InvocationId) {
         let now = self.clock.now();
         let stays = self
             .attempt_policy
             .as_ref()
             .is_some_and(|g| !g.may_cancel());
-        let Some(request) = self.state.requests.get_mut(&inv) else {
+        let Some(request) = self.state.requests.get_mut(&invocation_id) else {
             return;
         };
         let deadline = request.deadline;
@@ -133,25 +142,27 @@
         };
         if stays && now < deadline {
             overdue.until = deadline;
-            self.state.timers.insert((deadline, Timer::OverdueEnd(inv)));
+            self.state
+                .timers
+                .insert((deadline, Timer::OverdueEnd(invocation_id)));
             return;
         }
         let failure = overdue.failure.take();
-        self.finish_with(inv, failure);
+        self.finish_with(invocation_id, failure);
     }
 
     /// How an attempt ended that was overdue.
     pub(super) fn overdue_done(
         &mut self,
         AttemptEnded {
-            inv,
+            invocation_id,
             number,
             ending,
             response,
             ..
         }: AttemptEnded,
     ) {
-        let Some(request) = self.state.requests.get_mut(&inv) else {
+        let Some(request) = self.state.requests.get_mut(&invocation_id) else {
             return;
         };
         let Some(mut overdue) = request.overdue.take_if(|o| o.number == number) else {
@@ -174,17 +185,17 @@
             (_, None) => known_failure,
         };
         let succeeded = matches!(answer, Some(Answer::Succeeded(_)));
-        self.finish_with(inv, answer);
+        self.finish_with(invocation_id, answer);
         if undecided && succeeded {
             // The decision module still looks for another attempt.
-            self.handle_event(Event::Left { inv });
+            self.handle_event(Event::ClientGone { invocation_id });
         }
     }
 
-    fn finish_with(&mut self, inv: InvId, answer: Option<Answer>) {
+    fn finish_with(&mut self, invocation_id: InvocationId, answer: Option<Answer>) {
         if let Some(answer) = answer {
-            self.answer(inv, answer);
-            self.forget_if_finished(inv);
+            self.answer(invocation_id, answer);
+            self.forget_if_finished(invocation_id);
         }
     }
 }
@@ -192,9 +203,9 @@
 /// A failure by what is known of its request's attempts now.
 fn with_known_attempts(failure: Answer, request: &PendingRequest) -> Answer {
     match failure {
-        Answer::Throttled { after, why, .. } => Answer::Throttled {
+        Answer::Throttled { after, reason, .. } => Answer::Throttled {
             after,
-            why,
+            reason,
             none_executed: request.attempts.none_executed(),
         },
         other => other,
--- a/crates/gateway/src/dispatcher/peer_reports.rs
+++ b/crates/gateway/src/dispatcher/peer_reports.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use damsonbeam::interface::{Event, Others};
+use damsonbeam::interface::{Event, PeersAdmitted};
 
 use super::{Dispatcher, Timer};
 use crate::messages::ToPeers;
@@ -26,16 +26,16 @@
                 peers.try_send(datagram).ok();
             }
         }
-        let at = peer_admissions.reported_until(to, now);
-        let others = admitted.into_iter().map(|admitted| Others {
+        let complete_until = peer_admissions.reported_until(to, now);
+        let others = admitted.into_iter().map(|admitted| PeersAdmitted {
             units: peer_admissions.admitted_by_peers(&admitted.name, now),
             customer: admitted.customer,
             slot: admitted.slot,
-            at,
+            complete_until,
         });
         let others = others.collect();
         let next = now + peer_admissions::REPORT_INTERVAL;
         self.state.timers.insert((next, Timer::PeerReport));
-        self.handle_event(Event::Others(others));
+        self.handle_event(Event::PeersAdmitted(others));
     }
 }
--- a/crates/gateway/src/dispatcher/shutdown.rs
+++ b/crates/gateway/src/dispatcher/shutdown.rs
@@ -1,6 +1,6 @@
 //! The end of the program, as the module's actor takes part in it.
 
-use damsonbeam::interface::{Event, InvId, Why};
+use damsonbeam::interface::{Event, InvocationId, RejectReason};
 
 use super::Dispatcher;
 use crate::messages::{Answer, Unanswered};
@@ -10,11 +10,11 @@
     /// Refuses what waits and has not run: its client has time left to go elsewhere.
     pub(super) fn refuse_unsent(&mut self) -> Unanswered {
         let unanswered = self.unanswered();
-        let (unsent, in_progress): (Vec<InvId>, Vec<InvId>) = unanswered
+        let (unsent, in_progress): (Vec<InvocationId>, Vec<InvocationId>) = unanswered
             .into_iter()
-            .partition(|inv| self.state.requests[inv].attempts.none_executed());
-        for inv in &unsent {
-            self.answer_without_rules(*inv, refusal());
+            .partition(|invocation_id| self.state.requests[invocation_id].attempts.none_executed());
+        for invocation_id in &unsent {
+            self.answer_without_rules(*invocation_id, refusal());
         }
         Unanswered {
             refused: unsent.len(),
@@ -25,33 +25,33 @@
     /// Answers all that is left: refused where it has not run, an error where it may have.
     pub(super) fn answer_all(&mut self) -> Unanswered {
         let counts = self.refuse_unsent();
-        for inv in self.unanswered() {
-            self.answer_without_rules(inv, Answer::Errored);
+        for invocation_id in self.unanswered() {
+            self.answer_without_rules(invocation_id, Answer::Errored);
         }
         counts
     }
 
-    fn unanswered(&self) -> Vec<InvId> {
+    fn unanswered(&self) -> Vec<InvocationId> {
         let waiting = self
             .state
             .requests
             .iter()
             .filter(|(_, request)| request.answer.is_some());
-        waiting.map(|(inv, _)| *inv).collect()
+        waiting.map(|(invocation_id, _)| *invocation_id).collect()
     }
 
     /// Answers a request without the decision module, which hears that it is over.
-    fn answer_without_rules(&mut self, inv: InvId, answer: Answer) {
-        self.answer(inv, answer);
-        self.handle_event(Event::Left { inv });
-        self.forget_if_finished(inv);
+    fn answer_without_rules(&mut self, invocation_id: InvocationId, answer: Answer) {
+        self.answer(invocation_id, answer);
+        self.handle_event(Event::ClientGone { invocation_id });
+        self.forget_if_finished(invocation_id);
     }
 }
 
 fn refusal() -> Answer {
     Answer::Throttled {
         after: Some(ELSEWHERE),
-        why: Why::Line,
+        reason: RejectReason::Line,
         none_executed: true,
     }
 }
--- a/crates/gateway/src/messages.rs
+++ b/crates/gateway/src/messages.rs
@@ -29,12 +29,12 @@
     },
     /// The last byte of a body that was still coming is here; its client waits until then.
     BodyComplete {
-        inv: InvId,
+        invocation_id: InvocationId,
         deadline: Duration,
     },
     /// Part of its body is gone for good: no other delivery can carry it.
     BodyConsumed {
-        inv: InvId,
+        invocation_id: InvocationId,
     },
     Settings(Box<Settings>),
     /// Another process takes this one's place; what it needs goes back.
@@ -46,7 +46,7 @@
     AnswerAll(oneshot::Sender<Unanswered>),
     TakeOver(Box<Carry>),
     ClientGone {
-        inv: InvId,
+        invocation_id: InvocationId,
     },
     AttemptEnded(AttemptEnded),
     CounterTotal {
@@ -76,7 +76,7 @@
     /// When to come back; whether none of its deliveries has run or will.
     Throttled {
         after: Option<Duration>,
-        why: Why,
+        reason: RejectReason,
         none_executed: bool,
     },
     Errored,
@@ -104,8 +104,8 @@
 }
 
 pub struct OutgoingAttempt {
-    pub inv: InvId,
-    pub number: DeliveryNo,
+    pub invocation_id: InvocationId,
+    pub number: AttemptNumber,
     pub permit: SendPermit,
     pub request: Rc<ForwardedRequest>,
     /// How long the gateway will wait.
@@ -118,8 +118,8 @@
 
 /// How a delivery ended; the reply with a succeeded one, or with one that failed and may go to the client.
 pub struct AttemptEnded {
-    pub inv: InvId,
-    pub number: DeliveryNo,
+    pub invocation_id: InvocationId,
+    pub number: AttemptNumber,
     pub ending: Ending,
     pub response: Option<BackendResponse>,
     pub report: Report,
@@ -163,7 +163,7 @@
 /// A list as the module takes it, with where each backend is reached.
 pub struct BackendListUpdate {
     pub form: ListForm,
-    pub entries: Arc<[Entry]>,
+    pub entries: Arc<[BackendEntry]>,
     pub addresses: Vec<SocketAddr>,
     /// By which each backend is told from others that had its address, where the list says.
     pub names: Vec<Arc<str>>,
--- a/crates/gateway/src/platform_protocol.rs
+++ b/crates/gateway/src/platform_protocol.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use damsonbeam::interface::{
-    CustomerId, GatewayId, InvId, Invocation, OpId, PlanId, Repeat, Settings,
+    CustomerId, GatewayId, Invocation, InvocationId, OperationId, PlanId, Repeat, Settings,
 };
 use damsonbeam_admin::Figures;
 use hyper::header::{HeaderMap, HeaderValue, RETRY_AFTER};
@@ -32,7 +32,7 @@
 
 /// How an operation is asked for.
 struct Operation {
-    op: OpId,
+    operation: OperationId,
     repeat: Repeat,
     integration_timeout: Duration,
 }
@@ -41,19 +41,19 @@
 struct DecodingTables {
     operations: HashMap<Arc<str>, Operation>,
     plans: HashMap<Arc<str>, PlanId>,
-    most_units: f64,
+    max_units: f64,
     gateways: u32,
 }
 
 impl DecodingTables {
     fn new(settings: &Settings) -> Self {
-        let operation = |op: &OpId| {
-            let o = &settings.operations[op.0];
+        let operation = |id: &OperationId| {
+            let o = &settings.operations[id.0];
             let (repeat, integration_timeout) = (o.repeat, o.integration_timeout);
             (
                 o.name.clone(),
                 Operation {
-                    op: *op,
+                    operation: *id,
                     repeat,
                     integration_timeout,
                 },
@@ -67,8 +67,8 @@
                 .iter()
                 .map(|p| (settings.plans[p.0].name.clone(), *p))
                 .collect(),
-            most_units: if settings.most_units > 0.0 {
-                settings.most_units
+            max_units: if settings.max_units > 0.0 {
+                settings.max_units
             } else {
                 f64::MAX
             },
@@ -113,7 +113,7 @@
     /// What a request says, if all of it can be used.
     fn read(
         &self,
-        inv: InvId,
+        invocation_id: InvocationId,
         method: &Method,
         uri: &hyper::Uri,
         headers: &HeaderMap,
@@ -163,15 +163,15 @@
             && set
             && named
             && units > 0.0
-            && units <= tables.most_units
+            && units <= tables.max_units
             && time_left <= MAX_WAIT)
         {
             return None;
         }
         let invocation = Invocation {
-            inv,
+            id: invocation_id,
             deadline: Duration::ZERO,
-            op: asked.op,
+            operation: asked.operation,
             plan,
             customer: CustomerId(customer.to_ascii_lowercase().into()),
             units,
@@ -179,7 +179,7 @@
             spread,
             write: false,
             repeat: single_header(headers, "x-repeat") == Some("1"),
-            coming: false,
+            body_pending: false,
         };
         // No client waits longer than its operation's time, whatever it says.
         let (name, time_left) = (name.to_owned(), time_left.min(asked.integration_timeout));
@@ -215,8 +215,12 @@
         )
     }
 
-    fn decode(&self, inv: InvId, head: &Parts) -> Result<DecodedRequest, Rejection> {
-        self.read(inv, &head.method, &head.uri, &head.headers)
+    fn decode(
+        &self,
+        invocation_id: InvocationId,
+        head: &Parts,
+    ) -> Result<DecodedRequest, Rejection> {
+        self.read(invocation_id, &head.method, &head.uri, &head.headers)
             .ok_or_else(|| {
                 log!(warn, "invocation-malformed", "{} {}", head.method, head.uri);
                 rejection(StatusCode::BAD_REQUEST)
--- a/crates/gateway/src/server/start.rs
+++ b/crates/gateway/src/server/start.rs
@@ -138,7 +138,10 @@
 
     /// Starts the exchange with the other gateways, where the configuration says so.
     fn start_peers(&self, config: &Config) -> Result<Option<mpsc::Sender<ToPeers>>, String> {
-        let Some(address) = config.peer_listen.filter(|_| config.settings.limits.tell) else {
+        let Some(address) = config
+            .peer_listen
+            .filter(|_| config.settings.limits.may_message_peers)
+        else {
             return Ok(None);
         };
         let (sender, mailbox) = mpsc::channel(MAILBOX_CAPACITY);
@@ -204,7 +207,7 @@
             peer_admissions,
             state: DispatcherState::default(),
             figures: self.figures.clone(),
-            account: Account::new(settings.cold_for),
+            account: Account::new(settings.warm_up_time),
             reports_figures: config.admin.is_some(),
             carry: None,
         }
@@ -220,7 +223,7 @@
 
 fn other_gateways(config: &Config) -> Vec<GatewayId> {
     let all = (0..config.peers.len() as u32).map(GatewayId);
-    all.filter(|gateway| *gateway != config.settings.me)
+    all.filter(|gateway| *gateway != config.settings.own_id)
         .collect()
 }
 
--- a/crates/proxy/src/backend_pool.rs
+++ b/crates/proxy/src/backend_pool.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use damsonbeam::interface::{Entry, Health, TgtId};
+use damsonbeam::interface::{BackendEntry, BackendId, Health};
 use damsonbeam_control::config::stable_hash;
 use damsonbeam_control::messages::Backend;
 
@@ -47,7 +47,7 @@
     regions: BTreeMap<String, String>,
     backends: Vec<Backend>,
     /// The module's numbers for the backends.
-    ids: HashMap<String, TgtId>,
+    ids: HashMap<String, BackendId>,
     last_id: u32,
     slow_start: SlowStart,
     evacuated_zones: Vec<String>,
@@ -59,7 +59,7 @@
 /// A backend, and what the module is told of it.
 pub struct PooledBackend {
     /// What the module is told.
-    pub entry: Entry,
+    pub entry: BackendEntry,
     /// Where it takes requests.
     pub address: SocketAddr,
     /// Its id in the platform's list.
@@ -95,7 +95,7 @@
         for backend in &self.backends {
             let id = *self.ids.entry(backend.id.clone()).or_insert_with(|| {
                 self.last_id += 1;
-                TgtId(self.last_id)
+                BackendId(self.last_id)
             });
             let warm_up = WarmUp {
                 left: Duration::from_millis(backend.warm_up_left_ms),
@@ -228,8 +228,8 @@
         let is_evacuated = self.evacuated_zones.contains(&backend.zone);
         let is_closed = backend.draining || is_evacuated || !self.slow_start.is_open(id, now);
         let zone = self.regions.keys().position(|zone| *zone == backend.zone);
-        let entry = Entry {
-            tgt: id,
+        let entry = BackendEntry {
+            backend_id: id,
             health: if is_closed {
                 Health::Draining
             } else {
@@ -282,11 +282,11 @@
     }
 
     /// A backend's entry once its turn is used while it warms up.
-    pub fn closed_entry(&self, id: TgtId, now: Duration) -> Option<Entry> {
+    pub fn closed_entry(&self, id: BackendId, now: Duration) -> Option<BackendEntry> {
         let mut backends = self.backends.iter();
         let backend = backends.find(|backend| self.ids.get(&backend.id) == Some(&id))?;
         let subset = self.subset(&backend.service);
-        Some(Entry {
+        Some(BackendEntry {
             health: Health::Draining,
             ..self.pooled(backend, &subset, now).entry
         })
--- a/crates/proxy/src/dispatch/limits.rs
+++ b/crates/proxy/src/dispatch/limits.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use damsonbeam::interface::{Outcome, TgtId};
+use damsonbeam::interface::{BackendId, Outcome};
 use damsonbeam_gateway::dispatcher::{AttemptDecision, AttemptPolicy};
 use damsonbeam_gateway::phase::CurrentPhase;
 
@@ -24,7 +24,7 @@
         self.retry_budget.borrow_mut().spend(&self.service)
     }
 
-    fn before_attempt(&mut self, backend: TgtId, now: Duration) -> AttemptDecision {
+    fn before_attempt(&mut self, backend: BackendId, now: Duration) -> AttemptDecision {
         let mut pool = self.backend_pool.borrow_mut();
         let was_warming = pool.slow_start().is_warming(backend, now);
         let allowed = pool.slow_start().take_turn(backend, now);
@@ -42,7 +42,13 @@
         }
     }
 
-    fn after_attempt(&mut self, backend: TgtId, outcome: Outcome, took: Duration, now: Duration) {
+    fn after_attempt(
+        &mut self,
+        backend: BackendId,
+        outcome: Outcome,
+        took: Duration,
+        now: Duration,
+    ) {
         if let Some(load_reports) = self.backend_pool.borrow_mut().load_reports() {
             load_reports.attempt_ended(backend, outcome, took, now);
         }
--- a/crates/proxy/src/dispatch/mod.rs
+++ b/crates/proxy/src/dispatch/mod.rs
@@ -64,7 +64,7 @@
     homes: HomeRegions,
     events: mpsc::Sender<ToDispatcher>,
     settings: Settings,
-    operations: HashMap<OperationKey, OpId>,
+    operations: HashMap<OperationKey, OperationId>,
 }
 
 impl DispatcherHandle {
@@ -75,7 +75,7 @@
     }
 
     /// The operation of a route; a new one is added to the settings.
-    fn operation(&mut self, route: &Route) -> OpId {
+    fn operation(&mut self, route: &Route) -> OperationId {
         let key = OperationKey {
             kind: route.kind,
             latency_target_ms: route.latency_target_ms,
@@ -84,7 +84,7 @@
         if let Some(known) = self.operations.get(&key) {
             return *known;
         }
-        let new = OpId(self.settings.operations.len());
+        let new = OperationId(self.settings.operations.len());
         self.settings.operations.push(operation_settings(route));
         self.settings.in_force.operations.push(new);
         self.operations.insert(key, new);
@@ -98,7 +98,7 @@
     /// The module.
     pub events: mpsc::Sender<ToDispatcher>,
     /// The operation.
-    pub operation: OpId,
+    pub operation: OperationId,
 }
 
 /// What all module instances share.
@@ -306,7 +306,7 @@
                 rate: if is_limited { tenant.rate_per_s } else { 0.0 },
                 burst: if is_limited { burst } else { 0.0 },
                 price: 1.0,
-                over_cost: 1.0,
+                excess_cost: 1.0,
                 ..Plan::default()
             };
             match self.plans.iter_mut().find(|known| known.name == plan.name) {
--- a/crates/proxy/src/dispatch/module_settings.rs
+++ b/crates/proxy/src/dispatch/module_settings.rs
@@ -49,12 +49,12 @@
         plans: (0..plans.len()).map(PlanId).collect(),
     };
     let limits = Limits {
-        cancel: true,
-        parallel: false,
-        probes: false,
-        tell: false,
+        may_cancel: true,
+        may_hedge: false,
+        may_probe: false,
+        may_message_peers: false,
         retry_after: Some(MAX_RETRY_AFTER),
-        tries: max_attempts,
+        max_attempts,
         open: usize::MAX,
         connect_timeout,
     };
@@ -68,10 +68,10 @@
             timeout: COUNT_TIMEOUT,
             price: 0.0,
         }),
-        most_units: 1.0,
-        cold_share: 1.0,
+        max_units: 1.0,
+        warm_up_share: 1.0,
         overload_factor: 1.0,
-        overload_for: Duration::from_secs(1),
+        overload_span: Duration::from_secs(1),
         ..Settings::default()
     }
 }
--- a/crates/proxy/src/load_reports.rs
+++ b/crates/proxy/src/load_reports.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-use damsonbeam::interface::{Outcome, TgtId};
+use damsonbeam::interface::{BackendId, Outcome};
 use damsonbeam_control::address::Ip;
 use damsonbeam_control::messages::Backend;
 use damsonbeam_load_reports::gossip::Gossip;
@@ -27,7 +27,7 @@
 #[derive(Debug)]
 pub struct LoadReports {
     gossip: Gossip<Ip>,
-    keys: HashMap<TgtId, BackendKey>,
+    keys: HashMap<BackendId, BackendKey>,
     services: BTreeMap<String, ServiceBackends>,
     factors: BTreeMap<String, WeightFactors>,
     last_update: Duration,
@@ -52,7 +52,7 @@
     }
 
     /// Takes a new list of backends: what is known of others is forgotten.
-    pub fn update_backends(&mut self, backends: &[Backend], ids: &HashMap<String, TgtId>) {
+    pub fn update_backends(&mut self, backends: &[Backend], ids: &HashMap<String, BackendId>) {
         self.keys = ids
             .iter()
             .map(|(id, number)| (*number, backend_key(id)))
@@ -73,7 +73,7 @@
     }
 
     /// An attempt was sent to a backend.
-    pub fn attempt_sent(&mut self, backend: TgtId, now: Duration) {
+    pub fn attempt_sent(&mut self, backend: BackendId, now: Duration) {
         if let Some(key) = self.keys.get(&backend) {
             self.gossip.observer.begin(*key, now);
         }
@@ -82,7 +82,7 @@
     /// An attempt at a backend has ended.
     pub fn attempt_ended(
         &mut self,
-        backend: TgtId,
+        backend: BackendId,
         outcome: Outcome,
         took: Duration,
         now: Duration,
--- a/crates/proxy/src/process/proxy.rs
+++ b/crates/proxy/src/process/proxy.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use damsonbeam::interface::TgtId;
+use damsonbeam::interface::BackendId;
 use damsonbeam_admin::Figures;
 use damsonbeam_control::config::ConnectionLimits;
 use damsonbeam_control::link::{LinkError, listen};
@@ -68,7 +68,7 @@
     pub(super) time_offset_s: Rc<Cell<f64>>,
     pub(super) region_position: RegionPosition,
     /// Backends that warm up, and whether a request might go to each at the last tick.
-    pub(super) open_backends: HashMap<TgtId, bool>,
+    pub(super) open_backends: HashMap<BackendId, bool>,
     /// The task that accepts clients, once the proxy serves and until it stops accepting.
     pub(super) accepting: Option<JoinHandle<()>>,
     pub(super) shutdown: Option<(Instant, Shutdown)>,
@@ -217,7 +217,7 @@
     /// Backends that warm up and whose turn has come, or that are warm, are offered to the modules.
     fn offer_warming_backends(&mut self) {
         let now = self.clock.now();
-        let states: Vec<(TgtId, bool)> = self
+        let states: Vec<(BackendId, bool)> = self
             .backend_pool
             .borrow_mut()
             .slow_start()
--- a/crates/proxy/src/protocol.rs
+++ b/crates/proxy/src/protocol.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use damsonbeam::interface::{CustomerId, GatewayId, InvId, Invocation, Why};
+use damsonbeam::interface::{CustomerId, GatewayId, Invocation, InvocationId, RejectReason};
 use damsonbeam_control::config::{Route, Tenant};
 use damsonbeam_gateway::attempts::{Refusal, Repeatable, Verdict};
 use damsonbeam_gateway::backends::{BackendProtocol, keep_end_to_end};
@@ -130,7 +130,7 @@
     /// Hands a request that was read and routed to its module.
     fn decode_routed(
         &self,
-        inv: InvId,
+        invocation_id: InvocationId,
         head: &RequestHead,
         headers: &HeaderMap,
         route: &Rc<Route>,
@@ -153,8 +153,8 @@
         };
         let DispatchTarget { events, operation } = target;
         let invocation = Invocation {
-            inv,
-            op: operation,
+            id: invocation_id,
+            operation,
             plan: tenant.map_or(NO_PLAN, |tenant| dispatchers.plan(&tenant.name)),
             customer: CustomerId(tenant_name.into()),
             units: 1.0,
@@ -211,7 +211,11 @@
         None
     }
 
-    fn decode(&self, inv: InvId, head: &Parts) -> Result<DecodedRequest, Rejection> {
+    fn decode(
+        &self,
+        invocation_id: InvocationId,
+        head: &Parts,
+    ) -> Result<DecodedRequest, Rejection> {
         let table = self.routing_table.borrow().clone();
         let request = RequestHead::read(head).ok_or_else(|| rejection(StatusCode::BAD_REQUEST))?;
         if table.is_empty() {
@@ -223,7 +227,7 @@
         let RouteMatch { route, tenant } = table
             .find(request.host, head.uri.path(), key)
             .map_err(|error| self.reject_unrouted(request.id, error))?;
-        self.decode_routed(inv, &request, &head.headers, route, tenant)
+        self.decode_routed(invocation_id, &request, &head.headers, route, tenant)
     }
 
     fn request_accepted(&self, request: &ForwardedRequest, context: &mut RequestContext) {
@@ -251,9 +255,11 @@
         } = context.map(|context| *context).unwrap_or_default();
         match &answer {
             Answer::Throttled {
-                why, none_executed, ..
+                reason,
+                none_executed,
+                ..
             } => {
-                self.note_unserved(name, Cause::rejected(*why), !none_executed, &subject);
+                self.note_unserved(name, Cause::rejected(*reason), !none_executed, &subject);
             }
             Answer::Errored => self.note_unserved(name, Cause::Failed, true, &subject),
             Answer::Succeeded(_) => {}
@@ -284,7 +290,7 @@
         }
         Answer::Throttled {
             after,
-            why: Why::Quota | Why::Full,
+            reason: RejectReason::Quota | RejectReason::Full,
             none_executed: true,
         } => retry_later(StatusCode::TOO_MANY_REQUESTS, after),
         Answer::Throttled {
@@ -294,7 +300,7 @@
         } => retry_later(StatusCode::SERVICE_UNAVAILABLE, after),
         Answer::Throttled {
             none_executed: false,
-            why: Why::Time,
+            reason: RejectReason::Time,
             ..
         } => plain(StatusCode::GATEWAY_TIMEOUT),
         Answer::Throttled { .. } | Answer::Errored => plain(StatusCode::BAD_GATEWAY),
--- a/crates/proxy/src/slow_start.rs
+++ b/crates/proxy/src/slow_start.rs
@@ -7,7 +7,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use damsonbeam::interface::TgtId;
+use damsonbeam::interface::BackendId;
 
 use crate::quota::ASSUMED_PROXIES;
 
@@ -36,7 +36,7 @@
 #[derive(Debug)]
 pub struct SlowStart {
     proxies: f64,
-    warming: HashMap<TgtId, WarmingBackend>,
+    warming: HashMap<BackendId, WarmingBackend>,
 }
 
 impl Default for SlowStart {
@@ -60,7 +60,7 @@
     }
 
     /// A backend is reported to warm up; `random`, from 0 to 1, sets its first turn.
-    pub fn learn(&mut self, backend: TgtId, warm_up: WarmUp, random: f64, now: Duration) {
+    pub fn learn(&mut self, backend: BackendId, warm_up: WarmUp, random: f64, now: Duration) {
         let WarmUp { left, rate_per_s } = warm_up;
         if left.is_zero() {
             return;
@@ -82,20 +82,20 @@
     }
 
     /// Whether a backend warms up.
-    pub fn is_warming(&self, backend: TgtId, now: Duration) -> bool {
+    pub fn is_warming(&self, backend: BackendId, now: Duration) -> bool {
         self.warming
             .get(&backend)
             .is_some_and(|backend| now < backend.until)
     }
 
     /// Whether a request may go to a backend now.
-    pub fn is_open(&self, backend: TgtId, now: Duration) -> bool {
+    pub fn is_open(&self, backend: BackendId, now: Duration) -> bool {
         let backend = self.warming.get(&backend);
         backend.is_none_or(|backend| now >= backend.until || now >= backend.next_turn)
     }
 
     /// A request is to go to a backend; returns whether it may.
-    pub fn take_turn(&mut self, backend: TgtId, now: Duration) -> bool {
+    pub fn take_turn(&mut self, backend: BackendId, now: Duration) -> bool {
         if !self.is_warming(backend, now) {
             return true;
         }
@@ -111,7 +111,7 @@
     }
 
     /// The backends that warm up, and whether a request may go to each.
-    pub fn all(&self, now: Duration) -> impl Iterator<Item = (TgtId, bool)> + '_ {
+    pub fn all(&self, now: Duration) -> impl Iterator<Item = (BackendId, bool)> + '_ {
         let backends = self.warming.keys();
         backends.map(move |backend| (*backend, self.is_open(*backend, now)))
     }
--- a/crates/proxy/src/unserved.rs
+++ b/crates/proxy/src/unserved.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use damsonbeam::interface::Why;
+use damsonbeam::interface::RejectReason;
 use damsonbeam_control::config::{Route, Tenant};
 use damsonbeam_control::messages::BackendListVersion;
 
@@ -34,8 +34,8 @@
 
 impl Cause {
     /// A rejection by the decision module.
-    pub fn rejected(why: Why) -> Self {
-        Cause::Rejected(why.name())
+    pub fn rejected(reason: RejectReason) -> Self {
+        Cause::Rejected(reason.name())
     }
 
     /// The name in logs and reports.
@@ -44,7 +44,7 @@
             Cause::NoRoute => "no_route",
             Cause::NoKey => "no_key",
             Cause::Nowhere => "nowhere",
-            Cause::Rejected(why) => why,
+            Cause::Rejected(reason) => reason,
             Cause::Failed => "failed",
         }
     }
--- a/crates/proxy/tests/load_reports.rs
+++ b/crates/proxy/tests/load_reports.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use damsonbeam::interface::{Outcome, TgtId};
+use damsonbeam::interface::{BackendId, Outcome};
 use damsonbeam_control::address::Endpoint;
 use damsonbeam_control::messages::Backend;
 use damsonbeam_proxy::load_reports::LoadReports;
@@ -27,7 +27,8 @@
 fn what_others_see_of_a_backend_takes_weight_and_a_new_list_forgets_it() {
     let at = Duration::from_millis;
     let backends: Vec<Backend> = (0..4).map(backend).collect();
-    let ids: HashMap<String, TgtId> = (0..4).map(|n| (format!("i-{n}"), TgtId(n))).collect();
+    let ids: HashMap<String, BackendId> =
+        (0..4).map(|n| (format!("i-{n}"), BackendId(n))).collect();
     let load_reports = |incarnation| {
         let mut reports = LoadReports::new(incarnation, incarnation);
         reports.update_backends(&backends, &ids);
@@ -37,9 +38,9 @@
     first.set_partners(vec![[10, 1, 0, 2]], vec![]);
     // The first proxy waits for one backend and is answered by the others.
     for n in 0..4 {
-        (0..3).for_each(|_| first.attempt_sent(TgtId(n), at(0)));
+        (0..3).for_each(|_| first.attempt_sent(BackendId(n), at(0)));
         if n > 0 {
-            (0..3).for_each(|_| first.attempt_ended(TgtId(n), Outcome::Ok, at(50), at(50)));
+            (0..3).for_each(|_| first.attempt_ended(BackendId(n), Outcome::Ok, at(50), at(50)));
         }
     }
     for t in (1000..3000).step_by(100) {
--- a/crates/proxy/tests/quota.rs
+++ b/crates/proxy/tests/quota.rs
@@ -111,7 +111,7 @@
             rate,
             burst: rate,
             price: 1.0,
-            over_cost: 1.0,
+            excess_cost: 1.0,
             ..Plan::default()
         };
         let (latency_objective, integration_timeout) = (at(500), at(3000));
@@ -122,7 +122,7 @@
             ..Operation::default()
         };
         let limits = Limits {
-            tries: 1,
+            max_attempts: 1,
             open: usize::MAX,
             ..Limits::default()
         };
@@ -132,7 +132,7 @@
             operations: vec![op],
             plans: vec![plan],
             in_force: InForce {
-                operations: vec![OpId(0)],
+                operations: vec![OperationId(0)],
                 plans: vec![PlanId(0)],
             },
             limits,
@@ -140,22 +140,22 @@
                 timeout: at(100),
                 price: 0.0,
             }),
-            most_units: 1.0,
-            cold_share: 1.0,
+            max_units: 1.0,
+            warm_up_share: 1.0,
             overload_factor: 1.0,
-            overload_for: at(1000),
+            overload_span: at(1000),
             ..Settings::default()
         };
         let mut rules = Rules::new(seed, set, at(0));
-        let entry = |n| Entry {
-            tgt: TgtId(n),
+        let entry = |n| BackendEntry {
+            backend_id: BackendId(n),
             health: Health::Up,
             weight: 1.0,
-            ..Entry::default()
+            ..BackendEntry::default()
         };
         rules.on(
             at(0),
-            Event::Targets {
+            Event::BackendList {
                 form: ListForm::Replace,
                 entries: (0..9).map(entry).collect(),
             },
@@ -170,9 +170,13 @@
     /// Whether a request of the tenant's is let in.
     fn ask(&mut self, now: Duration) -> bool {
         self.next += 1;
-        let (inv, deadline, customer) = (InvId(self.next), now + at(3000), CustomerId("x".into()));
+        let (invocation_id, deadline, customer) = (
+            InvocationId(self.next),
+            now + at(3000),
+            CustomerId("x".into()),
+        );
         let told = Invocation {
-            inv,
+            id: invocation_id,
             deadline,
             customer,
             units: 1.0,
@@ -183,10 +187,10 @@
         while let Some(event) = events.pop_front() {
             for action in self.rules.on(now, event) {
                 match action {
-                    Action::Count { name, add, .. } => {
+                    Action::AddToCounter { name, add, .. } => {
                         let (total, outcome, latency) =
                             (self.quota.add(&name, add, now), Outcome::Ok, at(0));
-                        events.push_back(Event::Total {
+                        events.push_back(Event::CounterTotal {
                             name,
                             outcome,
                             total,
@@ -194,12 +198,16 @@
                             latency,
                         });
                     }
-                    Action::Deliver { inv, tgt, .. } => {
+                    Action::SendAttempt {
+                        invocation_id,
+                        backend_id,
+                        ..
+                    } => {
                         passed = true;
-                        events.push_back(Event::Outcome {
-                            inv,
-                            no: DeliveryNo(0),
-                            tgt,
+                        events.push_back(Event::AttemptEnded {
+                            invocation_id,
+                            attempt: AttemptNumber(0),
+                            backend_id,
                             outcome: Outcome::Ok,
                             latency: at(1),
                             closed: true,
--- a/crates/proxy/tests/slow_start.rs
+++ b/crates/proxy/tests/slow_start.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use damsonbeam::interface::TgtId;
+use damsonbeam::interface::BackendId;
 use damsonbeam_proxy::slow_start::{SlowStart, WarmUp};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -10,7 +10,7 @@
 /// So many proxies that send whenever they may; the most that a backend gets in any second of its warm-up.
 fn most_in_a_second(proxies: u32, rate_per_s: f64) -> usize {
     let mut random = SmallRng::seed_from_u64(7);
-    let backend = TgtId(1);
+    let backend = BackendId(1);
     let warm_up = WarmUp {
         left: Duration::from_secs(3),
         rate_per_s,
--- a/crates/proxy/tests/unserved.rs
+++ b/crates/proxy/tests/unserved.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use damsonbeam::interface::Why;
+use damsonbeam::interface::RejectReason;
 use damsonbeam_control::config::{Route, RouteKind, Tenant};
 use damsonbeam_control::messages::BackendListVersion;
 use damsonbeam_proxy::unserved::{Cause, Subject, UnservedLog};
@@ -46,9 +46,15 @@
         revision: 9,
     });
     let at = Duration::from_secs;
-    let quota = Cause::rejected(Why::Quota);
+    let quota = Cause::rejected(RejectReason::Quota);
     log.add("q\"1", quota, false, &subject(), at(1));
-    log.add("q2", Cause::rejected(Why::Line), false, &subject(), at(2));
+    log.add(
+        "q2",
+        Cause::rejected(RejectReason::Line),
+        false,
+        &subject(),
+        at(2),
+    );
     log.add("q3", Cause::Failed, true, &subject(), at(2));
     log.add("q4", Cause::NoRoute, false, &Subject::default(), at(2));
     assert_eq!(
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -3,12 +3,13 @@
 //! A front end creates one [`Rules`] for each gateway and hands it every [`interface::Event`] in
 //! order of arrival; what comes back is the list of [`interface::Action`]s to carry out at once.
 //! The library does no I/O, reads no clock and keeps no global state.
+//!
+//! `interface` is what both sides say to each other; `rules` holds every decision, a file for each concern;
+//! `settings_update` keeps the meaning of positions while settings change.
+#![warn(missing_docs)]
 
-mod histogram;
 pub mod interface;
 pub mod rules;
-mod state;
-mod succession;
-mod types;
+mod settings_update;
 
 pub use rules::Rules;
--- a/tests/rules/common.rs
+++ b/tests/rules/common.rs
@@ -13,7 +13,7 @@
 pub fn settings(repeat: Repeat) -> Settings {
     Settings {
         gateways: 3,
-        me: GatewayId(0),
+        own_id: GatewayId(0),
         zone: 0,
         tick: ms(2),
         operations: vec![Operation {
@@ -26,7 +26,7 @@
             streamed: false,
         }],
         in_force: InForce {
-            operations: vec![OpId(0)],
+            operations: vec![OperationId(0)],
             plans: vec![PlanId(0)],
         },
         plans: vec![Plan {
@@ -34,16 +34,16 @@
             rate: 2.0,
             burst: 8.0,
             price: 1.0,
-            over_cost: 1.0,
+            excess_cost: 1.0,
             ..Plan::default()
         }],
         limits: Limits {
-            cancel: true,
-            parallel: false,
-            probes: false,
-            tell: false,
+            may_cancel: true,
+            may_hedge: false,
+            may_probe: false,
+            may_message_peers: false,
             retry_after: Some(ms(500)),
-            tries: 4,
+            max_attempts: 4,
             open: 1000,
             connect_timeout: ms(250),
         },
@@ -51,34 +51,34 @@
             timeout: ms(30),
             price: 0.01,
         }),
-        settles: false,
-        most_units: 4.0,
+        true_units_follow: false,
+        max_units: 4.0,
         meter_period: Duration::ZERO,
         discovery: Discovery::Pushed,
         ask_within: ms(10_000),
         drain_grace: ms(250),
         answer_slack: ms(8),
-        cold_share: 0.2,
-        cold_for: ms(10_000),
+        warm_up_share: 0.2,
+        warm_up_time: ms(10_000),
         overload_factor: 2.0,
-        overload_for: ms(1000),
+        overload_span: ms(1000),
     }
 }
 
-pub fn entry(tgt: u32, health: Health, since: Duration) -> Entry {
-    Entry {
-        tgt: TgtId(tgt),
+pub fn entry(backend_id: u32, health: Health, since: Duration) -> BackendEntry {
+    BackendEntry {
+        backend_id: BackendId(backend_id),
         health,
         since,
-        zone: tgt % 2,
-        cell: tgt % 4,
+        zone: backend_id % 2,
+        cell: backend_id % 4,
         weight: 1.0,
-        ..Entry::default()
+        ..BackendEntry::default()
     }
 }
 
-pub fn list(form: ListForm, entries: Vec<Entry>) -> Event {
-    Event::Targets {
+pub fn list(form: ListForm, entries: Vec<BackendEntry>) -> Event {
+    Event::BackendList {
         form,
         entries: Arc::from(entries),
     }
@@ -94,11 +94,11 @@
     rules
 }
 
-pub fn arrival(inv: u64, now: Duration, customer: &str, units: f64) -> Event {
+pub fn arrival(invocation_id: u64, now: Duration, customer: &str, units: f64) -> Event {
     Event::Invocation(Invocation {
-        inv: InvId(inv),
+        id: InvocationId(invocation_id),
         deadline: now + ms(3000),
-        op: OpId(0),
+        operation: OperationId(0),
         plan: PlanId(0),
         customer: CustomerId(customer.into()),
         units,
@@ -106,12 +106,12 @@
         spread: 3,
         write: false,
         repeat: false,
-        coming: false,
+        body_pending: false,
     })
 }
 
 pub fn total(name: &str, total: f64) -> Event {
-    Event::Total {
+    Event::CounterTotal {
         name: name.into(),
         outcome: Outcome::Ok,
         total,
@@ -121,7 +121,7 @@
 }
 
 pub fn no_total(name: &str, outcome: Outcome) -> Event {
-    Event::Total {
+    Event::CounterTotal {
         name: name.into(),
         outcome,
         total: 0.0,
@@ -130,11 +130,17 @@
     }
 }
 
-pub fn outcome(inv: u64, no: u32, tgt: TgtId, outcome: Outcome, closed: bool) -> Event {
-    Event::Outcome {
-        inv: InvId(inv),
-        no: DeliveryNo(no),
-        tgt,
+pub fn outcome(
+    invocation_id: u64,
+    attempt: u32,
+    backend_id: BackendId,
+    outcome: Outcome,
+    closed: bool,
+) -> Event {
+    Event::AttemptEnded {
+        invocation_id: InvocationId(invocation_id),
+        attempt: AttemptNumber(attempt),
+        backend_id,
         outcome,
         latency: ms(100),
         closed,
@@ -146,15 +152,15 @@
 
 pub fn counts(actions: &[Action]) -> Vec<(String, f64)> {
     let named = actions.iter().filter_map(|a| match a {
-        Action::Count { name, add, .. } => Some((name.clone(), *add)),
+        Action::AddToCounter { name, add, .. } => Some((name.clone(), *add)),
         _ => None,
     });
     named.collect()
 }
 
-pub fn delivered(actions: &[Action]) -> Vec<TgtId> {
+pub fn delivered(actions: &[Action]) -> Vec<BackendId> {
     let sent = actions.iter().filter_map(|a| match a {
-        Action::Deliver { tgt, .. } => Some(*tgt),
+        Action::SendAttempt { backend_id, .. } => Some(*backend_id),
         _ => None,
     });
     sent.collect()
@@ -165,5 +171,5 @@
 }
 
 pub fn errored(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Error { .. }))
+    actions.iter().any(|a| matches!(a, Action::Fail { .. }))
 }
--- a/tests/rules/decisions.rs
+++ b/tests/rules/decisions.rs
@@ -130,18 +130,32 @@
             asked += u32::from(n >= 100);
             let more = rules.on(now, no_total(&name, Outcome::TimedOut));
             sent += delivered(&more).len() as f64;
-            for (inv, tgt) in more.iter().filter_map(|a| match a {
-                Action::Deliver { inv, tgt, .. } => Some((inv.0, *tgt)),
+            for (invocation_id, backend_id) in more.iter().filter_map(|a| match a {
+                Action::SendAttempt {
+                    invocation_id,
+                    backend_id,
+                    ..
+                } => Some((invocation_id.0, *backend_id)),
                 _ => None,
             }) {
-                rules.on(now, outcome(inv, 0, tgt, Outcome::Ok, true));
+                rules.on(
+                    now,
+                    outcome(invocation_id, 0, backend_id, Outcome::Ok, true),
+                );
             }
         }
-        for (inv, tgt) in actions.iter().filter_map(|a| match a {
-            Action::Deliver { inv, tgt, .. } => Some((inv.0, *tgt)),
+        for (invocation_id, backend_id) in actions.iter().filter_map(|a| match a {
+            Action::SendAttempt {
+                invocation_id,
+                backend_id,
+                ..
+            } => Some((invocation_id.0, *backend_id)),
             _ => None,
         }) {
-            rules.on(now, outcome(inv, 0, tgt, Outcome::Ok, true));
+            rules.on(
+                now,
+                outcome(invocation_id, 0, backend_id, Outcome::Ok, true),
+            );
         }
     }
     assert!(asked < 40, "{asked} of the last 100 asked a dead counter");
@@ -232,7 +246,7 @@
     );
     for n in 0..3 {
         let sent = delivered(&rules.on(ms(1200 + n), arrival(n, ms(1200 + n), "a", 1.0)));
-        assert!(sent.iter().all(|t| *t == TgtId(1)));
+        assert!(sent.iter().all(|t| *t == BackendId(1)));
     }
     rules.on(ms(1300), list(ListForm::Replace, vec![]));
     assert!(delivered(&rules.on(ms(1301), arrival(9, ms(1301), "a", 1.0))).is_empty());
@@ -263,11 +277,11 @@
         set.plans.clear();
         set.gateways = 100;
         let mut rules = damsonbeam::Rules::new(seed, set, ms(1000));
-        let mut up: Vec<Entry> = (0..20)
+        let mut up: Vec<BackendEntry> = (0..20)
             .map(|t| entry(t, Health::Up, Duration::ZERO))
             .collect();
         up.iter_mut()
-            .for_each(|e| e.weight = f64::from(1 + e.tgt.0 % 2));
+            .for_each(|e| e.weight = f64::from(1 + e.backend_id.0 % 2));
         rules.on(ms(1000), list(ListForm::Restored, up));
         delivered(&rules.on(ms(1000), arrival(1, ms(1000), "a", 1.0)))[0]
     };
@@ -295,8 +309,8 @@
         let times = (0..40).map(|n| ms(10_000 + 100 * n));
         let sent = times.enumerate().map(|(n, now)| {
             let actions = rules.on(now, arrival(n as u64, now, "a", 1.0));
-            for (inv, _) in delivered(&actions).iter().zip(n..) {
-                rules.on(now, outcome(n as u64, 0, *inv, Outcome::Ok, true));
+            for (invocation_id, _) in delivered(&actions).iter().zip(n..) {
+                rules.on(now, outcome(n as u64, 0, *invocation_id, Outcome::Ok, true));
             }
             delivered(&actions).len()
         });
@@ -326,7 +340,7 @@
     ];
     let mut rules = ready(set, 1);
     rules.on(ms(1000), arrival(1, ms(1000), "a", 1.0));
-    rules.on(ms(1010), outcome(1, 0, TgtId(0), Outcome::Full, false));
+    rules.on(ms(1010), outcome(1, 0, BackendId(0), Outcome::Full, false));
     let Event::Invocation(other) = arrival(2, ms(1011), "b", 1.0) else {
         unreachable!()
     };
@@ -334,7 +348,7 @@
         plan: PlanId(1),
         ..other
     };
-    rules.on(ms(1012), outcome(1, 1, TgtId(0), Outcome::Full, false));
+    rules.on(ms(1012), outcome(1, 1, BackendId(0), Outcome::Full, false));
     assert_eq!(
         delivered(&rules.on(ms(1012), Event::Invocation(other))).len(),
         1
@@ -347,7 +361,7 @@
     let mut rules = ready(settings(Repeat::Idempotent), 0);
     let armed = |actions: &[Action]| {
         actions.iter().find_map(|a| match a {
-            Action::Timer { after, .. } => Some(*after),
+            Action::SetTimer { after, .. } => Some(*after),
             _ => None,
         })
     };
@@ -371,22 +385,22 @@
     set.plans.clear();
     let mut rules = ready(set, 1);
     rules.on(ms(1000), arrival(1, ms(1000), "a", 1.0));
-    let Event::Outcome {
-        inv,
-        no,
-        tgt,
+    let Event::AttemptEnded {
+        invocation_id,
+        attempt,
+        backend_id,
         outcome,
         report,
         ..
-    } = outcome(1, 0, TgtId(0), Outcome::Ok, true)
+    } = outcome(1, 0, BackendId(0), Outcome::Ok, true)
     else {
         unreachable!()
     };
     let (latency, used, true_units) = (ms(2500), None, None);
-    let slow = Event::Outcome {
-        inv,
-        no,
-        tgt,
+    let slow = Event::AttemptEnded {
+        invocation_id,
+        attempt,
+        backend_id,
         outcome,
         latency,
         closed: true,
@@ -406,9 +420,9 @@
 fn a_cap_on_deliveries_out_holds_over_all_gateways() {
     let mut set = settings(Repeat::Idempotent);
     set.plans[0] = Plan {
-        max_out: 2.0,
+        max_in_flight: 2.0,
         price: 1.0,
-        over_cost: 0.6,
+        excess_cost: 0.6,
         ..Plan::default()
     };
     let mut rules = ready(set, 4);
@@ -445,14 +459,14 @@
 fn a_backend_silent_to_one_operation_is_passed_over_and_the_others_are_told() {
     let mut set = settings(Repeat::NonIdempotent);
     set.operations.push(set.operations[0].clone());
-    (set.plans, set.limits.tell, set.gateways) = (vec![], true, 2);
+    (set.plans, set.limits.may_message_peers, set.gateways) = (vec![], true, 2);
     let (mut one, mut two) = (ready(set.clone(), 2), ready(set, 2));
     let mut told = 0;
     for n in 0..8 {
         let now = ms(1000 + 20 * n);
         let sent = delivered(&one.on(now, arrival(n, now, "a", 1.0)));
-        if sent.contains(&TgtId(1)) {
-            one.on(now + ms(10), outcome(n, 0, TgtId(1), Outcome::Ok, true));
+        if sent.contains(&BackendId(1)) {
+            one.on(now + ms(10), outcome(n, 0, BackendId(1), Outcome::Ok, true));
         }
     }
     for action in one.on(
@@ -461,12 +475,12 @@
             token: "due".into(),
         },
     ) {
-        if let Action::Tell { to: None, bytes } = action {
+        if let Action::SendToPeers { to: None, bytes } = action {
             told += 1;
             (0..6).for_each(|_| {
                 drop(two.on(
                     ms(2200),
-                    Event::Peer {
+                    Event::PeerMessage {
                         from: GatewayId(0),
                         bytes: bytes.clone(),
                     },
@@ -475,22 +489,22 @@
         }
     }
     assert!(told > 0, "the others are told");
-    let mut met = |op| {
+    let mut met = |operation| {
         let chosen = (0..20).map(|n| {
-            let (id, now) = (100 * (op as u64 + 1) + n, ms(2300 + 10 * n));
+            let (id, now) = (100 * (operation as u64 + 1) + n, ms(2300 + 10 * n));
             let Event::Invocation(new) = arrival(id, now, "a", 1.0) else {
                 unreachable!()
             };
             let sent = delivered(&two.on(
                 now,
                 Event::Invocation(Invocation {
-                    op: OpId(op),
+                    operation: OperationId(operation),
                     ..new
                 }),
             ));
             sent.iter()
                 .for_each(|t| drop(two.on(now + ms(5), outcome(id, 0, *t, Outcome::Ok, true))));
-            sent.iter().filter(|t| **t == TgtId(0)).count()
+            sent.iter().filter(|t| **t == BackendId(0)).count()
         });
         chosen.sum::<usize>()
     };
@@ -503,7 +517,10 @@
     let mut set = settings(Repeat::Idempotent);
     set.discovery = Discovery::Subscribed;
     let mut rules = damsonbeam::Rules::new(1, set, ms(0));
-    let watch = |a: &[Action]| a.iter().any(|a| matches!(a, Action::Watch { on: true }));
+    let watch = |a: &[Action]| {
+        a.iter()
+            .any(|a| matches!(a, Action::WatchBackendList { on: true }))
+    };
     assert!(watch(&rules.on(ms(0), list(ListForm::Restored, vec![]))));
     assert!(!watch(
         &rules.on(ms(10), list(ListForm::Unavailable, vec![]))
@@ -521,11 +538,11 @@
     let mut set = settings(Repeat::NonIdempotent);
     set.plans.clear();
     let mut rules = ready(set, 2);
-    let tgt = delivered(&rules.on(ms(1000), arrival(1, ms(1000), "a", 1.0)))[0];
+    let backend_id = delivered(&rules.on(ms(1000), arrival(1, ms(1000), "a", 1.0)))[0];
     let begun = Event::FirstByte {
-        inv: InvId(1),
-        no: DeliveryNo(0),
-        tgt,
+        invocation_id: InvocationId(1),
+        attempt: AttemptNumber(0),
+        backend_id,
         latency: ms(50),
     };
     rules.on(ms(1050), begun);
@@ -541,7 +558,7 @@
 #[test]
 fn settled_units_are_put_right_on_the_counter() {
     let mut set = settings(Repeat::Idempotent);
-    set.settles = true;
+    set.true_units_follow = true;
     let mut rules = ready(set, 2);
     let mut counter = Default::default();
     let sent = ask(
@@ -550,10 +567,10 @@
         ms(1000),
         arrival(1, ms(1000), "a", 2.0),
     );
-    let Event::Outcome {
-        inv,
-        no,
-        tgt,
+    let Event::AttemptEnded {
+        invocation_id,
+        attempt,
+        backend_id,
         outcome,
         latency,
         report,
@@ -562,10 +579,10 @@
     else {
         unreachable!()
     };
-    let end = Event::Outcome {
-        inv,
-        no,
-        tgt,
+    let end = Event::AttemptEnded {
+        invocation_id,
+        attempt,
+        backend_id,
         outcome,
         latency,
         closed: true,
@@ -600,13 +617,13 @@
         rules.on(ms(1000), arrival(n, ms(1000), "a", 1.0));
     }
     for done in 1..3 {
-        rules.on(ms(1100), outcome(done, 0, TgtId(0), Outcome::Ok, true));
+        rules.on(ms(1100), outcome(done, 0, BackendId(0), Outcome::Ok, true));
     }
     let Event::Invocation(first) = arrival(50, ms(1100), "a", 1.0) else {
         unreachable!()
     };
     let spent = Invocation {
-        inv: InvId(51),
+        id: InvocationId(51),
         repeat: true,
         deadline: ms(1100 + 2050),
         ..first
@@ -629,25 +646,25 @@
         let mut set = settings(Repeat::Idempotent);
         (set.counter, set.meter_period) = (None, ms(4000));
         let mut rules = ready(set, 2);
-        let tgt = delivered(&rules.on(ms(21_000), arrival(1, ms(21_000), "a", 1.0)))[0];
-        let Event::Outcome {
-            inv,
-            no,
+        let backend_id = delivered(&rules.on(ms(21_000), arrival(1, ms(21_000), "a", 1.0)))[0];
+        let Event::AttemptEnded {
+            invocation_id,
+            attempt,
             outcome,
             latency,
             report,
             ..
-        } = outcome(1, 0, tgt, Outcome::Ok, true)
+        } = outcome(1, 0, backend_id, Outcome::Ok, true)
         else {
             unreachable!()
         };
         let true_units = None;
         rules.on(
             ms(21_100),
-            Event::Outcome {
-                inv,
-                no,
-                tgt,
+            Event::AttemptEnded {
+                invocation_id,
+                attempt,
+                backend_id,
                 outcome,
                 latency,
                 closed: true,
@@ -679,8 +696,8 @@
         let now = ms(60_000 + 500 * n);
         let actions = ask(&mut rules, &mut counter, now, arrival(n, now, "a", 1.0));
         admitted += u32::from(!throttled(&actions));
-        for tgt in delivered(&actions) {
-            rules.on(now, outcome(n, 0, tgt, Outcome::Ok, true));
+        for backend_id in delivered(&actions) {
+            rules.on(now, outcome(n, 0, backend_id, Outcome::Ok, true));
         }
     }
     assert!(
@@ -704,7 +721,7 @@
         let now = ms(1000 + 10 * n);
         let sent = rules.on(now, arrival(n, now, &n.to_string(), 1.0));
         timers.extend(sent.iter().filter_map(|a| match a {
-            Action::Timer { after, .. } => Some(now + *after),
+            Action::SetTimer { after, .. } => Some(now + *after),
             _ => None,
         }));
         rules.on(
@@ -721,7 +738,7 @@
         },
     );
     assert!(
-        !after.iter().any(|a| matches!(a, Action::Timer { .. })),
+        !after.iter().any(|a| matches!(a, Action::SetTimer { .. })),
         "{after:?}"
     );
 }
@@ -738,12 +755,13 @@
     let mut asked = [0, 0];
     for n in 0..400u64 {
         let now = ms(1000 + 40 * n);
-        let op = OpId((n % 2) as usize);
+        let operation = OperationId((n % 2) as usize);
         let Event::Invocation(new) = arrival(n, now, &format!("c{n}"), 1.0) else {
             unreachable!()
         };
-        for (name, _) in counts(&rules.on(now, Event::Invocation(Invocation { op, ..new }))) {
-            asked[op.0] += 1;
+        for (name, _) in counts(&rules.on(now, Event::Invocation(Invocation { operation, ..new })))
+        {
+            asked[operation.0] += 1;
             let fails = if n % 8 < 2 {
                 Outcome::TimedOut
             } else {
@@ -752,7 +770,7 @@
             let (outcome, latency) = (fails, ms(25));
             rules.on(
                 now + latency,
-                Event::Total {
+                Event::CounterTotal {
                     name,
                     outcome,
                     total: 1.0,
@@ -773,28 +791,28 @@
     set.plans[0] = Plan {
         rate: 50.0,
         burst: 50.0,
-        max_out: 1.0,
+        max_in_flight: 1.0,
         price: 1.0,
-        over_cost: 1.0,
+        excess_cost: 1.0,
         ..Plan::default()
     };
     let mut rules = ready(set, 4);
-    let Event::Outcome {
-        inv,
-        no,
+    let Event::AttemptEnded {
+        invocation_id,
+        attempt,
         outcome,
         report,
         ..
-    } = outcome(1, 0, TgtId(0), Outcome::Ok, true)
+    } = outcome(1, 0, BackendId(0), Outcome::Ok, true)
     else {
         unreachable!()
     };
-    let tgt = delivered(&rules.on(ms(1000), arrival(1, ms(1000), "a", 1.0)))[0];
+    let backend_id = delivered(&rules.on(ms(1000), arrival(1, ms(1000), "a", 1.0)))[0];
     let (latency, used, true_units) = (ms(300), None, None);
-    let slow = Event::Outcome {
-        inv,
-        no,
-        tgt,
+    let slow = Event::AttemptEnded {
+        invocation_id,
+        attempt,
+        backend_id,
         outcome,
         latency,
         closed: true,
@@ -874,11 +892,14 @@
     let Event::Invocation(mut told) = arrival(2, ms(1200), "a", 1.0) else {
         unreachable!()
     };
-    told.op = set.in_force.operations[1];
+    told.operation = set.in_force.operations[1];
     let first = delivered(&rules.on(ms(1200), Event::Invocation(told)))[0];
     let ended = rules.on(ms(1300), outcome(2, 0, first, Outcome::Failed, false));
     assert!(
-        delivered(&ended).is_empty() && ended.contains(&Action::Error { inv: InvId(2) }),
+        delivered(&ended).is_empty()
+            && ended.contains(&Action::Fail {
+                invocation_id: InvocationId(2)
+            }),
         "it may have run"
     );
 }
@@ -916,7 +937,7 @@
         .map(|t| entry(t, Health::Up, Duration::ZERO))
         .collect();
     younger.on(ms(5002), list(ListForm::Restored, up));
-    younger.on(ms(5003), Event::Carried(carry));
+    younger.on(ms(5003), Event::TakeOver(carry));
     assert_eq!(
         delivered(&younger.on(ms(5004), arrival(3, ms(5004), "a", 2.0))).len(),
         1,
@@ -945,7 +966,7 @@
     let Event::Invocation(mut told) = arrival(1, ms(1000), "a", 1.0) else {
         unreachable!()
     };
-    (told.coming, told.deadline) = (true, ms(600_000));
+    (told.body_pending, told.deadline) = (true, ms(600_000));
     let first = delivered(&rules.on(ms(1000), Event::Invocation(told)))[0];
     for at in (1100..9000).step_by(100) {
         let actions = rules.on(
@@ -961,12 +982,17 @@
     }
     rules.on(
         ms(9000),
-        Event::Whole {
-            inv: InvId(1),
+        Event::BodyComplete {
+            invocation_id: InvocationId(1),
             deadline: ms(12_000),
         },
     );
-    rules.on(ms(9000), Event::Spent { inv: InvId(1) });
+    rules.on(
+        ms(9000),
+        Event::BodyConsumed {
+            invocation_id: InvocationId(1),
+        },
+    );
     let ended = rules.on(
         ms(9100),
         outcome(1, 0, first, Outcome::ConnectFailed, false),
@@ -979,12 +1005,12 @@
     let Event::Invocation(mut told) = arrival(2, ms(20_000), "a", 1.0) else {
         unreachable!()
     };
-    (told.coming, told.deadline) = (true, ms(600_000));
+    (told.body_pending, told.deadline) = (true, ms(600_000));
     rules.on(ms(20_000), Event::Invocation(told));
     rules.on(
         ms(25_000),
-        Event::Whole {
-            inv: InvId(2),
+        Event::BodyComplete {
+            invocation_id: InvocationId(2),
             deadline: ms(28_000),
         },
     );
--- a/tests/rules/fleet.rs
+++ b/tests/rules/fleet.rs
@@ -14,19 +14,19 @@
     from: Duration,
     to: Duration,
     every: Duration,
-) -> BTreeMap<TgtId, f64> {
+) -> BTreeMap<BackendId, f64> {
     let n = gateways.len() as u32;
     let mut got = BTreeMap::new();
-    let mut out: BTreeMap<(Duration, usize, u64), TgtId> = BTreeMap::new();
+    let mut out: BTreeMap<(Duration, usize, u64), BackendId> = BTreeMap::new();
     let mut now = from;
     let mut next = (from.as_millis() as u64) << 20;
     while now < to {
         for (g, rules) in gateways.iter_mut().enumerate() {
             let due: Vec<_> = out.range((from, g, 0)..).map(|(k, t)| (*k, *t)).collect();
-            for (key, tgt) in due.into_iter().filter(|(k, _)| k.1 == g && k.0 <= now) {
+            for (key, backend_id) in due.into_iter().filter(|(k, _)| k.1 == g && k.0 <= now) {
                 out.remove(&key);
-                let mut ended = outcome(key.2, 0, tgt, Outcome::Ok, true);
-                if let Event::Outcome { latency, .. } = &mut ended {
+                let mut ended = outcome(key.2, 0, backend_id, Outcome::Ok, true);
+                if let Event::AttemptEnded { latency, .. } = &mut ended {
                     *latency = ms(50);
                 }
                 rules.on(now, ended);
@@ -34,9 +34,9 @@
             let turn = (now - from).as_millis() as u64 / 10 % (every.as_millis() as u64 / 10);
             if turn == g as u64 % (every.as_millis() as u64 / 10) {
                 next += 1;
-                for tgt in delivered(&rules.on(now, arrival(next, now, "a", 1.0))) {
-                    *got.entry(tgt).or_insert(0.0) += 1.0;
-                    out.insert((now + ms(50), g, next), tgt);
+                for backend_id in delivered(&rules.on(now, arrival(next, now, "a", 1.0))) {
+                    *got.entry(backend_id).or_insert(0.0) += 1.0;
+                    out.insert((now + ms(50), g, next), backend_id);
                 }
             }
         }
@@ -52,7 +52,7 @@
 fn many_gateways_give_cold_backends_their_part_and_no_more() {
     let mut set = settings(Repeat::Idempotent);
     set.plans[0] = Plan::default();
-    (set.gateways, set.most_units) = (100, 8.0);
+    (set.gateways, set.max_units) = (100, 8.0);
     let begin = ms(100_000);
     let mut gateways: Vec<_> = (0..100)
         .map(|seed| Rules::new(seed, set.clone(), begin))
@@ -69,9 +69,9 @@
         g.on(begin + ms(5000), list(ListForm::Update, all[8..].to_vec()));
     }
     let got = drive(&mut gateways, begin + ms(5000), begin + ms(8000), ms(200));
-    let usual = (0..8).map(|t| got[&TgtId(t)]).sum::<f64>() / 8.0;
+    let usual = (0..8).map(|t| got[&BackendId(t)]).sum::<f64>() / 8.0;
     // Its capacity rises from a fifth to under a half in these 3 s; the rule allows twice of it.
-    let cold = got.get(&TgtId(8)).copied().unwrap_or_default() / usual;
+    let cold = got.get(&BackendId(8)).copied().unwrap_or_default() / usual;
     assert!(cold > 0.05, "{cold} of a warm one's work");
     assert!(cold < 0.5, "{cold} of a warm one's work");
 }
@@ -81,7 +81,7 @@
 #[test]
 fn a_first_invocation_is_not_taken_for_a_surge() {
     let mut set = settings(Repeat::Idempotent);
-    (set.gateways, set.counter, set.most_units) = (100, None, 8.0);
+    (set.gateways, set.counter, set.max_units) = (100, None, 8.0);
     set.plans[0].burst = 16.0;
     let mut rules = ready(set, 4);
     // Late in a slot of 8 s, so that nearly the whole window is guessed.
@@ -112,7 +112,7 @@
     let asks = |actions: Vec<Action>| {
         actions
             .iter()
-            .any(|a| matches!(a, Action::Watch { on: true }))
+            .any(|a| matches!(a, Action::WatchBackendList { on: true }))
     };
     let mut calls = [0; 90];
     for seed in 0..100 {
@@ -156,12 +156,12 @@
 fn what_fails_or_is_long_is_told_and_passed_over_by_the_others() {
     let share = |heard: &[Vec<u8>]| {
         let mut set = settings(Repeat::Idempotent);
-        (set.plans[0], set.limits.tell) = (Plan::default(), true);
+        (set.plans[0], set.limits.may_message_peers) = (Plan::default(), true);
         let mut rules = ready(set, 4);
         for bytes in heard {
             rules.on(
                 ms(1000),
-                Event::Peer {
+                Event::PeerMessage {
                     from: GatewayId(1),
                     bytes: bytes.clone(),
                 },
@@ -171,21 +171,21 @@
             let now = ms(1000 + n);
             let to = delivered(&rules.on(now, arrival(*n, now, "a", 1.0)))[0];
             rules.on(now, outcome(*n, 0, to, Outcome::Ok, true));
-            to == TgtId(0)
+            to == BackendId(0)
         });
         sent.count()
     };
-    let told = |ends: &dyn Fn(&mut Rules, TgtId) -> Vec<Action>| {
+    let told = |ends: &dyn Fn(&mut Rules, BackendId) -> Vec<Action>| {
         let mut set = settings(Repeat::Idempotent);
-        (set.plans[0], set.limits.tell) = (Plan::default(), true);
+        (set.plans[0], set.limits.may_message_peers) = (Plan::default(), true);
         let mut rules = ready(set, 1);
         for n in 0..20 {
             rules.on(ms(1000), arrival(n, ms(1000), "a", 1.0));
-            rules.on(ms(1010), outcome(n, 0, TgtId(0), Outcome::Ok, true));
+            rules.on(ms(1010), outcome(n, 0, BackendId(0), Outcome::Ok, true));
         }
         let to = delivered(&rules.on(ms(1100), arrival(30, ms(1100), "a", 1.0)))[0];
         let tells = ends(&mut rules, to).into_iter().filter_map(|a| match a {
-            Action::Tell { to: None, bytes } => Some(bytes),
+            Action::SendToPeers { to: None, bytes } => Some(bytes),
             _ => None,
         });
         tells.collect::<Vec<_>>()
@@ -244,14 +244,14 @@
                         .flat_map(|(_, a)| a);
                     told.filter(|a| a.name == name).map(|a| a.units).sum()
                 };
-                let others = all[me].iter().map(|a| Others {
+                let others = all[me].iter().map(|a| PeersAdmitted {
                     customer: a.customer.clone(),
                     slot: a.slot,
                     units: of(&a.name),
-                    at: Some(now),
+                    complete_until: Some(now),
                 });
                 let others = others.collect();
-                g.on(now, Event::Others(others));
+                g.on(now, Event::PeersAdmitted(others));
             }
         }
         if step % 3 != 0 {
@@ -267,9 +267,9 @@
         for (name, _) in counts(&actions) {
             actions.extend(g.on(now + ms(1), no_total(&name, Outcome::TimedOut)));
         }
-        for tgt in delivered(&actions) {
+        for backend_id in delivered(&actions) {
             admitted += 1.0;
-            g.on(now + ms(2), outcome(n, 0, tgt, Outcome::Ok, true));
+            g.on(now + ms(2), outcome(n, 0, backend_id, Outcome::Ok, true));
         }
     }
     let quota = 10.0 * 60.0 + 20.0;
--- a/tests/rules/model.rs
+++ b/tests/rules/model.rs
@@ -39,8 +39,8 @@
         _ => Repeat::NonIdempotent,
     };
     let mut set = settings(repeat);
-    set.limits.parallel = bit(4);
-    set.limits.cancel = bit(5);
+    set.limits.may_hedge = bit(4);
+    set.limits.may_cancel = bit(5);
     if bit(6) {
         set.counter = None;
     }
@@ -49,7 +49,7 @@
     set.plans = vec![Plan {
         rate: if bit(9) { 40.0 } else { 0.0 },
         burst: 60.0,
-        max_out: open,
+        max_in_flight: open,
         price: 1.0,
         ceiling_rate: ceiling,
         ceiling_burst: 2.0 * ceiling,
@@ -59,7 +59,7 @@
 }
 
 struct Sent {
-    tgt: TgtId,
+    backend_id: BackendId,
     at: Duration,
     ends: Duration,
     out: bool,
@@ -73,7 +73,7 @@
     sent: Vec<Sent>,
     /// What held when it came: its effect, and the fewest tries since.
     repeat: Repeat,
-    tries: u32,
+    max_attempts: u32,
     /// Whether the process that has yielded holds it.
     elder: bool,
 }
@@ -84,24 +84,24 @@
     rules: Rules,
     /// The process before, which has yielded and still ends what it holds.
     elder: Option<Rules>,
-    open: BTreeMap<InvId, Open>,
-    over: BTreeSet<InvId>,
-    list: BTreeMap<TgtId, (Health, Duration, Duration)>,
+    open: BTreeMap<InvocationId, Open>,
+    over: BTreeSet<InvocationId>,
+    list: BTreeMap<BackendId, (Health, Duration, Duration)>,
     counter: BTreeMap<String, f64>,
     calls: Vec<(bool, String, f64)>,
     timers: BTreeSet<Duration>,
     ceiling: (f64, Duration),
     /// Units sent: when, where, to a backend how warm, and how many were warm then.
-    flow: Vec<(Duration, TgtId, f64, f64, f64)>,
+    flow: Vec<(Duration, BackendId, f64, f64, f64)>,
 }
 
 impl World {
     fn warmth(&self, since: Duration) -> f64 {
-        let age = (self.now - since).as_secs_f64() / self.set.cold_for.as_secs_f64();
+        let age = (self.now - since).as_secs_f64() / self.set.warm_up_time.as_secs_f64();
         if since.is_zero() || age >= 1.0 {
             1.0
         } else {
-            self.set.cold_share + (1.0 - self.set.cold_share) * age
+            self.set.warm_up_share + (1.0 - self.set.warm_up_share) * age
         }
     }
 
@@ -142,21 +142,21 @@
             .map(|(t, l)| entry(t.0, l.0, l.1))
             .collect();
         self.give(list(ListForm::Restored, now));
-        self.give(Event::Carried(carry));
+        self.give(Event::TakeOver(carry));
     }
 
     /// Other settings: another effect, fewer or more tries, another quota.
     fn settle(&mut self, x: u64) {
         let mut new = set(x);
-        new.limits.tries = 1 + (x / 8 % 4) as u32;
-        (new.limits.parallel, new.limits.cancel) =
-            (self.set.limits.parallel, self.set.limits.cancel);
+        new.limits.max_attempts = 1 + (x / 8 % 4) as u32;
+        (new.limits.may_hedge, new.limits.may_cancel) =
+            (self.set.limits.may_hedge, self.set.limits.may_cancel);
         new.plans = self.set.plans[..1].to_vec();
         new.plans[0].rate *= [0.5, 1.0, 2.0][(x % 3) as usize];
         self.set = self.set.follow(new);
         self.open
             .values_mut()
-            .for_each(|o| o.tries = o.tries.min(self.set.limits.tries));
+            .for_each(|o| o.max_attempts = o.max_attempts.min(self.set.limits.max_attempts));
         for elder in [false, true] {
             self.give_to(elder, Event::Settings(Box::new(self.set.clone())));
         }
@@ -164,11 +164,18 @@
 
     fn check(&mut self, action: Action, elder: bool) {
         match action {
-            Action::Timer { after, .. } => drop(self.timers.insert(self.now + after)),
-            Action::Count { name, add, .. } => self.calls.push((elder, name, add)),
-            Action::Deliver { inv, tgt, timeout } => self.sent(inv, tgt, timeout),
-            Action::Throttle { inv, .. } => {
-                let open = self.open.remove(&inv).expect("rule 1: one final answer");
+            Action::SetTimer { after, .. } => drop(self.timers.insert(self.now + after)),
+            Action::AddToCounter { name, add, .. } => self.calls.push((elder, name, add)),
+            Action::SendAttempt {
+                invocation_id,
+                backend_id,
+                timeout,
+            } => self.sent(invocation_id, backend_id, timeout),
+            Action::Throttle { invocation_id, .. } => {
+                let open = self
+                    .open
+                    .remove(&invocation_id)
+                    .expect("rule 1: one final answer");
                 assert_eq!(open.elder, elder, "rule 1: another process's to answer");
                 let harmless = open.sent.iter().all(|s| s.idle);
                 let allowed = match open.repeat {
@@ -177,20 +184,27 @@
                     Repeat::NonIdempotent => harmless,
                 };
                 assert!(allowed, "rule 2: throttled what may have run");
-                self.over.insert(inv);
+                self.over.insert(invocation_id);
             }
-            Action::Error { inv } => {
-                self.open.remove(&inv).expect("rule 1: one final answer");
-                self.over.insert(inv);
+            Action::Fail { invocation_id } => {
+                self.open
+                    .remove(&invocation_id)
+                    .expect("rule 1: one final answer");
+                self.over.insert(invocation_id);
             }
-            Action::Cancel { .. } => assert!(self.set.limits.cancel),
+            Action::CancelAttempt { .. } => assert!(self.set.limits.may_cancel),
             _ => {}
         }
     }
 
-    fn sent(&mut self, inv: InvId, tgt: TgtId, timeout: Option<Duration>) {
+    fn sent(
+        &mut self,
+        invocation_id: InvocationId,
+        backend_id: BackendId,
+        timeout: Option<Duration>,
+    ) {
         let now = self.now;
-        let (health, since, told) = self.list[&tgt];
+        let (health, since, told) = self.list[&backend_id];
         assert!(
             health == Health::Up || now <= told + self.set.drain_grace,
             "rule 3"
@@ -204,17 +218,17 @@
             .max(1);
         let open = self
             .open
-            .get_mut(&inv)
+            .get_mut(&invocation_id)
             .expect("rule 1: nothing after the final answer");
         assert!(
             now <= open.deadline,
             "rule 1: nothing after the client's time"
         );
-        assert!(open.sent.len() < open.tries as usize);
-        if !self.set.limits.parallel {
+        assert!(open.sent.len() < open.max_attempts as usize);
+        if !self.set.limits.may_hedge {
             assert!(open.sent.iter().all(|s| !s.out), "two deliveries out");
         }
-        let (zone, cell) = (tgt.0 % 2, tgt.0 % 4);
+        let (zone, cell) = (backend_id.0 % 2, backend_id.0 % 4);
         for s in open.sent.iter().filter(|s| !s.idle) {
             match open.repeat {
                 Repeat::Idempotent => {}
@@ -223,8 +237,8 @@
                     assert!(now <= s.at + window, "rule 2: past the remembered time");
                     let same = match group {
                         Group::All => true,
-                        Group::Zone => s.tgt.0 % 2 == zone,
-                        Group::Cell => s.tgt.0 % 4 == cell,
+                        Group::Zone => s.backend_id.0 % 2 == zone,
+                        Group::Cell => s.backend_id.0 % 4 == cell,
                     };
                     assert!(same, "rule 2: outside the group");
                 }
@@ -244,18 +258,18 @@
             .deadline
             .min(timeout.map_or(open.deadline, |t| now + t));
         open.sent.push(Sent {
-            tgt,
+            backend_id,
             at: now,
             ends,
             out: true,
             idle: false,
         });
         if warm < 1.0 {
-            let span = self.set.overload_for;
+            let span = self.set.overload_span;
             let before: f64 = self
                 .flow
                 .iter()
-                .filter(|f| f.1 == tgt && f.0 >= since && f.0 + span > now)
+                .filter(|f| f.1 == backend_id && f.0 >= since && f.0 + span > now)
                 .map(|f| f.2)
                 .sum();
             let recent = self
@@ -269,14 +283,15 @@
                 "rule 4: {before} + {units} over {budget}"
             );
         }
-        self.flow.push((now, tgt, units, warm, warm_count as f64));
+        self.flow
+            .push((now, backend_id, units, warm, warm_count as f64));
     }
 
     /// Lets time pass up to `until`, with the time-outs and timers that fall due.
     fn pass(&mut self, until: Duration) {
         while self.now < until {
             self.now += ms(2);
-            let due: Vec<(InvId, usize)> = self
+            let due: Vec<(InvocationId, usize)> = self
                 .open
                 .iter()
                 .flat_map(|(id, o)| {
@@ -311,18 +326,21 @@
         }
     }
 
-    fn end(&mut self, id: InvId, n: usize, how: Outcome) {
+    fn end(&mut self, id: InvocationId, n: usize, how: Outcome) {
         let Some(open) = self.open.get_mut(&id) else {
             return;
         };
         let s = &mut open.sent[n];
         (s.out, s.idle) = (false, how.never_ran());
-        let (tgt, elder) = (s.tgt, open.elder);
+        let (backend_id, elder) = (s.backend_id, open.elder);
         if how == Outcome::Ok {
             self.open.remove(&id);
             self.over.insert(id);
         }
-        self.give_to(elder, outcome(id.0, n as u32, tgt, how, how == Outcome::Ok));
+        self.give_to(
+            elder,
+            outcome(id.0, n as u32, backend_id, how, how == Outcome::Ok),
+        );
     }
 }
 
@@ -342,22 +360,25 @@
         ceiling: (8.0, ms(1000)),
         flow: Vec::new(),
     };
-    let all: Vec<Entry> = (0..6)
+    let all: Vec<BackendEntry> = (0..6)
         .map(|t| entry(t, Health::Up, Duration::ZERO))
         .collect();
     w.list = all
         .iter()
-        .map(|e| (e.tgt, (Health::Up, Duration::ZERO, w.now)))
+        .map(|e| (e.backend_id, (Health::Up, Duration::ZERO, w.now)))
         .collect();
     w.give(list(ListForm::Restored, all.clone()));
     for (n, (kind, x)) in day.steps.into_iter().enumerate() {
         let x = u64::from(x);
         match kind % 16 {
             0..=6 => {
-                let (id, units) = (InvId(n as u64), (1 + x % 4) as f64);
+                let (id, units) = (InvocationId(n as u64), (1 + x % 4) as f64);
                 let now = w.now;
-                let op = w.set.in_force.operations[0];
-                let (repeat, tries) = (w.set.operations[op.0].repeat, w.set.limits.tries);
+                let operation = w.set.in_force.operations[0];
+                let (repeat, max_attempts) = (
+                    w.set.operations[operation.0].repeat,
+                    w.set.limits.max_attempts,
+                );
                 let (deadline, sent) = (now + ms(3000), Vec::new());
                 w.open.insert(
                     id,
@@ -366,18 +387,18 @@
                         units,
                         sent,
                         repeat,
-                        tries,
+                        max_attempts,
                         elder: false,
                     },
                 );
                 let Event::Invocation(mut told) = arrival(id.0, now, "a", units) else {
                     unreachable!()
                 };
-                told.op = op;
+                told.operation = operation;
                 w.give(Event::Invocation(told));
             }
             7..=10 => {
-                let outs: Vec<(InvId, usize)> = w
+                let outs: Vec<(InvocationId, usize)> = w
                     .open
                     .iter()
                     .filter_map(|(id, o)| o.sent.iter().position(|s| s.out).map(|n| (*id, n)))
@@ -413,18 +434,18 @@
             }
             13 => {
                 w.pass(w.now + ms(2));
-                let (tgt, now) = (TgtId((x % 6) as u32), w.now);
+                let (backend_id, now) = (BackendId((x % 6) as u32), w.now);
                 let (health, since) = [
                     (Health::Draining, Duration::ZERO),
                     (Health::Gone, Duration::ZERO),
                     (Health::Up, now),
                     (Health::Up, Duration::ZERO),
                 ][(x / 8) as usize % 4];
-                w.list.insert(tgt, (health, since, now));
+                w.list.insert(backend_id, (health, since, now));
                 for elder in [false, true] {
                     w.give_to(
                         elder,
-                        list(ListForm::Update, vec![entry(tgt.0, health, since)]),
+                        list(ListForm::Update, vec![entry(backend_id.0, health, since)]),
                     );
                 }
             }
