--- a/crates/gateway/src/clients/invocation.rs
+++ b/crates/gateway/src/clients/invocation.rs
@@ -1,5 +1,6 @@
 //! A request becomes an invocation, the module's answer becomes a response.
 
+use std::cell::Cell;
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
@@ -66,94 +67,71 @@
     ) -> Result<ClientResponse, Rejection> {
         let (head, body) = request.into_parts();
         let invocation_id = InvocationId(self.next.replace(self.next.get() + 1));
-        let DecodedRequest {
-            mut invocation,
-            repeatable,
-            name,
-            mut context,
-            time_left,
-            headers,
-            dispatcher,
-        } = self.protocol.decode(invocation_id, &head)?;
+        let mut decoded = self.protocol.decode(invocation_id, &head)?;
         let body = self
-            .body(
-                connection,
-                &head.method,
-                body,
-                invocation.id,
-                time_left,
-                &dispatcher,
-            )
+            .receive_body(connection, &head.method, body, &decoded)
             .await
             .map_err(rejection)?;
-        invocation.body_pending = body.streamed().is_some();
+        let streamed = body.streamed().cloned();
+        decoded.invocation.body_pending = streamed.is_some();
         // Its client's time runs from its last byte.
         let received = self.clock.now();
-        invocation.deadline = received
-            + if invocation.body_pending {
-                UPLOAD_TIMEOUT
-            } else {
-                time_left
-            };
-        // Two of a name would share one effect, and each would get the other's answer.
-        if !self.open.borrow_mut().insert(name.clone()) {
-            log!(warn, "invocation-twice", "{name}");
-            return Err(rejection(StatusCode::CONFLICT));
-        }
-        self.figures.current.inc();
-        let mut open_invocation = OpenInvocation {
-            invocation_id: invocation.id,
-            name,
-            clients: self,
-            dispatcher: dispatcher.clone(),
-            answered: false,
+        let wait = if streamed.is_some() {
+            UPLOAD_TIMEOUT
+        } else {
+            decoded.time_left
         };
+        decoded.invocation.deadline = received + wait;
+        let name = std::mem::take(&mut decoded.name);
+        let open_invocation = self.open_invocation(&decoded, name)?;
         connection.has_sent_request.set(true);
         connection.enter(ConnectionState::AwaitingResponse, Duration::ZERO);
-        let streamed = body.streamed().cloned();
         let forwarded = Rc::new(ForwardedRequest {
             method: head.method,
             uri: head.uri,
-            headers,
+            headers: std::mem::take(&mut decoded.headers),
             body,
         });
-        self.protocol.request_accepted(&forwarded, &mut context);
-        let (answer, answered) = oneshot::channel();
-        if dispatcher
-            .send(ToDispatcher::Invocation {
-                invocation,
-                time_left,
-                repeatable,
-                request: forwarded,
-                answer,
-            })
-            .await
-            .is_err()
-        {
-            open_invocation.answered = true;
-            return Err(rejection(StatusCode::SERVICE_UNAVAILABLE));
-        }
-        let answer = answered.await.unwrap_or(Answer::Errored);
-        open_invocation.answered = true;
-        self.figures
-            .answer_seconds
-            .observe(self.clock.now().saturating_sub(received).as_secs_f64());
-        if let Some(streamed) = streamed.filter(|c| !c.is_complete()) {
+        self.protocol
+            .request_accepted(&forwarded, &mut decoded.context);
+        let context = decoded.context.take();
+        let answer = open_invocation.ask(decoded, forwarded).await?;
+        let took = self.clock.now().saturating_sub(received);
+        self.figures.answer_seconds.observe(took.as_secs_f64());
+        if let Some(streamed) = streamed.filter(|body| !body.is_complete()) {
             connection.unread.set(true);
             tokio::task::spawn_local(async move { streamed.drain().await });
         }
         Ok(self.protocol.encode(&open_invocation.name, context, answer))
     }
 
+    /// Two of a name would share one effect, and each would get the other's answer: only one may be open.
+    fn open_invocation(
+        &self,
+        decoded: &DecodedRequest,
+        name: String,
+    ) -> Result<OpenInvocation<'_>, Rejection> {
+        if !self.open.borrow_mut().insert(name.clone()) {
+            log!(warn, "invocation-twice", "{name}");
+            return Err(rejection(StatusCode::CONFLICT));
+        }
+        self.figures.current.inc();
+        Ok(OpenInvocation {
+            invocation_id: decoded.invocation.id,
+            name,
+            clients: self,
+            dispatcher: decoded.dispatcher.clone(),
+            answered: Cell::new(false),
+        })
+    }
+
     /// A request's body: whole where it is small, else its start and what still comes.
-    async fn body(
+    async fn receive_body(
         &self,
         connection: &ClientConnection,
         method: &Method,
         mut body: Incoming,
-        invocation_id: InvocationId,
-        time_left: Duration,
-        dispatcher: &mpsc::Sender<ToDispatcher>,
+        decoded: &DecodedRequest,
     ) -> Result<RequestBody, StatusCode> {
         if body.is_end_stream() {
             return Ok(RequestBody::Buffered(bytes::Bytes::new()));
@@ -162,67 +140,100 @@
             return Err(StatusCode::BAD_REQUEST);
         }
         let length = body.size_hint().exact();
-        if length.is_some_and(|n| n > LARGE as u64) {
+        if length.is_some_and(|length| length > LARGE as u64) {
             return Err(StatusCode::PAYLOAD_TOO_LARGE);
         }
-        let room = length.map_or(BODY, |n| BODY.min(n as usize));
-        let Some(room) = self.bodies.reserve(room) else {
-            log!(warn, "bodies-full", "no room for a body of {room} bytes");
+        let buffered = length.map_or(BODY, |length| BODY.min(length as usize));
+        let Some(reservation) = self.bodies.reserve(buffered) else {
+            log!(
+                warn,
+                "bodies-full",
+                "no room for a body of {buffered} bytes"
+            );
             return Err(StatusCode::SERVICE_UNAVAILABLE);
         };
         connection.enter(ConnectionState::ReadingBody, self.clock.now());
         connection.started.set(self.clock.now());
         connection.received.set(0);
-        let (first, whole) = bodies::read_start(&mut body, None)
+        let (beginning, is_whole) = bodies::read_start(&mut body, None)
             .await
             .map_err(|_| StatusCode::BAD_REQUEST)?;
-        let first = room.keep(first);
-        if whole {
-            return Ok(RequestBody::Buffered(first));
+        let beginning = reservation.keep(beginning);
+        if is_whole {
+            return Ok(RequestBody::Buffered(beginning));
         }
-        let (dispatcher, clock) = (dispatcher.clone(), self.clock);
-        let whole = move || {
-            let invocation = ToDispatcher::BodyComplete {
+        let on_complete = Box::new(self.report_completion(decoded));
+        let streamed = StreamedBody::new(beginning, body, length, on_complete);
+        Ok(RequestBody::Streamed(streamed))
+    }
+
+    /// Tells the dispatcher that a body's last byte has come.
+    fn report_completion(&self, decoded: &DecodedRequest) -> impl FnOnce() + use<> {
+        let invocation_id = decoded.invocation.id;
+        let dispatcher = decoded.dispatcher.clone();
+        let (clock, time_left) = (self.clock, decoded.time_left);
+        move || {
+            let message = ToDispatcher::BodyComplete {
                 invocation_id,
                 deadline: clock.now() + time_left,
             };
-            if let Err(mpsc::error::TrySendError::Full(invocation)) =
-                dispatcher.try_send(invocation)
-            {
-                tokio::task::spawn_local(async move { dispatcher.send(invocation).await.ok() });
-            }
-        };
-        Ok(RequestBody::Streamed(StreamedBody::new(
-            first,
-            body,
-            length,
-            Box::new(whole),
-        )))
+            send_without_waiting(&dispatcher, message);
+        }
+    }
+}
+
+/// Sends a message now, or from a task of its own where there is no room.
+fn send_without_waiting(dispatcher: &mpsc::Sender<ToDispatcher>, message: ToDispatcher) {
+    if let Err(mpsc::error::TrySendError::Full(message)) = dispatcher.try_send(message) {
+        let dispatcher = dispatcher.clone();
+        tokio::task::spawn_local(async move { dispatcher.send(message).await.ok() });
     }
 }
 
-/// An invocation that the module holds; dropped unanswered, its client has hung up.
+/// An invocation that the dispatcher holds; dropped unanswered, its client has hung up.
 struct OpenInvocation<'a> {
     invocation_id: InvocationId,
     name: String,
     clients: &'a Clients,
     dispatcher: mpsc::Sender<ToDispatcher>,
-    answered: bool,
+    answered: Cell<bool>,
+}
+
+impl OpenInvocation<'_> {
+    /// Hands the invocation to the dispatcher, and waits for its answer.
+    async fn ask(
+        &self,
+        decoded: DecodedRequest,
+        request: Rc<ForwardedRequest>,
+    ) -> Result<Answer, Rejection> {
+        let (answer, answered) = oneshot::channel();
+        let message = ToDispatcher::Invocation {
+            invocation: decoded.invocation,
+            time_left: decoded.time_left,
+            repeatable: decoded.repeatable,
+            request,
+            answer,
+        };
+        let sent = self.dispatcher.send(message).await;
+        if sent.is_err() {
+            self.answered.set(true);
+            return Err(rejection(StatusCode::SERVICE_UNAVAILABLE));
+        }
+        let answer = answered.await.unwrap_or(Answer::Errored);
+        self.answered.set(true);
+        Ok(answer)
+    }
 }
 
 impl Drop for OpenInvocation<'_> {
     fn drop(&mut self) {
         self.clients.open.borrow_mut().remove(&self.name);
         self.clients.figures.current.dec();
-        if self.answered {
-            return;
-        }
-        let message = ToDispatcher::ClientGone {
-            invocation_id: self.invocation_id,
-        };
-        if let Err(mpsc::error::TrySendError::Full(message)) = self.dispatcher.try_send(message) {
-            let dispatcher = self.dispatcher.clone();
-            tokio::task::spawn_local(async move { dispatcher.send(message).await.ok() });
+        if !self.answered.get() {
+            let message = ToDispatcher::ClientGone {
+                invocation_id: self.invocation_id,
+            };
+            send_without_waiting(&self.dispatcher, message);
         }
     }
 }
--- /dev/null
+++ b/crates/gateway/src/config/reload.rs
@@ -0,0 +1,45 @@
+//! Which configuration may follow one that is in force.
+
+use serde_json::Value;
+
+use super::{Config, ConfigError};
+
+impl Config {
+    /// Whether it may follow a configuration that is in force: a key that stood there and is gone is no
+    /// setting turned off, but a file that was cut or written wrongly.
+    ///
+    /// # Errors
+    /// The first key that is missing.
+    pub fn follows(&self, old: &Value) -> Result<(), ConfigError> {
+        match missing_key(&old["settings"], &self.source["settings"], "settings") {
+            Some(key) => {
+                let problem = "missing, and the configuration in force has it";
+                Err(ConfigError::invalid(key, problem))
+            }
+            None => Ok(()),
+        }
+    }
+}
+
+/// The first key that `old` has and `new` lacks. A row of a list needs the keys that all the old rows have.
+fn missing_key(old: &Value, new: &Value, path: &str) -> Option<String> {
+    match (old, new) {
+        (Value::Object(old), Value::Object(new)) => old.iter().find_map(|(key, old)| {
+            let path = format!("{path}.{key}");
+            match new.get(key) {
+                Some(new) => missing_key(old, new, &path),
+                None => Some(path),
+            }
+        }),
+        (Value::Array(old), Value::Array(new)) => {
+            let old_rows: Vec<_> = old.iter().filter_map(Value::as_object).collect();
+            let is_common = |key: &&String| old_rows.iter().all(|row| row.contains_key(*key));
+            let common: Vec<_> = old_rows.first()?.keys().filter(is_common).collect();
+            new.iter().enumerate().find_map(|(number, row)| {
+                let missing = common.iter().find(|key| row.get(**key).is_none())?;
+                Some(format!("{path}[{number}].{missing}"))
+            })
+        }
+        _ => None,
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/config/unknown_keys.rs
@@ -0,0 +1,47 @@
+//! Keys of a configuration that nothing reads.
+
+use std::path::Path;
+
+use damsonbeam_settings::Facts;
+
+use super::{Config, ConfigFile};
+
+/// Keys of a configuration that nothing reads, with their paths: the gateway's own refused by `config check`,
+/// those of `settings` (which the platform may widen) noted.
+pub fn unknown_keys(text: &str) -> (Vec<String>, Vec<String>) {
+    let (mut own, mut settings) = (Vec::new(), Vec::new());
+    let mut text = serde_json::Deserializer::from_str(text);
+    let raw: Result<ConfigFile, _> =
+        serde_ignored::deserialize(&mut text, |path| own.push(path.to_string()));
+    if let Ok(raw) = raw {
+        let facts: Result<Facts, _> = serde_ignored::deserialize(raw.settings, |path| {
+            settings.push(format!("settings.{path}"))
+        });
+        facts.ok();
+    }
+    (own, settings)
+}
+
+/// `damsonbeam config check`: what `serve` would refuse, and keys that nothing reads; else the notes.
+pub fn check_file(path: &Path) -> Result<Vec<String>, Vec<String>> {
+    let text = std::fs::read_to_string(path).map_err(|e| vec![e.to_string()])?;
+    let (own, settings) = unknown_keys(&text);
+    let mut problems: Vec<String> = own
+        .iter()
+        .map(|k| format!("{k}: unknown key, not read"))
+        .collect();
+    match Config::parse(&text, |key| std::env::var(key).ok()) {
+        Ok(config) if problems.is_empty() => {
+            let unread = settings
+                .iter()
+                .map(|k| format!("{k}: not read by the gateway"));
+            Ok(config.notes.into_iter().chain(unread).collect())
+        }
+        Ok(_) => Err(problems),
+        Err(error) => {
+            let reason = error.to_string();
+            problems.insert(0, reason.trim_start_matches("NODE_CONFIG: ").to_string());
+            Err(problems)
+        }
+    }
+}
--- a/crates/gateway/src/dispatcher/send_attempt.rs
+++ b/crates/gateway/src/dispatcher/send_attempt.rs
@@ -3,13 +3,15 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use damsonbeam::interface::{BackendId, Event, InvocationId, ListForm, Outcome};
+use damsonbeam::interface::{AttemptNumber, BackendId, Event, InvocationId, ListForm, Outcome};
 
 use super::{AttemptDecision, Dispatcher, InFlightAttempt, Overdue, Timer};
+use crate::attempts::{NotExecuted, SendPermit};
 use crate::log::log;
-use crate::messages::*;
+use crate::messages::{OutgoingAttempt, ToBackend};
 
 impl Dispatcher {
+    /// Sends an attempt, where it may be sent at all; the rules are told where it is not.
     pub(super) fn send_attempt(
         &mut self,
         invocation_id: InvocationId,
@@ -21,14 +23,13 @@
             return;
         };
         let number = request.attempts.next();
-        let cancel_handle = Rc::<CancelHandle>::default();
         let time_left = request.deadline.saturating_sub(now);
-        let wait = timeout.map_or(time_left, |t| t.min(time_left));
+        let wait = timeout.map_or(time_left, |timeout| timeout.min(time_left));
         let attempt = InFlightAttempt {
             backend_id,
             sent: now,
             until: now + wait,
-            cancel_handle: cancel_handle.clone(),
+            cancel_handle: Rc::default(),
         };
         request.in_flight.push(None);
         let Some(permit) = request.attempts.permit() else {
@@ -43,68 +44,88 @@
             request.attempts.not_executed(number, permit.unused());
             return self.queue_ended(invocation_id, number, &attempt, Outcome::Ignored);
         }
-        if let Some(attempt_policy) = &mut self.attempt_policy {
-            if number.0 > 0 && !attempt_policy.may_retry(now) {
-                request.attempts.not_executed(number, permit.unused());
-                self.state
-                    .follow_up_events
-                    .push_back(Event::BodyConsumed { invocation_id });
-                return self.queue_ended(invocation_id, number, &attempt, Outcome::Ignored);
-            }
-            let AttemptDecision {
-                allowed,
-                health_change,
-            } = attempt_policy.before_attempt(backend_id, now);
-            if let Some(entry) = health_change {
-                let (form, entries) = (ListForm::Update, [entry].into());
-                self.state
-                    .follow_up_events
-                    .push_back(Event::BackendList { form, entries });
-            }
-            if !allowed {
-                request.attempts.not_executed(number, permit.unused());
-                return self.queue_ended(invocation_id, number, &attempt, Outcome::ConnectFailed);
-            }
+        if let Some(refusal) = self.refused_by_policy(invocation_id, backend_id, number, now) {
+            self.mark_not_executed(invocation_id, number, permit.unused());
+            return self.queue_ended(invocation_id, number, &attempt, refusal);
+        }
+        self.hand_to_backend(invocation_id, number, attempt, permit, wait);
+    }
+
+    /// Asks the policy for leave; returns the outcome that the rules are told where there is none.
+    fn refused_by_policy(
+        &mut self,
+        invocation_id: InvocationId,
+        backend_id: BackendId,
+        number: AttemptNumber,
+        now: Duration,
+    ) -> Option<Outcome> {
+        let policy = self.attempt_policy.as_mut()?;
+        let events = &mut self.state.follow_up_events;
+        if number.0 > 0 && !policy.may_retry(now) {
+            events.push_back(Event::BodyConsumed { invocation_id });
+            return Some(Outcome::Ignored);
+        }
+        let AttemptDecision {
+            allowed,
+            health_change,
+        } = policy.before_attempt(backend_id, now);
+        if let Some(entry) = health_change {
+            events.push_back(Event::BackendList {
+                form: ListForm::Update,
+                entries: [entry].into(),
+            });
+        }
+        (!allowed).then_some(Outcome::ConnectFailed)
+    }
+
+    fn mark_not_executed(
+        &mut self,
+        invocation_id: InvocationId,
+        number: AttemptNumber,
+        proof: NotExecuted,
+    ) {
+        if let Some(request) = self.state.requests.get_mut(&invocation_id) {
+            request.attempts.not_executed(number, proof);
         }
-        // While its body comes no client's time runs; the backend is told what will.
-        let backend_time = request.coming.unwrap_or(wait);
-        let replaces = request.overdue.as_ref().map(Overdue::cancel_handle);
+    }
+
+    fn hand_to_backend(
+        &mut self,
+        invocation_id: InvocationId,
+        number: AttemptNumber,
+        attempt: InFlightAttempt,
+        permit: SendPermit,
+        wait: Duration,
+    ) {
+        let Some(request) = self.state.requests.get(&invocation_id) else {
+            return;
+        };
         let outgoing = OutgoingAttempt {
             invocation_id,
             number,
             permit,
             request: request.request.clone(),
-            time_left: backend_time,
-            cancel_handle,
-            replaces,
+            // While its body comes no client's time runs; the backend is told what will.
+            time_left: request.coming.unwrap_or(wait),
+            cancel_handle: attempt.cancel_handle.clone(),
+            replaces: request.overdue.as_ref().map(Overdue::cancel_handle),
             to: self.own_mailbox.clone(),
         };
-        let Some(outgoing) = self.send_to_backend(backend_id, outgoing) else {
-            self.state
-                .timers
-                .insert((attempt.until, Timer::AttemptTimeout(invocation_id, number)));
-            let request = self
-                .state
-                .requests
-                .get_mut(&invocation_id)
-                .expect("seen above");
-            request.in_flight[number.0 as usize] = Some(attempt);
+        let Some(refused) = self.send_to_backend(attempt.backend_id, outgoing) else {
+            let timer = Timer::AttemptTimeout(invocation_id, number);
+            self.state.timers.insert((attempt.until, timer));
+            if let Some(request) = self.state.requests.get_mut(&invocation_id) {
+                request.in_flight[number.0 as usize] = Some(attempt);
+            }
             return;
         };
         log!(warn, "backend-crowded", "a delivery not sent");
-        let request = self
-            .state
-            .requests
-            .get_mut(&invocation_id)
-            .expect("seen above");
-        request
-            .attempts
-            .not_executed(number, outgoing.permit.unused());
+        self.mark_not_executed(invocation_id, number, refused.permit.unused());
         self.notify_policy(&attempt, Outcome::Ignored);
         self.queue_ended(invocation_id, number, &attempt, Outcome::ConnectFailed);
     }
 
-    /// Hands a delivery to its backend's actor; it comes back where there is no room or no actor.
+    /// Hands an attempt to its backend's actor; it comes back where there is no room or no actor.
     fn send_to_backend(
         &self,
         backend_id: BackendId,
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,8 +1,20 @@
-//! The gateway on sockets. It carries events to the module and its actions out, and decides nothing.
-//! Ground floor: `message` (what the actors say to each other), `phase`, `sizes`; these import no actor.
-//! Files go by peer: clients, backends, the counter, the list, the other gateways; `dispatcher` is the actor
-//! that owns the rules, `life` the phases from start to exit;
-//! it alone wires the actors.
+//! The gateway on sockets: it carries events to the decision module and its actions out, and decides nothing.
+//!
+//! | module | what it is |
+//! | --- | --- |
+//! | `server` | the process from start to exit; it alone makes the actors and connects them |
+//! | `phase` | the process's phases |
+//! | `messages` | what the actors send each other: types only; whoever sends or receives imports these, not the other |
+//! | `dispatcher` | the actor that owns the rules |
+//! | `clients` | the actor of the clients' connections; `connection_admission` and `shutdown_admission` decide whom it takes |
+//! | `backends` | an actor for each backend, with a pool of connections |
+//! | `counter_client`, `backend_list`, `peers` | the actors that call the shared counter, discovery, other gateways |
+//! | `platform_protocol` | how the deployments' clients write their requests |
+//! | `attempts` | which request may be sent to a backend again, decided by types |
+//! | `peer_admissions` | what the other gateways report they admitted |
+//! | `handover` | the socket between a process and the one that follows it |
+//! | `bodies`, `memory_budget`, `request_heads`, `write_meter`, `sizes` | bodies and bytes on their way |
+//! | `config`, `log`, `account`, `clock` | settings, log lines, the account of each second, time |
 
 pub mod account;
 pub mod attempts;
@@ -33,24 +45,26 @@
 
 use tokio::runtime::{Builder, LocalOptions};
 
-fn serve() -> Result<(), String> {
+use crate::server::{Server, ServerError};
+
+fn serve() -> Result<(), ServerError> {
     let config = config::Config::read()?;
     // One core, one thread. Tasks of a `LocalSet` would write to the poller's wake-up at each turn.
     let runtime = Builder::new_current_thread()
         .enable_all()
-        .build_local(LocalOptions::default());
-    runtime
-        .map_err(|e| format!("runtime: {e}"))?
-        .block_on(server::Server::default().run(config))
+        .build_local(LocalOptions::default())
+        .map_err(ServerError::Runtime)?;
+    runtime.block_on(Server::default().run(config))
 }
 
-/// From start to exit.
+/// Runs a gateway from start to exit.
 pub fn run() -> ExitCode {
     log::init();
     match serve() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(what) => {
-            log::log!(error, "damsonbeam", "{}", what.replace('\n', " "));
+        Err(error) => {
+            let text = error.to_string().replace('\n', " ");
+            log::log!(error, "damsonbeam", "{text}");
             ExitCode::FAILURE
         }
     }
--- a/crates/gateway/src/platform_protocol.rs
+++ b/crates/gateway/src/platform_protocol.rs
@@ -113,91 +113,114 @@
     /// What a request says, if all of it can be used.
     fn read(
         &self,
-        invocation_id: InvocationId,
+        id: InvocationId,
         method: &Method,
         uri: &hyper::Uri,
         headers: &HeaderMap,
     ) -> Option<DecodedRequest> {
-        let plain = uri.scheme().is_none() && uri.authority().is_none();
-        let operation = uri
-            .path()
-            .strip_prefix('/')
-            .filter(|_| plain)?
-            .split('/')
-            .next()?;
         let tables = self.tables.borrow().clone();
-        let asked = tables.operations.get(operation)?;
-        if (asked.repeat == Repeat::Idempotent) != (method == Method::GET)
-            || matches!(*method, Method::HEAD | Method::CONNECT)
-        {
-            return None;
-        }
-        let plan = single_header(headers, "x-tariff")?;
-        let plan = *tables.plans.get(plan)?;
+        let operation = tables.operation(method, uri)?;
+        let plan = *tables.plans.get(single_header(headers, "x-tariff")?)?;
         let name = single_header(headers, CORRELATION_ID.as_str())?;
-        let customer = single_header(headers, "x-subscriber")?;
-        let hex = customer.len() == 16 && customer.bytes().all(|b| b.is_ascii_hexdigit());
-        let known = hex && u64::from_str_radix(customer, 16).is_ok_and(|c| c < 1 << 33);
-        let time_left = Duration::from_millis(parse_plain_number(single_header(
-            headers,
-            TIME_LEFT.as_str(),
-        )?)?);
-        let (mut units, mut spread, mut first) = (None, None, None);
-        for field in single_header(headers, "x-weight")?.split(',') {
-            let (name, value) = field.trim().split_once('=')?;
-            // Said twice, another may read it the other way.
-            let again = match name {
-                "units" => units.replace(parse_plain_number::<f64>(value)?).is_some(),
-                "spread" => spread.replace(parse_plain_number::<u32>(value)?).is_some(),
-                "first" => first.replace(parse_plain_number::<u32>(value)?).is_some(),
-                _ => false,
-            };
-            if again {
-                return None;
-            }
-        }
-        let (units, spread, first) = (units?, spread?, first?);
-        let set = (1..=tables.gateways).contains(&spread) && first < tables.gateways;
-        let named = (1..=MAX_NAME_BYTES).contains(&name.len());
-        if !(known
-            && set
-            && named
-            && units > 0.0
-            && units <= tables.max_units
-            && time_left <= MAX_WAIT)
-        {
+        let customer = customer_id(single_header(headers, "x-subscriber")?)?;
+        let time_left_ms = single_header(headers, TIME_LEFT.as_str())?;
+        let time_left = Duration::from_millis(parse_plain_number(time_left_ms)?);
+        let weight = Weight::parse(single_header(headers, "x-weight")?)?;
+        let has_name = (1..=MAX_NAME_BYTES).contains(&name.len());
+        if !has_name || !tables.allows(&weight) || time_left > MAX_WAIT {
             return None;
         }
         let invocation = Invocation {
-            id: invocation_id,
+            id,
             deadline: Duration::ZERO,
-            operation: asked.operation,
+            operation: operation.operation,
             plan,
-            customer: CustomerId(customer.to_ascii_lowercase().into()),
-            units,
-            first_gateway: GatewayId(first),
-            spread,
+            customer,
+            units: weight.units,
+            first_gateway: GatewayId(weight.first),
+            spread: weight.spread,
             write: false,
             repeat: single_header(headers, "x-repeat") == Some("1"),
             body_pending: false,
         };
-        // No client waits longer than its operation's time, whatever it says.
-        let (name, time_left) = (name.to_owned(), time_left.min(asked.integration_timeout));
-        let mut headers = headers.clone();
-        keep_end_to_end(&mut headers, &name);
-        let repeatable = Repeatable::by(asked.repeat);
+        let mut forwarded = headers.clone();
+        keep_end_to_end(&mut forwarded, name);
         Some(DecodedRequest {
             invocation,
-            repeatable,
-            name,
+            repeatable: Repeatable::by(operation.repeat),
+            name: name.to_owned(),
             context: None,
-            time_left,
-            headers,
+            // No client waits longer than its operation's time, whatever it says.
+            time_left: time_left.min(operation.integration_timeout),
+            headers: forwarded,
             dispatcher: self.dispatcher.clone(),
         })
     }
 }
 
+impl DecodingTables {
+    /// The operation that a request asks for, where its method suits.
+    fn operation(&self, method: &Method, uri: &hyper::Uri) -> Option<&Operation> {
+        if uri.scheme().is_some() || uri.authority().is_some() {
+            return None;
+        }
+        let name = uri.path().strip_prefix('/')?.split('/').next()?;
+        let operation = self.operations.get(name)?;
+        let is_read = operation.repeat == Repeat::Idempotent;
+        let is_allowed = !matches!(*method, Method::HEAD | Method::CONNECT);
+        (is_allowed && is_read == (method == Method::GET)).then_some(operation)
+    }
+
+    /// Whether a weight keeps to the settings' bounds.
+    fn allows(&self, weight: &Weight) -> bool {
+        let has_gateways =
+            (1..=self.gateways).contains(&weight.spread) && weight.first < self.gateways;
+        has_gateways && weight.units > 0.0 && weight.units <= self.max_units
+    }
+}
+
+/// What `x-weight` says.
+struct Weight {
+    units: f64,
+    /// Gateways at which the customer's invocations come in, and the first of them.
+    spread: u32,
+    first: u32,
+}
+
+impl Weight {
+    fn parse(text: &str) -> Option<Self> {
+        let (mut units, mut spread, mut first) = (None, None, None);
+        for field in text.split(',') {
+            let (name, value) = field.trim().split_once('=')?;
+            // Said twice, another may read it the other way.
+            let is_repeated = match name {
+                "units" => units.replace(parse_plain_number(value)?).is_some(),
+                "spread" => spread.replace(parse_plain_number(value)?).is_some(),
+                "first" => first.replace(parse_plain_number(value)?).is_some(),
+                _ => false,
+            };
+            if is_repeated {
+                return None;
+            }
+        }
+        Some(Weight {
+            units: units?,
+            spread: spread?,
+            first: first?,
+        })
+    }
+}
+
+/// Sixteen hexadecimal digits below 2^33.
+fn customer_id(text: &str) -> Option<CustomerId> {
+    const DIGITS: usize = 16;
+    const LIMIT: u64 = 1 << 33;
+    let is_hex = text.len() == DIGITS && text.bytes().all(|byte| byte.is_ascii_hexdigit());
+    let number = u64::from_str_radix(text, 16).ok()?;
+    let is_known = is_hex && number < LIMIT;
+    is_known.then(|| CustomerId(text.to_ascii_lowercase().into()))
+}
+
 impl ClientProtocol for PlatformRequests {
     fn is_readiness_check(&self, uri: &hyper::Uri) -> bool {
         uri.path() == "/up"
--- a/crates/gateway/src/server/listener.rs
+++ b/crates/gateway/src/server/listener.rs
@@ -6,6 +6,8 @@
 
 use tokio::net::{TcpListener, TcpSocket};
 
+use super::ListenError;
+
 /// Connections that wait to be accepted.
 const BACKLOG: u32 = 1024;
 /// Names the descriptor of the socket that the platform hands over.
@@ -14,16 +16,20 @@
 const LAST_STANDARD_DESCRIPTOR: i32 = 2;
 
 /// The socket that the platform hands over in `NODE_LISTEN_FD`, else one of our own.
-pub(super) fn listen(address: SocketAddr) -> Result<TcpListener, String> {
+pub(super) fn listen(address: SocketAddr) -> Result<TcpListener, ListenError> {
     let Some(descriptor) = std::env::var_os(DESCRIPTOR_VARIABLE) else {
-        return bind(address).map_err(|e| e.to_string());
+        return Ok(bind(address)?);
     };
     let descriptor = descriptor
         .to_str()
         .and_then(|text| text.parse().ok())
         .filter(|descriptor: &i32| *descriptor > LAST_STANDARD_DESCRIPTOR)
-        .ok_or_else(|| format!("{DESCRIPTOR_VARIABLE}: no number of a descriptor"))?;
-    inherit(descriptor).map_err(|e| format!("{DESCRIPTOR_VARIABLE}: {descriptor}: {e}"))
+        .ok_or(ListenError::NoDescriptor)?;
+    if is_listening(descriptor).map_err(|source| ListenError::Descriptor { descriptor, source })? {
+        inherit(descriptor).map_err(|source| ListenError::Descriptor { descriptor, source })
+    } else {
+        Err(ListenError::NotListening(descriptor))
+    }
 }
 
 fn bind(address: SocketAddr) -> io::Result<TcpListener> {
@@ -37,15 +43,15 @@
     socket.listen(BACKLOG)
 }
 
-fn inherit(descriptor: i32) -> Result<TcpListener, String> {
+fn is_listening(descriptor: i32) -> io::Result<bool> {
     // SAFETY: looked at only; a number that is no descriptor fails there.
     let borrowed = unsafe { BorrowedFd::borrow_raw(descriptor) };
-    let listens = socket2::SockRef::from(&borrowed).is_listener();
-    if !listens.map_err(|e| e.to_string())? {
-        return Err("does not listen".into());
-    }
+    socket2::SockRef::from(&borrowed).is_listener()
+}
+
+fn inherit(descriptor: i32) -> io::Result<TcpListener> {
     // SAFETY: the platform hands it to this process, and nothing else here uses it.
     let listener = unsafe { std::net::TcpListener::from_raw_fd(descriptor) };
-    listener.set_nonblocking(true).map_err(|e| e.to_string())?;
-    TcpListener::from_std(listener).map_err(|e| e.to_string())
+    listener.set_nonblocking(true)?;
+    TcpListener::from_std(listener)
 }
--- a/crates/gateway/src/server/mod.rs
+++ b/crates/gateway/src/server/mod.rs
@@ -3,6 +3,7 @@
 //! `start` makes the actors and connects them; `running` is what they leave to the phases after; `succession` is the
 //! hand-over to the process that follows; `listener` is the clients' socket.
 
+mod error;
 mod listener;
 mod running;
 mod start;
@@ -16,6 +17,7 @@
 use futures_util::stream::StreamExt;
 use tokio::time::{Instant, MissedTickBehavior, interval, sleep, timeout_at};
 
+pub use self::error::{ListenError, ServerError};
 use self::running::Running;
 use crate::config::Config;
 use crate::handover::HandoverConnection;
@@ -39,7 +41,7 @@
     ///
     /// # Errors
     /// Where the process can't start, or an actor without which nothing is served ends.
-    pub async fn run(self, config: Config) -> Result<(), String> {
+    pub async fn run(self, config: Config) -> Result<(), ServerError> {
         let name = config.name.clone();
         for note in &config.notes {
             log!(info, "not-on-sockets", "{note}");
@@ -55,7 +57,7 @@
     }
 
     /// Serves until SIGTERM.
-    async fn serve(&self, running: &mut Running) -> Result<(), String> {
+    async fn serve(&self, running: &mut Running) -> Result<(), ServerError> {
         let name = running.name.clone();
         let mut close_idle = interval(CLOSE_IDLE_INTERVAL);
         close_idle.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -99,19 +101,19 @@
                     running.predecessor = None;
                     running.clients.use_all_connections();
                 }
-                ended = running.actors.next() => return Err(format!("an actor ended: {ended:?}")),
+                ended = running.actors.next() => return Err(ServerError::ActorEnded(format!("{ended:?}"))),
             }
         }
     }
 
     /// From SIGTERM to the exit: accepts for a while, then gives the answers that it owes.
-    async fn shut_down(&self, running: &mut Running, name: &str) -> Result<(), String> {
+    async fn shut_down(&self, running: &mut Running, name: &str) -> Result<(), ServerError> {
         self.phase.enter(Phase::Draining, name);
         let end = Instant::now() + running.grace();
         if running.accepting.is_some() {
             tokio::select! {
                 () = sleep(ACCEPT_AFTER_DRAIN) => {}
-                ended = running.actors.next() => return Err(format!("an actor ended: {ended:?}")),
+                ended = running.actors.next() => return Err(ServerError::ActorEnded(format!("{ended:?}"))),
             }
         }
         self.phase.enter(Phase::Finishing, name);
--- a/crates/gateway/src/server/running.rs
+++ b/crates/gateway/src/server/running.rs
@@ -14,8 +14,8 @@
 use tokio::sync::mpsc;
 use tokio::task::JoinHandle;
 
-use super::ACCEPT_AFTER_DRAIN;
 use super::succession::Succession;
+use super::{ACCEPT_AFTER_DRAIN, ServerError};
 use crate::backend_list::DiscoveryPage;
 use crate::clients::Clients;
 use crate::config::{Config, ServiceAddresses};
@@ -91,7 +91,7 @@
     }
 
     /// Reads the configuration again; the old one stays where the new one can't be used.
-    pub(super) async fn reload(&mut self) -> Result<(), String> {
+    pub(super) async fn reload(&mut self) -> Result<(), ServerError> {
         let config = Config::read().and_then(|new| new.follows(&self.source).map(|()| new));
         match config {
             Ok(config) => self.apply(config).await,
@@ -109,7 +109,7 @@
 
     /// Takes a new configuration: its settings, and where the list and the counter are; all else in it waits
     /// for a restart.
-    async fn apply(&mut self, config: Config) -> Result<(), String> {
+    async fn apply(&mut self, config: Config) -> Result<(), ServerError> {
         let (old, new) = (self.addresses, config.addresses);
         self.settings = self.settings.follow(config.settings);
         // The dispatcher first: what is decoded by the new names is told in their positions.
@@ -132,6 +132,9 @@
 }
 
 /// Sends an actor a message; an actor that has ended is an error.
-pub(super) async fn send<T>(actor: &mpsc::Sender<T>, message: T) -> Result<(), String> {
-    actor.send(message).await.map_err(|e| e.to_string())
+pub(super) async fn send<T>(actor: &mpsc::Sender<T>, message: T) -> Result<(), ServerError> {
+    actor
+        .send(message)
+        .await
+        .map_err(|_| ServerError::ChannelClosed)
 }
--- a/crates/gateway/src/server/start.rs
+++ b/crates/gateway/src/server/start.rs
@@ -16,10 +16,10 @@
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::sleep;
 
-use super::Server;
 use super::listener::listen;
 use super::running::{Running, send};
 use super::succession::Succession;
+use super::{Server, ServerError};
 use crate::account::Account;
 use crate::backend_list::{BackendListWatcher, DiscoveryPage, NameTable};
 use crate::backends::{Backend, ConnectionPools, Platform};
@@ -78,7 +78,7 @@
     }
 
     /// Takes over the predecessor's state, and its clients from now on.
-    async fn finish(self, running: &mut Running) -> Result<(), String> {
+    async fn finish(self, running: &mut Running) -> Result<(), ServerError> {
         let (mut state, Some(mut connection)) = (self.state, self.connection) else {
             return Ok(());
         };
@@ -137,7 +137,7 @@
     }
 
     /// Starts the exchange with the other gateways, where the configuration says so.
-    fn start_peers(&self, config: &Config) -> Result<Option<mpsc::Sender<ToPeers>>, String> {
+    fn start_peers(&self, config: &Config) -> Result<Option<mpsc::Sender<ToPeers>>, ServerError> {
         let Some(address) = config
             .peer_listen
             .filter(|_| config.settings.limits.may_message_peers)
@@ -145,7 +145,8 @@
             return Ok(None);
         };
         let (sender, mailbox) = mpsc::channel(MAILBOX_CAPACITY);
-        let socket = Peers::bind(address).map_err(|e| format!("peer_listen: {address}: {e}"))?;
+        let socket =
+            Peers::bind(address).map_err(|source| ServerError::PeerListen { address, source })?;
         let peers = Peers {
             socket,
             peers: config.peers.clone(),
@@ -229,14 +230,20 @@
 
 impl Server {
     /// Starts all actors; returns once there is a list of backends, and clients are accepted.
-    pub(super) async fn start(&self, config: Config) -> Result<Running, String> {
+    pub(super) async fn start(&self, config: Config) -> Result<Running, ServerError> {
         // SIGHUP ends a program that has not asked for it.
-        let reload = signal(SignalKind::hangup()).map_err(|e| format!("SIGHUP: {e}"))?;
-        let terminate = signal(SignalKind::terminate()).map_err(|e| format!("SIGTERM: {e}"))?;
+        let reload = signal(SignalKind::hangup()).map_err(|source| ServerError::Signal {
+            name: "SIGHUP",
+            source,
+        })?;
+        let terminate = signal(SignalKind::terminate()).map_err(|source| ServerError::Signal {
+            name: "SIGTERM",
+            source,
+        })?;
         let (dispatcher, dispatcher_mailbox) = mpsc::channel(DISPATCHER_MAILBOX_CAPACITY);
         let parts = Parts {
             clock: Clock::start(),
-            figures: Figures::new().map_err(|e| format!("figures: {e}"))?,
+            figures: Figures::new().map_err(|e| ServerError::Figures(e.to_string()))?,
             dispatcher,
             actors: FuturesUnordered::new(),
         };
@@ -277,8 +284,10 @@
             first: Some(first_list),
         };
         parts.start(watcher.run());
-        let listener =
-            listen(config.listen).map_err(|e| format!("listen: {}: {e}", config.listen))?;
+        let listener = listen(config.listen).map_err(|source| ServerError::Listen {
+            address: config.listen,
+            source,
+        })?;
         let mut running = Running {
             name: config.name,
             clients,
@@ -316,7 +325,7 @@
         &self,
         config: &Config,
         figures: &Figures,
-    ) -> Result<mpsc::Receiver<Asked>, String> {
+    ) -> Result<mpsc::Receiver<Asked>, ServerError> {
         let (sender, orders) = mpsc::channel(ORDER_QUEUE_CAPACITY);
         if let Some(address) = config.admin {
             let phase = self.phase.clone();
@@ -325,7 +334,7 @@
                 ready: Arc::new(move || phase.get().is_serving()),
                 orders: sender,
             };
-            admin.start(address)?;
+            admin.start(address).map_err(ServerError::Admin)?;
         }
         Ok(orders)
     }
@@ -336,11 +345,11 @@
     running: &mut Running,
     listed: oneshot::Receiver<()>,
     knows_backends: bool,
-) -> Result<(), String> {
+) -> Result<(), ServerError> {
     tokio::select! {
         _ = listed => {}
         _ = running.terminate.recv() => {
-            return Err("SIGTERM before there was a list of backends".into());
+            return Err(ServerError::NoList);
         }
         () = sleep(LIST_TIMEOUT), if knows_backends => {
             log!(warn, "list-late", "serving with the list as last known");
--- a/crates/gateway/src/server/succession.rs
+++ b/crates/gateway/src/server/succession.rs
@@ -10,8 +10,8 @@
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
-use super::Server;
 use super::running::{Running, send};
+use super::{Server, ServerError};
 use crate::handover::{HandoverConnection, HandoverListener};
 use crate::log::log;
 use crate::messages::ToDispatcher;
@@ -77,7 +77,7 @@
         &self,
         running: &mut Running,
         action: PredecessorAction,
-    ) -> Result<(), String> {
+    ) -> Result<(), ServerError> {
         log!(info, "handover", "{}: {action:?}", running.name);
         let counter = &running.figures.handovers;
         counter.with_label_values(&[&format!("{action:?}")]).inc();
@@ -110,7 +110,7 @@
     }
 
     /// Serves again, for the successor has gone.
-    async fn resume(&self, running: &mut Running) -> Result<(), String> {
+    async fn resume(&self, running: &mut Running) -> Result<(), ServerError> {
         send(&running.dispatcher, ToDispatcher::Resume).await?;
         running.accept();
         if let Some(path) = &running.succession.path {
--- a/crates/migrate/src/lib.rs
+++ b/crates/migrate/src/lib.rs
@@ -45,8 +45,12 @@
             "127.0.0.1:1".into()
         })
     };
-    Config::parse(text, env)
-        .map_err(|e| format!("{what}: {}", e.trim_start_matches("NODE_CONFIG: ")))
+    Config::parse(text, env).map_err(|e| {
+        format!(
+            "{what}: {}",
+            e.to_string().trim_start_matches("NODE_CONFIG: ")
+        )
+    })
 }
 
 /// Keys of `old`, down to single values, that `new` lacks or has otherwise.
