--- a/crates/gateway/src/account.rs
+++ b/crates/gateway/src/account.rs
@@ -10,6 +10,7 @@
 use damsonbeam_account::VERSION;
 use serde_json::{Map, Value};
 
+/// What this gateway did in each second, by reason.
 pub struct Account {
     second: u64,
     counts: BTreeMap<String, u64>,
@@ -28,6 +29,7 @@
         })
     }
 
+    /// Counts something that was done.
     pub fn add(&mut self, now: Duration, what: &str, n: u64) {
         self.turn(now);
         *self.counts.entry(what.to_owned()).or_default() += n;
@@ -49,6 +51,7 @@
         self.second = now.as_secs();
     }
 
+    /// Counts what an event tells.
     pub fn event(&mut self, now: Duration, event: &Event) {
         match event {
             Event::Invocation(i) => self.add(
@@ -95,6 +98,7 @@
         }
     }
 
+    /// Counts an action.
     pub fn action(&mut self, now: Duration, action: &Action) {
         match action {
             Action::Throttle { reason, .. } => {
--- a/crates/gateway/src/attempts.rs
+++ b/crates/gateway/src/attempts.rs
@@ -55,6 +55,7 @@
 /// How a backend says that it has not executed a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
+    /// It has no room.
     Full,
     /// The request named another backend.
     WrongBackend,
@@ -63,8 +64,11 @@
 /// What an answer says, by the protocol that backends speak.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
+    /// The request was executed.
     Succeeded,
+    /// The request may have been executed, and failed.
     Failed,
+    /// The request was not executed.
     Declined(Refusal),
     /// It is the answer to another request.
     Misplaced,
@@ -73,10 +77,13 @@
 /// How an attempt ended.
 #[derive(Debug)]
 pub enum Ending {
+    /// It was answered.
     Succeeded,
+    /// It was answered with a failure.
     Failed,
     /// Nothing tells whether it was executed.
     Unknown,
+    /// It was not executed and never will be.
     NotExecuted(NotExecuted),
 }
 
@@ -153,6 +160,7 @@
 }
 
 impl Attempts {
+    /// No attempt yet.
     pub fn new(repeatable: Option<Repeatable>) -> Self {
         Attempts {
             repeatable,
@@ -188,6 +196,7 @@
             .all(|state| matches!(state, AttemptState::NotExecuted))
     }
 
+    /// Whether no attempt was made.
     pub fn is_empty(&self) -> bool {
         self.all.is_empty()
     }
--- a/crates/gateway/src/backends/attempt.rs
+++ b/crates/gateway/src/backends/attempt.rs
@@ -220,11 +220,11 @@
             return false;
         }
         *cancel_handle.socket.borrow_mut() = Weak::new();
-        let report = load_report(&headers, &self.pools.reports);
         if let Some(timeout) = protocol.idle_timeout(&headers) {
             self.pools.set_idle_timeout(timeout);
         }
         let closes = announces_close(&headers);
+        let report = load_report(&headers, &self.pools.reports);
         let may_forward = protocol.may_forward(verdict, status, &headers);
         let response = may_forward.then(|| {
             protocol.strip_response_headers(&mut headers);
@@ -234,15 +234,13 @@
                 body,
             }
         });
-        reporter
-            .ended(attempt.answered(verdict), response, report)
-            .await;
-        if let Some(end) = stream_end
-            && end.await != Ok(StreamEnd::Complete)
-        {
-            return false;
-        }
-        !closes && !cancel_handle.cancelled.get()
+        let ending = attempt.answered(verdict);
+        reporter.ended(ending, response, report).await;
+        let is_complete = match stream_end {
+            Some(end) => end.await == Ok(StreamEnd::Complete),
+            None => true,
+        };
+        is_complete && !closes && !cancel_handle.cancelled.get()
     }
 }
 
--- a/crates/gateway/src/bodies.rs
+++ b/crates/gateway/src/bodies.rs
@@ -78,6 +78,7 @@
 }
 
 impl StreamedBody {
+    /// `whole` is called once its last byte has come.
     pub fn new(
         first: Bytes,
         rest: Incoming,
@@ -95,6 +96,7 @@
         })
     }
 
+    /// Whether part of it has gone to a backend and is not held.
     pub fn is_consumed(&self) -> bool {
         self.consumed.get()
     }
@@ -150,7 +152,9 @@
 /// What a request carries.
 #[derive(Clone)]
 pub enum RequestBody {
+    /// All of it is here.
     Buffered(Bytes),
+    /// It still comes.
     Streamed(Rc<StreamedBody>),
 }
 
@@ -163,6 +167,7 @@
         }
     }
 
+    /// The body that still comes, if it does.
     pub fn streamed(&self) -> Option<&Rc<StreamedBody>> {
         match self {
             RequestBody::Buffered(_) => None,
@@ -199,6 +204,7 @@
 }
 
 impl Upload {
+    /// A body for one attempt.
     pub fn new(body: &RequestBody) -> Self {
         match body {
             RequestBody::Buffered(bytes) => {
@@ -262,6 +268,7 @@
 /// How an answer passed on as it came has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StreamEnd {
+    /// Its last byte has gone to the client.
     Complete,
     /// The backend broke it off, or fell silent.
     Broken,
@@ -284,6 +291,7 @@
 }
 
 impl StreamedResponse {
+    /// The body, and the word of how it ended.
     pub fn new(
         first: Bytes,
         rest: Incoming,
@@ -360,7 +368,9 @@
 
 /// An answer's body: whole, or as it comes.
 pub enum ResponseBody {
+    /// All of it is here.
     Buffered(Option<Bytes>),
+    /// It is passed on as it comes.
     Streamed(Box<StreamedResponse>),
 }
 
--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -51,6 +51,7 @@
 /// platform allows it from 2 s on.
 const IDLE_TIMEOUT: Duration = TURNOVER_TIME;
 
+/// A response to a client.
 pub type ClientResponse = Response<ResponseBody>;
 /// An answer to what is no invocation.
 pub type Rejection = Box<ClientResponse>;
@@ -82,19 +83,28 @@
 /// A request that can be used: what the module is told, whether it may run more than once, its name, how long its client waits
 /// from its last byte on, the headers that go on, and the module that decides on it.
 pub struct DecodedRequest {
+    /// What the dispatcher is told.
     pub invocation: Invocation,
+    /// Proof that it may run more than once, where it may.
     pub repeatable: Option<Repeatable>,
+    /// Its name.
     pub name: String,
+    /// What the protocol wants to know of it again with its answer.
     pub context: RequestContext,
+    /// How long its client waits from its last byte on.
     pub time_left: Duration,
+    /// The headers that go on to a backend.
     pub headers: HeaderMap,
+    /// The dispatcher that decides on it.
     pub dispatcher: mpsc::Sender<ToDispatcher>,
 }
 
 /// In these times a head comes whole, and a connection without a request stays open.
 #[derive(Clone, Copy)]
 pub struct ClientTimeouts {
+    /// In this a head comes whole.
     pub head: Duration,
+    /// A connection without a request stays open for this.
     pub idle: Duration,
 }
 
@@ -107,6 +117,7 @@
     }
 }
 
+/// The connections of clients.
 pub struct Clients {
     clock: Clock,
     phase: CurrentPhase,
@@ -130,6 +141,7 @@
 }
 
 impl Clients {
+    /// No connections yet. `max_connections`: connections at most; `bodies`: bytes of requests' bodies at most.
     pub fn new(
         protocol: Rc<dyn ClientProtocol>,
         max_connections: usize,
@@ -181,6 +193,7 @@
         self.max_connections.set(self.all / 2);
     }
 
+    /// The other process has ended: all connections are this one's.
     pub fn use_all_connections(&self) {
         self.max_connections.set(self.all);
     }
@@ -337,7 +350,7 @@
             Some(((false, since), _)) if now < since + GREETING_TIME => {
                 (Evictable::Soon(since + GREETING_TIME - now), None)
             }
-            Some((_, id)) => (Evictable::CurrentPhase, Some(id)),
+            Some((_, id)) => (Evictable::Now, Some(id)),
             None => (Evictable::None, None),
         }
     }
--- a/crates/gateway/src/clients/services.rs
+++ b/crates/gateway/src/clients/services.rs
@@ -5,6 +5,7 @@
 use std::pin::Pin;
 use std::rc::Rc;
 use std::task::{Context, Poll};
+use std::time::Duration;
 
 use hyper::body::Incoming;
 use hyper::header::{CONNECTION, HeaderValue, TRANSFER_ENCODING};
@@ -34,67 +35,121 @@
     }
 
     fn call(&mut self, request: Request<Incoming>) -> Answering {
-        let (connection, full, clients) = (
-            self.inner.connection.clone(),
-            self.full,
-            self.inner.clients.clone(),
-        );
-        let up = clients.protocol.is_readiness_check(request.uri());
-        let both = connection.heads.borrow().has_conflicting_length();
-        // Where the next head starts is not known after one.
-        let chunked = request.headers().contains_key(TRANSFER_ENCODING);
-        let named = clients.protocol.operation_name(request.uri());
+        let clients = self.inner.clients.clone();
+        let connection = self.inner.connection.clone();
         let started = clients.clock.now();
-        let too_late = !clients.shutdown_admission.takes(started);
-        let inner = (!up && !full && !both && !too_late).then(|| self.inner.call(request));
+        let local = self.answered_here(&request, started);
+        let ends_connection = self.full
+            || local == Some(AnsweredHere::ConflictingLength)
+            // Where the next head starts is not known after one.
+            || request.headers().contains_key(TRANSFER_ENCODING);
+        let operation = clients.protocol.operation_name(request.uri());
+        let inner = local.is_none().then(|| self.inner.call(request));
         Box::pin(async move {
-            let mut answer = match inner {
-                Some(inner) => {
-                    let answer = inner.await?;
-                    clients
-                        .shutdown_admission
-                        .answered(clients.clock.now().saturating_sub(started));
-                    answer
+            let mut response = match (inner, local) {
+                (Some(inner), _) => {
+                    let response = inner.await?;
+                    let took = clients.clock.now().saturating_sub(started);
+                    clients.shutdown_admission.answered(took);
+                    response
                 }
-                // A second request may hide in its body.
-                None if both => plain(StatusCode::BAD_REQUEST),
-                None if too_late => clients.refusal(),
-                None if up && clients.phase.get().is_serving() => plain(StatusCode::OK),
-                None => plain(StatusCode::SERVICE_UNAVAILABLE),
+                (None, Some(local)) => clients.local_response(local),
+                (None, None) => plain(StatusCode::SERVICE_UNAVAILABLE),
             };
-            let (now, closes_connections) = (
-                clients.clock.now(),
-                clients.phase.get().closes_connections(),
-            );
-            let streamed = matches!(answer.body(), ResponseBody::Streamed(_));
-            connection.response_complete.set(!streamed);
-            connection.enter(ConnectionState::WritingResponse, now);
-            if let Some(named) = named {
-                clients.count(&named, &mut answer);
-            }
-            if let ResponseBody::Streamed(body) = answer.body_mut() {
-                let (counted, connection) = (body.count.take(), connection.clone());
-                body.count = Some(Box::new(move |end| {
-                    counted.into_iter().for_each(|count| count(end));
-                    connection.response_complete.set(true);
-                }));
-            }
-            let ends = full || both || chunked || closes_connections || connection.unread.get();
-            if ends
-                || clients
-                    .admission
-                    .borrow_mut()
-                    .closes_after_response(clients.max_connections.get(), now)
-            {
-                answer
-                    .headers_mut()
-                    .insert(CONNECTION, HeaderValue::from_static("close"));
+            let closes_connections = clients.phase.get().closes_connections();
+            connection.enter_writing(&mut response, clients.clock.now(), |response| {
+                if let Some(operation) = operation {
+                    clients.count(&operation, response);
+                }
+            });
+            let ends = ends_connection || closes_connections || connection.unread.get();
+            if ends || clients.closes_for_others() {
+                let close = HeaderValue::from_static("close");
+                response.headers_mut().insert(CONNECTION, close);
             }
-            Ok(answer)
+            Ok(response)
         })
     }
 }
 
+/// Why a request is answered without becoming an invocation.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum AnsweredHere {
+    /// Its head gives its length in two ways: a second request may hide in its body.
+    ConflictingLength,
+    /// The process ends before it could be answered.
+    TooLate,
+    /// It asks whether the gateway is up.
+    Readiness,
+    /// Its connection is beyond the cap.
+    Full,
+}
+
+impl PhaseService {
+    fn answered_here(&self, request: &Request<Incoming>, now: Duration) -> Option<AnsweredHere> {
+        let clients = &self.inner.clients;
+        if self
+            .inner
+            .connection
+            .heads
+            .borrow()
+            .has_conflicting_length()
+        {
+            Some(AnsweredHere::ConflictingLength)
+        } else if !clients.shutdown_admission.takes(now) {
+            Some(AnsweredHere::TooLate)
+        } else if clients.protocol.is_readiness_check(request.uri()) {
+            Some(AnsweredHere::Readiness)
+        } else if self.full {
+            Some(AnsweredHere::Full)
+        } else {
+            None
+        }
+    }
+}
+
+impl Clients {
+    fn local_response(&self, local: AnsweredHere) -> ClientResponse {
+        match local {
+            AnsweredHere::ConflictingLength => plain(StatusCode::BAD_REQUEST),
+            AnsweredHere::TooLate => self.refusal(),
+            AnsweredHere::Readiness if self.phase.get().is_serving() => plain(StatusCode::OK),
+            AnsweredHere::Readiness | AnsweredHere::Full => plain(StatusCode::SERVICE_UNAVAILABLE),
+        }
+    }
+
+    /// Whether a response ends its connection for the sake of clients that wait for one.
+    fn closes_for_others(&self) -> bool {
+        let mut admission = self.admission.borrow_mut();
+        admission.closes_after_response(self.max_connections.get(), self.clock.now())
+    }
+}
+
+impl ClientConnection {
+    /// A response is written from now on; `count` is called before the end of one that is streamed is watched.
+    fn enter_writing(
+        self: &Rc<Self>,
+        response: &mut ClientResponse,
+        now: Duration,
+        count: impl FnOnce(&mut ClientResponse),
+    ) {
+        let is_streamed = matches!(response.body(), ResponseBody::Streamed(_));
+        self.response_complete.set(!is_streamed);
+        self.enter(ConnectionState::WritingResponse, now);
+        count(response);
+        if let ResponseBody::Streamed(body) = response.body_mut() {
+            let counted = body.count.take();
+            let connection = self.clone();
+            body.count = Some(Box::new(move |end| {
+                if let Some(counted) = counted {
+                    counted(end);
+                }
+                connection.response_complete.set(true);
+            }));
+        }
+    }
+}
+
 /// Second layer: a request becomes an invocation, the module's answer becomes a response.
 #[derive(Clone)]
 pub(super) struct InvocationService {
--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -2,6 +2,7 @@
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
+/// A clock that says Unix time, and never goes back.
 #[derive(Clone, Copy)]
 pub struct Clock {
     unix: Duration,
@@ -9,6 +10,7 @@
 }
 
 impl Clock {
+    /// A clock that reads Unix time now.
     pub fn start() -> Self {
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -27,6 +29,7 @@
         }
     }
 
+    /// The time.
     pub fn now(&self) -> Duration {
         self.unix + self.start.elapsed()
     }
--- a/crates/gateway/src/connection_admission.rs
+++ b/crates/gateway/src/connection_admission.rs
@@ -30,9 +30,11 @@
 /// Whether a connection may be closed for another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Evictable {
-    CurrentPhase,
+    /// It may be closed now.
+    Now,
     /// One that has hardly come: its request may be on its way, for so long.
     Soon(Duration),
+    /// It may not be closed.
     None,
 }
 
@@ -72,6 +74,7 @@
 }
 
 impl ConnectionAdmission {
+    /// Nobody waits yet.
     pub fn new(now: Duration) -> ConnectionAdmission {
         ConnectionAdmission {
             turned_away: RateLimiter::new(now),
@@ -86,7 +89,7 @@
             return Admit::Accept;
         }
         match idle {
-            Evictable::CurrentPhase => return Admit::Evict,
+            Evictable::Now => return Admit::Evict,
             Evictable::Soon(wait) => return Admit::Wait(wait),
             Evictable::None => {}
         }
@@ -121,14 +124,8 @@
     #[test]
     fn places_are_given_while_there_are_some_then_idle_ones_are_evicted() {
         let mut door = ConnectionAdmission::new(ms(0));
-        assert_eq!(
-            door.next(99, 100, Evictable::CurrentPhase, ms(0)),
-            Admit::Accept
-        );
-        assert_eq!(
-            door.next(100, 100, Evictable::CurrentPhase, ms(0)),
-            Admit::Evict
-        );
+        assert_eq!(door.next(99, 100, Evictable::Now, ms(0)), Admit::Accept);
+        assert_eq!(door.next(100, 100, Evictable::Now, ms(0)), Admit::Evict);
         assert_eq!(
             door.next(100, 100, Evictable::Soon(ms(9)), ms(0)),
             Admit::Wait(ms(9))
--- a/crates/gateway/src/dispatcher/mod.rs
+++ b/crates/gateway/src/dispatcher/mod.rs
@@ -72,9 +72,13 @@
 /// Starts the actor of a backend: where it is, and what it is called.
 pub type SpawnBackend = Box<dyn Fn(SocketAddr, &Arc<str>) -> BackendHandle>;
 
+/// The decision module's actor.
 pub struct Dispatcher {
+    /// The decisions.
     pub rules: Rules,
+    /// The time that events carry.
     pub clock: Clock,
+    /// What happens.
     pub mailbox: mpsc::Receiver<ToDispatcher>,
     /// Starts a backend's actor.
     pub spawn_backend: SpawnBackend,
@@ -82,13 +86,19 @@
     pub own_mailbox: mpsc::Sender<ToDispatcher>,
     /// What all gateways share besides the quotas: where the protocol sets it.
     pub attempt_policy: Option<Box<dyn AttemptPolicy>>,
+    /// The shared counter, if there is one.
     pub counter: Option<mpsc::Sender<ToCounter>>,
+    /// The watcher of the list of backends.
     pub list_watcher: mpsc::Sender<ToListWatcher>,
+    /// The other gateways, if there are any.
     pub peers: Option<mpsc::Sender<ToPeers>>,
     /// Where `peer_admissions` is set: the other gateways' adds, and the peers (by number) to report to.
     pub peer_admissions: Option<(PeerAdmissions, Vec<GatewayId>)>,
+    /// What is under way.
     pub state: DispatcherState,
+    /// What is counted for operators.
     pub figures: Figures,
+    /// What is logged of each second, where it is.
     pub account: Option<Account>,
     /// Whether somebody may ask for the figures.
     pub reports_figures: bool,
@@ -96,6 +106,7 @@
     pub carry: Option<oneshot::Sender<Box<Carry>>>,
 }
 
+/// What is under way.
 #[derive(Default)]
 pub struct DispatcherState {
     requests: HashMap<InvocationId, PendingRequest>,
@@ -106,6 +117,7 @@
 }
 
 impl Dispatcher {
+    /// Runs until nobody sends events any more.
     pub async fn run(mut self) {
         if self.peer_admissions.is_some() {
             self.state.timers.insert((
--- a/crates/gateway/src/handover.rs
+++ b/crates/gateway/src/handover.rs
@@ -118,6 +118,7 @@
         }
     }
 
+    /// Waits for a successor.
     pub async fn accept(&self) -> Option<HandoverConnection> {
         let (stream, _) = self.listener.accept().await.ok()?;
         Some(HandoverConnection::new(stream))
--- a/crates/gateway/src/log.rs
+++ b/crates/gateway/src/log.rs
@@ -16,6 +16,7 @@
 pub struct Site(Mutex<Option<(Instant, u32, u32)>>);
 
 impl Site {
+    /// Nothing was logged yet.
     pub const fn new() -> Self {
         Site(Mutex::new(None))
     }
--- a/crates/gateway/src/memory_budget.rs
+++ b/crates/gateway/src/memory_budget.rs
@@ -19,6 +19,7 @@
 }
 
 impl MemoryBudget {
+    /// So many bytes at most.
     pub fn new(most: usize) -> Self {
         MemoryBudget {
             most,
--- a/crates/gateway/src/peer_admissions.rs
+++ b/crates/gateway/src/peer_admissions.rs
@@ -35,6 +35,7 @@
     h.finish()
 }
 
+/// What the other gateways say they admitted, and what was reported to them.
 #[derive(Default)]
 pub struct PeerAdmissions {
     /// By name's hash: what was reported last and how many times it still has to go.
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -11,11 +11,17 @@
 use crate::messages::*;
 use crate::sizes::DATAGRAM;
 
+/// The actor that exchanges datagrams with the other gateways.
 pub struct Peers {
+    /// Where they call.
     pub socket: UdpSocket,
+    /// The gateways, by their numbers.
     pub peers: Vec<SocketAddr>,
+    /// Where all others are reached at once.
     pub all: Option<SocketAddr>,
+    /// Where their messages go.
     pub dispatcher: mpsc::Sender<ToDispatcher>,
+    /// What is to be sent.
     pub mailbox: mpsc::Receiver<ToPeers>,
 }
 
@@ -29,6 +35,7 @@
         UdpSocket::from_std(socket.into())
     }
 
+    /// Runs until nobody sends any more.
     pub async fn run(mut self) {
         let mut bytes = [0; DATAGRAM + 1];
         loop {
--- a/crates/gateway/src/phase.rs
+++ b/crates/gateway/src/phase.rs
@@ -30,6 +30,7 @@
     Draining,
     /// Accepts nothing more, owes the last answers.
     Finishing,
+    /// The process is over.
     Ended,
 }
 
@@ -56,6 +57,7 @@
 }
 
 impl CurrentPhase {
+    /// The phase.
     pub fn get(&self) -> Phase {
         use Phase::*;
         let all = [
@@ -66,6 +68,7 @@
             .unwrap_or(Ended)
     }
 
+    /// Enters a phase, and logs it.
     pub fn enter(&self, phase: Phase, name: &str) {
         self.0.store(phase as u8, Ordering::Relaxed);
         log!(info, "stage", "{name}: {phase:?}");
--- a/crates/gateway/src/platform_protocol.rs
+++ b/crates/gateway/src/platform_protocol.rs
@@ -85,6 +85,7 @@
 }
 
 impl PlatformRequests {
+    /// The protocol by these settings; requests go to that dispatcher.
     pub fn new(
         settings: &Settings,
         figures: &Figures,
--- a/crates/gateway/src/request_heads.rs
+++ b/crates/gateway/src/request_heads.rs
@@ -25,6 +25,7 @@
         self.both
     }
 
+    /// Looks through bytes that came.
     pub fn scan(&mut self, mut bytes: &[u8]) {
         while !bytes.is_empty() && !self.both && !self.blind {
             if self.skip > 0 {
--- a/crates/gateway/src/server/start.rs
+++ b/crates/gateway/src/server/start.rs
@@ -174,6 +174,35 @@
         (protocol, Rc::new(clients))
     }
 
+    /// Starts the dispatcher with the list as last known, and the watcher that brings the list; told once it has.
+    async fn start_list(
+        &self,
+        config: &Config,
+        dispatcher: Dispatcher,
+        mailbox: mpsc::Receiver<ToListWatcher>,
+        last_list: &Rc<RefCell<DiscoveryPage>>,
+    ) -> Result<oneshot::Receiver<()>, ServerError> {
+        let known = last_list.borrow().clone();
+        let revision = known.revision;
+        let mut names = NameTable::new(config.facts.dcs.clone(), config.facts.kinds.clone());
+        let restored = names.to_update(known, ListForm::Restored);
+        send(&self.dispatcher, ToDispatcher::BackendList(restored)).await?;
+        self.start(dispatcher.run());
+        let (first_list, listed) = oneshot::channel();
+        let watcher = BackendListWatcher {
+            at: config.addresses.discovery,
+            names,
+            mode: config.settings.discovery,
+            known: revision,
+            last_list: last_list.clone(),
+            dispatcher: self.dispatcher.clone(),
+            mailbox,
+            first: Some(first_list),
+        };
+        self.start(watcher.run());
+        Ok(listed)
+    }
+
     /// The decision module's actor, not yet started.
     fn dispatcher(
         &self,
@@ -266,24 +295,10 @@
             },
         );
         let knows_backends = !known.members.is_empty();
-        let last_list = Rc::new(RefCell::new(known.clone()));
-        let revision = known.revision;
-        let mut names = NameTable::new(config.facts.dcs.clone(), config.facts.kinds.clone());
-        let restored = names.to_update(known, ListForm::Restored);
-        send(&parts.dispatcher, ToDispatcher::BackendList(restored)).await?;
-        parts.start(dispatcher.run());
-        let (first_list, listed) = oneshot::channel();
-        let watcher = BackendListWatcher {
-            at: config.addresses.discovery,
-            names,
-            mode: config.settings.discovery,
-            known: revision,
-            last_list: last_list.clone(),
-            dispatcher: parts.dispatcher.clone(),
-            mailbox: list_mailbox,
-            first: Some(first_list),
-        };
-        parts.start(watcher.run());
+        let last_list = Rc::new(RefCell::new(known));
+        let listed = parts
+            .start_list(&config, dispatcher, list_mailbox, &last_list)
+            .await?;
         let listener = listen(config.listen).map_err(|source| ServerError::Listen {
             address: config.listen,
             source,
--- a/crates/gateway/src/write_meter.rs
+++ b/crates/gateway/src/write_meter.rs
@@ -13,12 +13,14 @@
 }
 
 impl WriteMeter {
+    /// A request is about to be written, whose body is so long.
     pub fn begin(&self, body_left: usize) {
         self.body_left.set(body_left);
         self.in_head.set(true);
         self.head_end_matched.set(0);
     }
 
+    /// These bytes were handed to the system.
     pub fn wrote(&self, mut bytes: &[u8]) {
         while self.in_head.get() {
             let Some((&b, rest)) = bytes.split_first() else {
--- a/crates/handover/src/lib.rs
+++ b/crates/handover/src/lib.rs
@@ -12,6 +12,7 @@
 //!
 //! Whoever is left alone goes on alone: the younger serves without what it could not get, and the elder takes
 //! its place up again if the younger dies, unless it was told to end.
+#![warn(missing_docs)]
 
 use damsonbeam::interface::Carry;
 use serde::{Deserialize, Serialize};
@@ -22,14 +23,20 @@
 /// What the two say to each other, a JSON line each.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum HandoverMessage {
+    /// The successor greets.
     Hello {
+        /// The version of these messages that it speaks.
         version: u32,
+        /// The gateway's name.
         name: String,
     },
     /// The list of backends, in discovery's form.
     Known(serde_json::Value),
+    /// The successor has started all but taking clients.
     Prepared,
+    /// The predecessor's state.
     Carry(Box<Carry>),
+    /// The successor serves.
     Taken,
 }
 
@@ -54,9 +61,12 @@
 pub enum PredecessorEvent {
     /// A greeting, and whether its version and the gateway's name are ours.
     Hello {
+        /// The version and the name are ours.
         ours: bool,
     },
+    /// The successor has started all but taking clients.
     Prepared,
+    /// The successor serves.
     Taken,
     /// The younger said what has no place here, or its connection ended.
     Lost,
@@ -67,10 +77,13 @@
 /// What the elder does, in order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PredecessorAction {
+    /// The list of backends is sent.
     TellKnown,
+    /// It accepts no more clients.
     StopAccepting,
     /// The module yields; what it hands over is sent.
     SendCarry,
+    /// Its clients are sent to the successor.
     SendClientsAway,
     /// Accepts again, and the module has its parts again.
     Resume,
