--- a/crates/account/src/lib.rs
+++ b/crates/account/src/lib.rs
@@ -2,6 +2,7 @@
 //!
 //! One gateway's log shows a call a second; a hundred of them show a service that serves none. A line that
 //! can't be used is named with file and line and counted, never left out in silence.
+#![warn(missing_docs)]
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
@@ -33,11 +34,13 @@
 /// The fleet's account.
 #[derive(Debug, Default)]
 pub struct Account {
+    /// Files that were read.
     pub files: usize,
     /// By what was counted, then by second.
     pub counts: BTreeMap<String, BTreeMap<u64, u64>>,
     /// Lines that could not be used: file, line and why.
     pub faulty: Vec<String>,
+    /// Lines that could not be read.
     pub faulty_lines: usize,
 }
 
--- a/crates/admin/src/calls.rs
+++ b/crates/admin/src/calls.rs
@@ -35,18 +35,23 @@
 /// What operators may tell a gateway to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Order {
+    /// Sends its clients away, and lives on.
     Evacuate,
+    /// Takes clients again.
     Rejoin,
 }
 
 /// An order, and where the gateway says whether it does so.
 pub type Asked = (Order, oneshot::Sender<bool>);
 
+/// Answers operators.
 #[derive(Clone)]
 pub struct Admin {
+    /// What is counted.
     pub figures: Figures,
     /// Whether the process is ready to serve.
     pub ready: Arc<dyn Fn() -> bool + Send + Sync>,
+    /// Where orders go.
     pub orders: mpsc::Sender<Asked>,
 }
 
--- a/crates/admin/src/figures.rs
+++ b/crates/admin/src/figures.rs
@@ -12,27 +12,37 @@
     0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.0, 3.0, 5.0, 7.5, 15.0,
 ];
 
+/// What is counted for operators.
 #[derive(Clone)]
 pub struct Figures {
     registry: Registry,
     /// Invocations by their final answer, for each operation.
     pub answered: IntCounterVec,
+    /// Answers that ask the client to come back.
     pub deferred: IntCounterVec,
+    /// Answers that are errors.
     pub errored: IntCounterVec,
     /// Deliveries whose last byte was written to a backend.
     pub sends: IntCounter,
     /// Invocations taken and not ended.
     pub current: IntGauge,
+    /// Backends that are listed.
     pub cluster_size: IntGauge,
+    /// Those of them that are avoided.
     pub cluster_unhealthy: IntGauge,
+    /// Configurations that were taken.
     pub conf_loaded: IntCounter,
+    /// Configurations that were refused.
     pub conf_invalid: IntCounter,
     /// Why invocations were turned away: before any delivery (quota, line, time), or after one.
     pub turned_away: IntCounterVec,
     /// The same by reason, as the module names it.
     pub turned_away_why: IntCounterVec,
+    /// Attempts, by how they ended.
     pub deliveries: IntCounterVec,
+    /// Calls to the counter, by how they ended.
     pub counter_calls: IntCounterVec,
+    /// Connections of clients.
     pub clients: IntGauge,
     /// 1 from a start by registries that were cut off from most of the core until one in contact is met.
     pub possibly_old: IntGauge,
--- a/crates/load-reports/src/gossip.rs
+++ b/crates/load-reports/src/gossip.rs
@@ -32,7 +32,9 @@
 /// What goes from one proxy to another.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct Datagram {
+    /// Who sends it.
     pub from: Origin,
+    /// What it tells of backends.
     pub summaries: Vec<Summary>,
 }
 
@@ -43,6 +45,7 @@
     out
 }
 
+/// A datagram of these bytes; `None` where they are none, or of another version.
 pub fn unpack(bytes: &[u8]) -> Option<Datagram> {
     let (version, rest) = bytes.split_first()?;
     (*version == VERSION).then(|| bitcode::decode(rest).ok())?
@@ -52,18 +55,23 @@
 #[derive(Clone, Debug)]
 pub struct Gossip<P> {
     me: Origin,
+    /// The partners of the own region.
     pub near: Vec<P>,
+    /// The partners of other regions.
     pub far: Vec<P>,
     next: Duration,
     rounds: u32,
     number: u32,
     heard: HashMap<P, (u32, u64)>,
     rng: SmallRng,
+    /// What others have reported.
     pub table: SummaryTable,
+    /// What was observed here.
     pub observer: Observer,
 }
 
 impl<P: Clone + Eq + std::hash::Hash> Gossip<P> {
+    /// Nobody is known yet. `me`: by which others know this proxy.
     pub fn new(me: Origin, seed: u64) -> Self {
         Gossip {
             me,
--- a/crates/load-reports/src/observation.rs
+++ b/crates/load-reports/src/observation.rs
@@ -11,6 +11,7 @@
 /// each other some weight, no more.
 pub type BackendKey = u32;
 
+/// The number by which all proxies name a backend.
 pub fn backend_key(id: &str) -> BackendKey {
     let mut hash = FnvHasher::default();
     hash.write(id.as_bytes());
@@ -26,14 +27,18 @@
     pub usual_ms: u16,
     /// Of 255 deliveries that ended of late, so many were turned away, and so many failed.
     pub full: u8,
+    /// The part of attempts that failed, of 255.
     pub failed: u8,
 }
 
 /// How a delivery ended, as far as it tells of the backend.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum DeliveryEnd {
+    /// The backend has answered.
     Answered,
+    /// It had no room.
     Full,
+    /// It failed.
     Failed,
     /// It was called off here: that tells nothing.
     Cancelled,
@@ -74,12 +79,14 @@
     }
 }
 
+/// What was observed of each backend.
 #[derive(Clone, Debug, Default)]
 pub struct Observer {
     seen: HashMap<BackendKey, RecentDeliveries>,
 }
 
 impl Observer {
+    /// An attempt goes to a backend.
     pub fn begin(&mut self, backend: BackendKey, now: Duration) {
         let seen = self.seen.entry(backend).or_default();
         seen.fade(now);
--- a/crates/load-reports/src/summaries.rs
+++ b/crates/load-reports/src/summaries.rs
@@ -13,6 +13,7 @@
 
 /// A summary of this age is nobody's any more; of half of it, it is passed on no further.
 pub const EXPIRY: Duration = Duration::from_millis(3000);
+/// A summary is forwarded up to this age.
 pub const FORWARD_AGE: Duration = Duration::from_millis(1500);
 /// A summary weighs half after this.
 const HALF_LIFE_S: f64 = 0.6;
@@ -26,23 +27,31 @@
 /// A summary as it goes from one to another: its age is told, for clocks differ.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Summary {
+    /// Who made the observation.
     pub origin: Origin,
     /// Counts up at its origin with each summary.
     pub number: u32,
+    /// The backend.
     pub backend: BackendKey,
+    /// Since the observation.
     pub age_ms: u16,
+    /// What was observed.
     pub observation: Observation,
 }
 
+/// What one proxy observed last of a backend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Entry {
+    /// The observation's number.
     pub number: u32,
     /// When it was true, by this process's clock.
     pub at: Duration,
+    /// What was observed.
     pub observation: Observation,
     forwards_left: u8,
 }
 
+/// What the other proxies have observed.
 #[derive(Clone, Debug, Default)]
 pub struct SummaryTable {
     all: HashMap<BackendKey, BTreeMap<Origin, Entry>>,
@@ -55,7 +64,9 @@
     pub out: f64,
     /// How many tell of it, and the age of the oldest that counts.
     pub origins: usize,
+    /// The age of the oldest of them.
     pub oldest: Duration,
+    /// One for each proxy that has told.
     pub opinions: Vec<Opinion>,
 }
 
@@ -66,12 +77,14 @@
     pub usual_ms: f64,
     /// Parts of deliveries that were turned away, and that failed.
     pub full: f64,
+    /// The part of attempts that failed.
     pub failed: f64,
     /// By age: 1 for what is said just now.
     pub weight: f64,
 }
 
 impl Opinion {
+    /// An observation, weighed.
     pub fn of(observation: &Observation, weight: f64) -> Self {
         let part = |of_255: u8| f64::from(of_255) / 255.0;
         Opinion {
@@ -136,6 +149,7 @@
         self.all.retain(|mark, _| backends(*mark));
     }
 
+    /// What all others have told of a backend.
     pub fn view(&self, backend: BackendKey, now: Duration) -> BackendView {
         let mut view = BackendView::default();
         for k in self.all.get(&backend).into_iter().flat_map(|k| k.values()) {
@@ -182,10 +196,12 @@
         })
     }
 
+    /// Observations that are kept.
     pub fn len(&self) -> usize {
         self.all.values().map(BTreeMap::len).sum()
     }
 
+    /// Whether none is kept.
     pub fn is_empty(&self) -> bool {
         self.all.is_empty()
     }
--- a/crates/load-reports/src/weight.rs
+++ b/crates/load-reports/src/weight.rs
@@ -24,8 +24,11 @@
 /// A backend as this proxy knows it from all sides.
 #[derive(Clone, Debug, Default)]
 pub struct BackendLoad {
+    /// Attempts that it takes at once.
     pub slots: f64,
+    /// What was observed here.
     pub own: Observation,
+    /// What the others have told.
     pub told: BackendView,
 }
 
@@ -106,6 +109,7 @@
     }
 }
 
+/// The factors on the weights of backends.
 #[derive(Clone, Debug, Default)]
 pub struct WeightFactors {
     current: HashMap<BackendKey, f64>,
@@ -146,6 +150,7 @@
         (factor - published).abs() >= MIN_CHANGE || (factor >= 1.0) != (published >= 1.0)
     }
 
+    /// The factor of a backend, as the decision modules know it.
     pub fn factor(&self, backend: BackendKey) -> f64 {
         self.published.get(&backend).copied().unwrap_or(1.0)
     }
--- a/crates/mirror/src/budget.rs
+++ b/crates/mirror/src/budget.rs
@@ -10,6 +10,7 @@
 const BURST_S: f64 = 1.0;
 /// Copies under way or waiting at this proxy, and their bytes.
 pub const MAX_IN_FLIGHT: usize = 64;
+/// Bytes of mirrored requests that are out at most.
 pub const MAX_BYTES_IN_FLIGHT: usize = 1 << 20;
 /// A body above this is not copied: its caller's session is broken then.
 pub const MAX_BODY_BYTES: usize = 64 << 10;
@@ -18,6 +19,7 @@
 /// Copies rest for this long then.
 const PRESSURE_PAUSE: Duration = Duration::from_millis(500);
 
+/// Why a mirrored request is not sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum DropReason {
     /// Over the rule's requests or bytes a second.
@@ -35,6 +37,7 @@
 }
 
 impl DropReason {
+    /// As figures name it.
     pub fn name(self) -> &'static str {
         match self {
             DropReason::Budget => "budget",
@@ -54,6 +57,7 @@
     at: Option<Duration>,
 }
 
+/// What mirrored requests may use up.
 #[derive(Debug, Default)]
 pub struct Budget {
     buckets: HashMap<String, TokenBucket>,
--- a/crates/mirror/src/selection.rs
+++ b/crates/mirror/src/selection.rs
@@ -25,6 +25,7 @@
     hash.finish()
 }
 
+/// Whether a rule mirrors the requests of a caller.
 pub fn is_chosen(rule: &MirrorRule, caller: Caller) -> bool {
     (caller as f64) < rule.share * 2f64.powi(64)
 }
@@ -69,10 +70,12 @@
         rules.filter(on).collect()
     }
 
+    /// Whether there is no rule.
     pub fn is_empty(&self) -> bool {
         self.rules.is_empty()
     }
 
+    /// The names of the rules.
     pub fn names(&self) -> impl Iterator<Item = &str> {
         self.rules.keys().map(String::as_str)
     }
--- a/crates/mirror/src/sessions.rs
+++ b/crates/mirror/src/sessions.rs
@@ -13,12 +13,15 @@
 /// An answer as far as it is compared.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Answer {
+    /// Its status.
     pub status: u16,
     /// Of the whole body, where it was here as a whole.
     pub digest: Option<u64>,
+    /// Since the request.
     pub took: Duration,
 }
 
+/// A hash of a body, by which answers are compared.
 pub fn digest(body: &[u8]) -> u64 {
     use std::hash::Hasher;
     let mut hash = siphasher::sip::SipHasher13::new();
@@ -41,12 +44,14 @@
     callers: HashMap<Caller, (u64, bool)>,
 }
 
+/// The callers whose requests are mirrored.
 #[derive(Debug, Default)]
 pub struct Sessions {
     rules: BTreeMap<(String, u64), RuleTotals>,
 }
 
 impl Sessions {
+    /// A request of a caller was mirrored.
     pub fn copied(&mut self, rule: (&str, u64), caller: Caller) {
         let totals = self.totals(rule);
         totals.copied += 1;
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,5 +1,6 @@
 //! The settings object that a gateway gets at its start, as it stands on the simulator's wire and in a
 //! gateway's configuration, and its translation to the module's settings. One decoder for both.
+#![warn(missing_docs)]
 
 use std::time::Duration;
 
@@ -10,98 +11,159 @@
     Duration::from_nanos(t)
 }
 
+/// The settings as they stand in the file.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "kebab-case", default)]
 pub struct Facts {
+    /// What the deployment allows.
     pub ceilings: Ceilings,
     /// Names of the zones, by number.
     pub dcs: Vec<String>,
+    /// How the list of backends comes.
     pub discovery: String,
+    /// The counted domain.
     pub domain: Domain,
     /// Names of the kinds of machine, by number.
     pub kinds: Vec<String>,
+    /// This gateway's zone.
     pub locality: u32,
+    /// The plans of customers.
     pub plans: Vec<PlanFacts>,
+    /// The load reports of backends.
     pub report: ReportFacts,
+    /// The operations of the service.
     pub request_classes: Vec<Class>,
+    /// The bounds that decisions keep to.
     pub rules: RuleFacts,
+    /// This gateway's number.
     pub self_index: u32,
+    /// Gateways of the fleet.
     pub siblings: u32,
+    /// Between two batches of events.
     pub tick_ns: u64,
 }
 
+/// What the deployment allows.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "kebab-case", default)]
 pub struct Ceilings {
+    /// Attempts may be cancelled.
     pub cancel: bool,
+    /// The platform closes idle connections after this.
     pub conn_idle_ns: u64,
+    /// A connection comes up within this.
     pub connect_timeout_ns: u64,
+    /// Invocations that are open at most.
     pub max_open: usize,
+    /// The longest wait that clients are told.
     pub max_retry_after_ns: u64,
+    /// Gateways may send each other messages.
     pub may_tell: bool,
+    /// Several attempts may be out at once.
     pub parallel_tries: bool,
+    /// Backends may be probed.
     pub probes: bool,
+    /// Clients may be told when to come back.
     pub retry_after: bool,
+    /// Attempts of an invocation at most.
     pub try_limit: u32,
 }
 
+/// The counted domain.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "kebab-case", default)]
 pub struct Domain {
+    /// What a call to the counter costs.
     pub call_price: f64,
+    /// It answers within this.
     pub counter_timeout_ns: u64,
+    /// Whether there is a counter.
     pub has_counter: bool,
+    /// The span that answers tell a customer's use of.
     pub meter_ns: u64,
+    /// Units of an invocation at most.
     pub most_units: f64,
+    /// True units come with the answer.
     pub settles: bool,
 }
 
+/// A plan.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "kebab-case", default)]
 pub struct PlanFacts {
+    /// Units a second that are never passed.
     pub cap_rate: f64,
+    /// What a unit beyond the quota earns.
     pub excess_worth: f64,
+    /// Part by which the ceiling may be passed.
     pub hard_slack: f64,
+    /// Attempts that are out at once.
     pub max_out: f64,
+    /// Its name.
     pub name: String,
+    /// Units that the ceiling saves up.
     pub never_over_depth: f64,
+    /// What a unit beyond the quota costs.
     pub overrun_cost: f64,
+    /// Units a second.
     pub quota_rate: f64,
+    /// Units in a window.
     pub store_size: f64,
+    /// What a unit earns, beside other plans.
     pub value_factor: f64,
 }
 
+/// An operation.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "kebab-case", default)]
 pub struct Class {
+    /// What a client waits over all its tries.
     pub deadline_ns: u64,
+    /// The backends that share their memory of repeats.
     pub group: String,
+    /// Whether it may take effect again.
     pub idempotency: String,
+    /// What a unit earns, beside other operations.
     pub importance: f64,
+    /// Part of that for an answer after the objective.
     pub late_worth: f64,
+    /// Its name.
     pub name: String,
+    /// The latency objective.
     pub slo_ns: u64,
+    /// Its answers are streams.
     pub streamed: bool,
+    /// For how long repeats are dropped.
     pub window_ns: u64,
 }
 
+/// The load reports of backends.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "kebab-case", default)]
 pub struct ReportFacts {
     /// `inline`, `on_probe` or `off`; what else stands there is taken as `off`.
     pub how: String,
+    /// The values in them.
     pub names: Vec<String>,
 }
 
+/// The bounds that decisions keep to.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "kebab-case", default)]
 pub struct RuleFacts {
+    /// How long an answer takes to its client.
     pub answer_slack_ns: u64,
+    /// How long a list of backends is asked for at most.
     pub ask_within_ns: u64,
+    /// A backend has its full capacity after this.
     pub cold_ns: u64,
+    /// Part of its capacity that a backend has at its start.
     pub cold_share: f64,
+    /// How long a backend that drains answers on.
     pub drain_grace_ns: u64,
+    /// So many times the usual work overloads a backend that warms up.
     pub overload_factor: f64,
+    /// The span over which that work is taken.
     pub tip_after_ns: u64,
 }
 
