--- a/crates/account/src/lib.rs
+++ b/crates/account/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! One gateway's log shows a call a second; a hundred of them show a service that serves none. A line that
 //! can't be used is named with file and line and counted, never left out in silence.
-#![warn(missing_docs)]
+#![warn(clippy::too_many_lines)]
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
@@ -45,6 +45,9 @@
 }
 
 /// Reads every file of a folder.
+///
+/// # Errors
+/// Where the folder or a file can't be read.
 pub fn read(folder: &Path) -> Result<Account, String> {
     let failed = |e| format!("{}: {e}", folder.display());
     let mut paths = Vec::new();
@@ -166,6 +169,9 @@
     }
 
     /// A row a second, a column for each thing counted.
+    ///
+    /// # Errors
+    /// Where the table can't be written.
     pub fn csv(&self) -> Result<String, String> {
         let mut table = csv::Writer::from_writer(Vec::new());
         let head = std::iter::once("second".to_owned()).chain(self.counts.keys().cloned());
--- a/crates/admin/src/figures.rs
+++ b/crates/admin/src/figures.rs
@@ -53,7 +53,14 @@
 }
 
 impl Figures {
-    /// All figures at 0; fails only where two have one name.
+    /// All figures at 0.
+    ///
+    /// # Errors
+    /// Where two figures have one name.
+    #[expect(
+        clippy::too_many_lines,
+        reason = "a list of figures, one after the other"
+    )]
     pub fn new() -> prometheus::Result<Self> {
         let registry = Registry::new_custom(Some("gateway".into()), None)?;
         let by = |name: &str, help: &str, label: &str| {
--- a/crates/config-store/src/consensus/replica.rs
+++ b/crates/config-store/src/consensus/replica.rs
@@ -229,6 +229,7 @@
     }
 
     /// Takes a message of another replica. It is long for it has an arm for each message, which only takes it apart.
+    #[expect(clippy::too_many_lines, reason = "an arm for each message")]
     pub fn receive(&mut self, from: Ip, message: Message, now: Duration) {
         if let Some(last_seen) = self.last_seen.get_mut(&from) {
             *last_seen = now;
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -13,8 +13,7 @@
 //! - [`settings`]: the settings file of a process
 //! - [`link`]: held connections; with [`program`], the only module that does I/O
 //! - [`address`], [`json`]: small helpers
-
-#![warn(missing_docs)]
+#![warn(clippy::too_many_lines)]
 
 pub mod address;
 pub mod config;
--- a/crates/gateway/src/account.rs
+++ b/crates/gateway/src/account.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use damsonbeam::interface::*;
+use damsonbeam::interface::{Action, BackendId, Event, ListForm};
 use damsonbeam_account::VERSION;
 use serde_json::{Map, Value};
 
--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -34,7 +34,7 @@
 use crate::connection_admission::{Admit, ConnectionAdmission, Evictable, TURNOVER_TIME};
 use crate::log::log;
 use crate::memory_budget::MemoryBudget;
-use crate::messages::*;
+use crate::messages::{Answer, ForwardedRequest, ToDispatcher};
 use crate::phase::CurrentPhase;
 use crate::shutdown_admission::ShutdownAdmission;
 use crate::sizes::HEAD;
--- a/crates/gateway/src/clients/invocation.rs
+++ b/crates/gateway/src/clients/invocation.rs
@@ -14,7 +14,7 @@
 use super::{ClientResponse, Clients, DecodedRequest, Rejection, rejection};
 use crate::bodies::{self, RequestBody, ResponseBody, StreamEnd, StreamedBody};
 use crate::log::log;
-use crate::messages::*;
+use crate::messages::{Answer, ForwardedRequest, ToDispatcher};
 use crate::shutdown_admission::ELSEWHERE;
 use crate::sizes::{BODY, LARGE};
 
--- a/crates/gateway/src/config/unknown_keys.rs
+++ b/crates/gateway/src/config/unknown_keys.rs
@@ -23,6 +23,9 @@
 }
 
 /// `damsonbeam config check`: what `serve` would refuse, and keys that nothing reads; else the notes.
+///
+/// # Errors
+/// What is wrong, a line each.
 pub fn check_file(path: &Path) -> Result<Vec<String>, Vec<String>> {
     let text = std::fs::read_to_string(path).map_err(|e| vec![e.to_string()])?;
     let (own, settings) = unknown_keys(&text);
--- a/crates/gateway/src/dispatcher/mod.rs
+++ b/crates/gateway/src/dispatcher/mod.rs
@@ -14,7 +14,10 @@
 use std::time::Duration;
 
 use damsonbeam::Rules;
-use damsonbeam::interface::*;
+use damsonbeam::interface::{
+    AttemptNumber, BackendId, Carry, Event, GatewayId, Health, InvocationId, ListForm, Outcome,
+    Report,
+};
 use damsonbeam_admin::Figures;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::sleep_until;
--- a/crates/gateway/src/messages.rs
+++ b/crates/gateway/src/messages.rs
@@ -6,7 +6,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use damsonbeam::interface::*;
+use damsonbeam::interface::{
+    AttemptNumber, BackendEntry, Carry, GatewayId, Invocation, InvocationId, ListForm, Outcome,
+    RejectReason, Report, Settings,
+};
 use hyper::header::HeaderMap;
 use hyper::{Method, StatusCode, Uri};
 use socket2::SockRef;
--- a/crates/gateway/src/peer_admissions.rs
+++ b/crates/gateway/src/peer_admissions.rs
@@ -87,8 +87,11 @@
             return false;
         }
         for e in entries.chunks(ENTRY_BYTES) {
-            let h = u64::from_be_bytes(e[..8].try_into().expect("eight bytes"));
-            let units = f64::from(f32::from_be_bytes(e[8..].try_into().expect("four bytes")));
+            let (Ok(name), Ok(units)) = (e[..8].try_into(), e[8..].try_into()) else {
+                continue;
+            };
+            let h = u64::from_be_bytes(name);
+            let units = f64::from(f32::from_be_bytes(units));
             if units.is_finite() && units >= 0.0 {
                 self.peers.entry(h).or_default().insert(from, (units, now));
             }
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -8,7 +8,7 @@
 use tokio::sync::mpsc;
 
 use crate::log::log;
-use crate::messages::*;
+use crate::messages::{ToDispatcher, ToPeers};
 use crate::sizes::DATAGRAM;
 
 /// The actor that exchanges datagrams with the other gateways.
@@ -27,6 +27,9 @@
 
 impl Peers {
     /// Two processes of one gateway may listen at a time, while the one follows the other.
+    ///
+    /// # Errors
+    /// Where the address can't be bound.
     pub fn bind(at: SocketAddr) -> std::io::Result<UdpSocket> {
         let socket = Socket::new(Domain::for_address(at), Type::DGRAM, None)?;
         socket.set_reuse_address(true)?;
--- a/crates/gateway/src/server/start.rs
+++ b/crates/gateway/src/server/start.rs
@@ -259,6 +259,10 @@
 
 impl Server {
     /// Starts all actors; returns once there is a list of backends, and clients are accepted.
+    #[expect(
+        clippy::too_many_lines,
+        reason = "one actor after the other, in the order of the start"
+    )]
     pub(super) async fn start(&self, config: Config) -> Result<Running, ServerError> {
         // SIGHUP ends a program that has not asked for it.
         let reload = signal(SignalKind::hangup()).map_err(|source| ServerError::Signal {
--- a/crates/handover/src/lib.rs
+++ b/crates/handover/src/lib.rs
@@ -12,7 +12,7 @@
 //!
 //! Whoever is left alone goes on alone: the younger serves without what it could not get, and the elder takes
 //! its place up again if the younger dies, unless it was told to end.
-#![warn(missing_docs)]
+#![warn(clippy::too_many_lines)]
 
 use damsonbeam::interface::Carry;
 use serde::{Deserialize, Serialize};
--- a/crates/load/src/experiment.rs
+++ b/crates/load/src/experiment.rs
@@ -158,7 +158,7 @@
 /// Runs an experiment for what it finds alone, as tests do: its report is not kept.
 ///
 /// # Errors
-/// As [`run`].
+/// As [`run()`].
 pub fn found(path: &Path, program: &Path) -> Result<Found, String> {
     let name = path.file_stem().unwrap_or_default().to_string_lossy();
     let out = std::env::temp_dir().join(format!("damsonbeam-{name}-{}", std::process::id()));
--- a/crates/proxy/src/dispatch/mod.rs
+++ b/crates/proxy/src/dispatch/mod.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 
 use damsonbeam::Rules;
-use damsonbeam::interface::*;
+use damsonbeam::interface::{ListForm, OperationId, Plan, PlanId, Settings};
 use damsonbeam_admin::Figures;
 use damsonbeam_control::config::{Route, RouteKind};
 use damsonbeam_gateway::backends::{Backend, ConnectionPools};
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -11,8 +11,7 @@
 //! - [`protocol`]: what clients and backends speak; [`dispatch`]: the decision modules
 //! - [`control_client`]: the connections to the registries; [`mirroring`]: mirrored requests
 //! - [`process`]: one proxy process, from start to exit
-
-#![warn(missing_docs)]
+#![warn(clippy::too_many_lines)]
 
 pub mod backend_pool;
 pub mod config_transfer;
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -9,8 +9,7 @@
 //! - `registry`: the state as a whole, and what happens to it; `store_messages`: what the store sends; `proxy_updates`:
 //!   what proxies are sent; `state_report`: what operators are shown
 //! - `gossip`, `links`, `operators`, `platform`: sockets and connections; `report`: bodies of answers
-
-#![warn(missing_docs)]
+#![warn(clippy::too_many_lines)]
 
 pub mod backend_list;
 pub mod calls;
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,10 +1,13 @@
 //! The settings object that a gateway gets at its start, as it stands on the simulator's wire and in a
 //! gateway's configuration, and its translation to the module's settings. One decoder for both.
-#![warn(missing_docs)]
+#![warn(clippy::too_many_lines)]
 
 use std::time::Duration;
 
-use damsonbeam::interface::*;
+use damsonbeam::interface::{
+    Counter, Discovery, GatewayId, Group, InForce, Limits, Operation, OperationId, Plan, PlanId,
+    Repeat, Settings,
+};
 use serde::Deserialize;
 
 fn ns(t: u64) -> Duration {
@@ -167,7 +170,11 @@
     pub tip_after_ns: u64,
 }
 
-/// What the module is told of them.
+/// What the decision module is told of them.
+///
+/// # Errors
+/// Where they name no operation.
+#[expect(clippy::too_many_lines, reason = "one field after the other")]
 pub fn settings(f: &Facts) -> Result<Settings, String> {
     let operation = |c: &Class| {
         let repeat = match c.idempotency.as_str() {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -6,7 +6,7 @@
 //!
 //! `interface` is what both sides say to each other; `rules` holds every decision, a file for each concern;
 //! `settings_update` keeps the meaning of positions while settings change.
-#![warn(missing_docs)]
+#![warn(clippy::too_many_lines)]
 
 pub mod interface;
 pub mod rules;
