--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -7,101 +7,148 @@
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
-use std::sync::Arc;
 use std::time::Duration;
 
 use damsonbeam::Rules;
-use damsonbeam::interface::BackendEntry;
+
+use translate::{GatewayEvent, Lists, TranslateError};
+use wire::{Batch, Reply, WireEvent};
+
+/// Why a line can't be answered.
+#[derive(Debug, thiserror::Error)]
+enum LineError {
+    #[error("not a batch: {0}")]
+    Malformed(#[from] serde_json::Error),
+    #[error(transparent)]
+    Event(#[from] TranslateError),
+    #[error("{0}")]
+    Settings(String),
+    #[error("shutdown names unknown instance {0}")]
+    UnknownShutdown(u32),
+    #[error("event for unknown instance {0}")]
+    UnknownInstance(u32),
+    #[error(transparent)]
+    Io(#[from] io::Error),
+}
+
+/// Why the adapter ends.
+#[derive(Debug, thiserror::Error)]
+#[error("line {number}: {error}")]
+struct RunError {
+    number: u64,
+    error: LineError,
+}
 
 /// All instances of this process, and the lists that the wire numbers for all of them.
 #[derive(Default)]
 struct Host {
     instances: BTreeMap<u32, Rules>,
-    lists: BTreeMap<u32, Arc<[BackendEntry]>>,
+    lists: Lists,
 }
 
 impl Host {
-    fn answer(&mut self, line: &str) -> Result<wire::Reply, String> {
-        let batch: wire::Batch =
-            serde_json::from_str(line).map_err(|e| format!("not a batch: {e}"))?;
-        let now = Duration::from_nanos(batch.clock);
-        let mut reply = wire::Reply::default();
-        for happened in batch.happened {
-            let (gateway, event) = match happened {
-                wire::Happened::Unknown => continue,
-                wire::Happened::Register { page, rows_in } => {
-                    let entries: Result<_, String> = rows_in.iter().map(translate::entry).collect();
-                    self.lists.insert(page, entries?);
-                    continue;
-                }
-                wire::Happened::Begin {
-                    gateway_id,
-                    rng_seed,
-                    facts,
-                } => {
-                    let settings = damsonbeam_settings::settings(&facts)?;
-                    self.instances
-                        .insert(gateway_id, Rules::new(rng_seed, settings, now));
-                    continue;
-                }
-                wire::Happened::Shutdown { gateway_id } => {
-                    self.instances
-                        .remove(&gateway_id)
-                        .ok_or_else(|| format!("shutdown names unknown instance {gateway_id}"))?;
-                    continue;
-                }
-                other => match translate::event(other, &self.lists)? {
-                    Some(known) => known,
-                    None => continue,
-                },
-            };
-            let rules = self
-                .instances
-                .get_mut(&gateway)
-                .ok_or_else(|| format!("event for unknown instance {gateway}"))?;
-            let actions = rules.on(now, event);
-            reply.output.extend(
-                actions
-                    .into_iter()
-                    .map(|action| translate::output(gateway, action)),
-            );
+    /// Answers a batch of events.
+    fn answer(&mut self, line: &str) -> Result<Reply, LineError> {
+        let batch: Batch = serde_json::from_str(line)?;
+        let now = Duration::from_nanos(batch.clock_ns);
+        let mut reply = Reply::default();
+        for event in batch.happened {
+            self.handle(event, now, &mut reply)?;
         }
         Ok(reply)
     }
+
+    fn handle(
+        &mut self,
+        event: WireEvent,
+        now: Duration,
+        reply: &mut Reply,
+    ) -> Result<(), LineError> {
+        match event {
+            WireEvent::Unknown => Ok(()),
+            WireEvent::Register { page, rows_in } => {
+                let entries = rows_in.iter().map(translate::entry).collect();
+                self.lists.insert(page, entries);
+                Ok(())
+            }
+            WireEvent::Begin {
+                gateway_id,
+                rng_seed,
+                facts,
+            } => {
+                let settings =
+                    damsonbeam_settings::settings(&facts).map_err(LineError::Settings)?;
+                let rules = Rules::new(rng_seed, settings, now);
+                self.instances.insert(gateway_id, rules);
+                Ok(())
+            }
+            WireEvent::Shutdown { gateway_id } => {
+                let removed = self.instances.remove(&gateway_id);
+                removed.ok_or(LineError::UnknownShutdown(gateway_id))?;
+                Ok(())
+            }
+            other => match translate::event(other, &self.lists)? {
+                Some(event) => self.decide(event, now, reply),
+                None => Ok(()),
+            },
+        }
+    }
+
+    fn decide(
+        &mut self,
+        event: GatewayEvent,
+        now: Duration,
+        reply: &mut Reply,
+    ) -> Result<(), LineError> {
+        let GatewayEvent { gateway_id, event } = event;
+        let rules = self.instances.get_mut(&gateway_id);
+        let rules = rules.ok_or(LineError::UnknownInstance(gateway_id))?;
+        let actions = rules.on(now, event).into_iter();
+        let actions = actions.map(|action| translate::action(gateway_id, action));
+        reply.output.extend(actions);
+        Ok(())
+    }
 }
 
-fn run() -> Result<(), String> {
-    let (mut input, mut output) = (io::stdin().lock(), io::stdout().lock());
+/// Answers lines until the input ends.
+fn run() -> Result<(), RunError> {
+    let mut input = io::stdin().lock();
+    let mut output = io::stdout().lock();
     let mut host = Host::default();
-    let (mut line, mut text) = (String::new(), Vec::new());
+    let mut line = String::new();
+    let mut answer = Vec::new();
     for number in 1u64.. {
+        let failed = |error: LineError| RunError { number, error };
         line.clear();
-        if input
-            .read_line(&mut line)
-            .map_err(|e| format!("line {number}: {e}"))?
-            == 0
-        {
+        let read = input.read_line(&mut line);
+        if read.map_err(|error| failed(error.into()))? == 0 {
             break;
         }
-        let reply = host
-            .answer(&line)
-            .map_err(|e| format!("line {number}: {e}"))?;
-        text.clear();
-        serde_json::to_writer(&mut text, &reply).map_err(|e| format!("line {number}: {e}"))?;
-        text.push(b'\n');
-        output
-            .write_all(&text)
-            .and_then(|()| output.flush())
-            .map_err(|e| format!("line {number}: {e}"))?;
+        let reply = host.answer(&line).map_err(failed)?;
+        answer.clear();
+        write_answer(&reply, &mut answer, &mut output).map_err(failed)?;
     }
     Ok(())
 }
 
+fn write_answer(
+    reply: &Reply,
+    buffer: &mut Vec<u8>,
+    output: &mut impl Write,
+) -> Result<(), LineError> {
+    serde_json::to_writer(&mut *buffer, reply).map_err(io::Error::from)?;
+    buffer.push(b'\n');
+    output.write_all(buffer)?;
+    output.flush()?;
+    Ok(())
+}
+
 fn main() -> ExitCode {
     match run() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(what) => {
-            eprintln!("damsonbeam-adapter: {}", what.replace('\n', " "));
+        Err(error) => {
+            let text = error.to_string().replace('\n', " ");
+            eprintln!("damsonbeam-adapter: {text}");
             ExitCode::FAILURE
         }
     }
--- a/crates/adapter/src/translate.rs
+++ b/crates/adapter/src/translate.rs
@@ -1,23 +1,46 @@
-//! Between the wire's words and the module's.
+//! The simulator's words translated to the module's, and back.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
 
-use damsonbeam::interface::*;
+use damsonbeam::interface::{
+    Action, AttemptNumber, BackendEntry, BackendId, CustomerId, Event, GatewayId, Health,
+    Invocation, InvocationId, ListForm, OperationId, Outcome, PlanId,
+};
 
-use crate::wire::{self, Disposition, Form, Happened, Output};
+use crate::wire::{Disposition, Form, Row, WireAction, WireEvent};
 
-fn ns(t: u64) -> Duration {
-    Duration::from_nanos(t)
+/// Stands for all gateways where one could be named.
+const ALL_GATEWAYS: i64 = -1;
+
+/// The lists of backends that the wire numbers.
+pub(crate) type Lists = BTreeMap<u32, Arc<[BackendEntry]>>;
+
+/// Why an event can't be translated.
+#[derive(Debug, thiserror::Error)]
+pub(crate) enum TranslateError {
+    #[error("roster-change lacks `page`")]
+    MissingPage,
+    #[error("roster-change names unknown page {0}")]
+    UnknownPage(u32),
+    #[error("peer-data's `raw`: {0}")]
+    NoHex(#[from] hex::FromHexError),
 }
 
-fn to_ns(t: Duration) -> u64 {
-    u64::try_from(t.as_nanos()).unwrap_or(u64::MAX)
+/// An event, and the gateway that it happened to.
+pub(crate) struct GatewayEvent {
+    pub(crate) gateway_id: u32,
+    pub(crate) event: Event,
 }
 
-pub fn entry(row: &wire::Row) -> Result<BackendEntry, String> {
-    Ok(BackendEntry {
+fn to_ns(time: Duration) -> u64 {
+    u64::try_from(time.as_nanos()).unwrap_or(u64::MAX)
+}
+
+/// A backend in a list.
+pub(crate) fn entry(row: &Row) -> BackendEntry {
+    BackendEntry {
         backend_id: BackendId(row.backend),
         health: match row.health.as_str() {
             "U" => Health::Up,
@@ -26,16 +49,16 @@
             // An unlisted state is no promise that it takes work.
             _ => Health::Draining,
         },
-        since: ns(row.online_since_ns),
+        since: Duration::from_nanos(row.online_since_ns),
         kind: row.family_type,
         zone: row.failure_domain,
         cell: row.unit_group,
         weight: row.capacity_hint,
-    })
+    }
 }
 
-fn outcome(d: Disposition) -> Outcome {
-    match d {
+fn outcome(disposition: Disposition) -> Outcome {
+    match disposition {
         Disposition::Ok => Outcome::Ok,
         Disposition::QueueFull => Outcome::Full,
         Disposition::TimedOut => Outcome::TimedOut,
@@ -48,36 +71,48 @@
     }
 }
 
-/// The instance concerned and what happened to it; none for what this build does not know.
-pub fn event(
-    h: Happened,
-    lists: &BTreeMap<u32, Arc<[BackendEntry]>>,
-) -> Result<Option<(u32, Event)>, String> {
-    Ok(Some(match h {
-        Happened::RosterChange {
+/// A list of backends; `None` for a form that this build does not know.
+fn backend_list(
+    form: Form,
+    page: Option<u32>,
+    lists: &Lists,
+) -> Result<Option<Event>, TranslateError> {
+    let form = match form {
+        Form::Update => ListForm::Update,
+        Form::Replace => ListForm::Replace,
+        Form::Restored => ListForm::Restored,
+        Form::Unavailable => ListForm::Unavailable,
+        Form::Unknown => return Ok(None),
+    };
+    let entries = if form == ListForm::Unavailable {
+        Arc::from([])
+    } else {
+        let page = page.ok_or(TranslateError::MissingPage)?;
+        let list = lists.get(&page);
+        list.ok_or(TranslateError::UnknownPage(page))?.clone()
+    };
+    Ok(Some(Event::BackendList { form, entries }))
+}
+
+/// The gateway concerned and what happened to it; `None` for what this build does not know.
+#[expect(
+    clippy::too_many_lines,
+    reason = "an arm for each event, which only renames fields"
+)]
+pub(crate) fn event(
+    event: WireEvent,
+    lists: &Lists,
+) -> Result<Option<GatewayEvent>, TranslateError> {
+    let (gateway_id, event) = match event {
+        WireEvent::RosterChange {
             gateway_id,
             page,
             form,
-        } => {
-            let form = match form {
-                Form::Update => ListForm::Update,
-                Form::Replace => ListForm::Replace,
-                Form::Restored => ListForm::Restored,
-                Form::Unavailable => ListForm::Unavailable,
-                Form::Unknown => return Ok(None),
-            };
-            let entries = if form == ListForm::Unavailable {
-                Arc::from([])
-            } else {
-                let page = page.ok_or("roster-change lacks `page`")?;
-                let named = lists.get(&page);
-                named
-                    .ok_or_else(|| format!("roster-change names unknown page {page}"))?
-                    .clone()
-            };
-            (gateway_id, Event::BackendList { form, entries })
-        }
-        Happened::Request {
+        } => match backend_list(form, page, lists)? {
+            Some(event) => (gateway_id, event),
+            None => return Ok(None),
+        },
+        WireEvent::Request {
             gateway_id,
             msg_id,
             valid_until_ns,
@@ -89,11 +124,10 @@
             units,
             width,
             package,
-        } => (
-            gateway_id,
-            Event::Invocation(Invocation {
+        } => {
+            let invocation = Invocation {
                 id: InvocationId(msg_id),
-                deadline: ns(valid_until_ns),
+                deadline: Duration::from_nanos(valid_until_ns),
                 operation: OperationId(cls),
                 plan: PlanId(package),
                 customer: CustomerId(account.into()),
@@ -103,24 +137,25 @@
                 write: mutates,
                 repeat,
                 body_pending: false,
-            }),
-        ),
-        Happened::FirstByte {
+            };
+            (gateway_id, Event::Invocation(invocation))
+        }
+        WireEvent::FirstByte {
             gateway_id,
             msg_id,
             r#try,
             backend,
             wait_time_ns,
-        } => (
-            gateway_id,
-            Event::FirstByte {
+        } => {
+            let event = Event::FirstByte {
                 invocation_id: InvocationId(msg_id),
                 attempt: AttemptNumber(r#try),
                 backend_id: BackendId(backend),
-                latency: ns(wait_time_ns),
-            },
-        ),
-        Happened::Response {
+                latency: Duration::from_nanos(wait_time_ns),
+            };
+            (gateway_id, event)
+        }
+        WireEvent::Response {
             gateway_id,
             msg_id,
             r#try,
@@ -131,90 +166,91 @@
             seen_use,
             cost,
             server_stats,
-        } => (
-            gateway_id,
-            Event::AttemptEnded {
+        } => {
+            // 0 stands for none; the percentage is one less.
+            let used_percent = seen_use.checked_sub(1);
+            let event = Event::AttemptEnded {
                 invocation_id: InvocationId(msg_id),
                 attempt: AttemptNumber(r#try),
                 backend_id: BackendId(backend),
                 outcome: outcome(disposition),
-                latency: ns(wait_time_ns),
+                latency: Duration::from_nanos(wait_time_ns),
                 closed: done_flag,
-                used: seen_use
-                    .checked_sub(1)
-                    .map(|percent| percent as f64 / 100.0),
+                used: used_percent.map(|percent| percent as f64 / 100.0),
                 true_units: (cost > 0.0).then_some(cost),
                 report: server_stats,
-            },
-        ),
-        Happened::Left { gateway_id, msg_id } => (
-            gateway_id,
-            Event::ClientGone {
-                invocation_id: InvocationId(msg_id),
-            },
-        ),
-        Happened::DeadlineHit { gateway_id, cookie } => {
+            };
+            (gateway_id, event)
+        }
+        WireEvent::Left { gateway_id, msg_id } => {
+            let invocation_id = InvocationId(msg_id);
+            (gateway_id, Event::ClientGone { invocation_id })
+        }
+        WireEvent::DeadlineHit { gateway_id, cookie } => {
             (gateway_id, Event::Timer { token: cookie })
         }
-        Happened::Checked {
+        WireEvent::Checked {
             gateway_id,
             backend,
             wait_time_ns,
             disposition,
             server_stats,
-        } => (
-            gateway_id,
-            Event::Probed {
+        } => {
+            let event = Event::Probed {
                 backend_id: BackendId(backend),
                 outcome: outcome(disposition),
-                latency: ns(wait_time_ns),
+                latency: Duration::from_nanos(wait_time_ns),
                 report: server_stats,
-            },
-        ),
-        Happened::PeerData {
+            };
+            (gateway_id, event)
+        }
+        WireEvent::PeerData {
             gateway_id,
             by,
             raw,
         } => {
-            let bytes = hex::decode(&raw).map_err(|e| format!("peer-data's `raw`: {e}"))?;
-            (
-                gateway_id,
-                Event::PeerMessage {
-                    from: GatewayId(by),
-                    bytes,
-                },
-            )
+            let event = Event::PeerMessage {
+                from: GatewayId(by),
+                bytes: hex::decode(&raw)?,
+            };
+            (gateway_id, event)
         }
-        Happened::Total {
+        WireEvent::Total {
             gateway_id,
             wait_time_ns,
             sum,
             disposition,
             tally_id,
-        } => (
-            gateway_id,
-            Event::CounterTotal {
+        } => {
+            let event = Event::CounterTotal {
                 name: tally_id,
                 outcome: outcome(disposition),
                 total: sum,
                 others: 0.0,
-                latency: ns(wait_time_ns),
-            },
-        ),
-        Happened::Begin { .. }
-        | Happened::Shutdown { .. }
-        | Happened::Register { .. }
-        | Happened::Unknown => return Ok(None),
-    }))
+                latency: Duration::from_nanos(wait_time_ns),
+            };
+            (gateway_id, event)
+        }
+        WireEvent::Begin { .. }
+        | WireEvent::Shutdown { .. }
+        | WireEvent::Register { .. }
+        | WireEvent::Unknown => return Ok(None),
+    };
+    Ok(Some(GatewayEvent { gateway_id, event }))
 }
 
-pub fn output(gateway_id: u32, action: Action) -> Output {
+/// What a gateway is to do.
+#[expect(
+    clippy::too_many_lines,
+    reason = "an arm for each action, which only renames fields"
+)]
+pub(crate) fn action(gateway_id: u32, action: Action) -> WireAction {
     match action {
         Action::SendAttempt {
             invocation_id,
             backend_id,
             timeout,
-        } => Output::Place {
+        } => WireAction::Place {
             gateway_id,
             msg_id: invocation_id.0,
             backend: backend_id.0,
@@ -223,7 +259,7 @@
         Action::CancelAttempt {
             invocation_id,
             attempt,
-        } => Output::Abandon {
+        } => WireAction::Abandon {
             gateway_id,
             msg_id: invocation_id.0,
             r#try: attempt.0,
@@ -232,50 +268,47 @@
             invocation_id,
             retry_after,
             ..
-        } => Output::PushBack {
+        } => WireAction::PushBack {
             gateway_id,
             msg_id: invocation_id.0,
             stay_away_ns: retry_after.map(to_ns),
         },
-        Action::Fail { invocation_id } => Output::GiveUp {
+        Action::Fail { invocation_id } => WireAction::GiveUp {
             gateway_id,
             msg_id: invocation_id.0,
         },
-        Action::SetTimer { after, token } => Output::Schedule {
+        Action::SetTimer { after, token } => WireAction::Schedule {
             gateway_id,
             wait_ns: to_ns(after),
             cookie: token,
         },
-        Action::AddToCounter { name, add, keep } => Output::Count {
+        Action::AddToCounter { name, add, keep } => WireAction::Count {
             gateway_id,
             tally_id: name,
             step: add,
             lifetime_ns: to_ns(keep),
         },
-        Action::Probe { backend_id } => Output::HealthCheck {
+        Action::Probe { backend_id } => WireAction::HealthCheck {
             gateway_id,
             backend: backend_id.0,
         },
-        Action::CloseIdle { backend_id } => Output::LetGo {
+        Action::CloseIdle { backend_id } => WireAction::LetGo {
             gateway_id,
             backend: backend_id.0,
         },
-        Action::SendToPeers { to, bytes } => {
-            let target = to.map_or(-1, |g| i64::from(g.0));
-            Output::Signal {
-                gateway_id,
-                target,
-                raw: hex::encode(bytes),
-            }
-        }
-        Action::WatchBackendList { on } => Output::Observe { gateway_id, on },
-        Action::FetchBackendList => Output::Resolve { gateway_id },
+        Action::SendToPeers { to, bytes } => WireAction::Signal {
+            gateway_id,
+            target: to.map_or(ALL_GATEWAYS, |gateway| i64::from(gateway.0)),
+            raw: hex::encode(bytes),
+        },
+        Action::WatchBackendList { on } => WireAction::Observe { gateway_id, on },
+        Action::FetchBackendList => WireAction::Resolve { gateway_id },
         // The wire has no word for a hand-over, and so no event that asks for one.
-        Action::HandOver(_) => Output::Remark {
+        Action::HandOver(_) => WireAction::Remark {
             gateway_id,
             what: "hand-over".into(),
         },
-        Action::Log { text } => Output::Remark {
+        Action::Log { text } => WireAction::Remark {
             gateway_id,
             what: text,
         },
--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -1,23 +1,29 @@
-//! The simulator's wire, as it stands in a line of JSON.
+//! The simulator's wire, as it stands in a line of JSON. Names of fields and variants are the simulator's.
 
 use damsonbeam_settings::Facts;
 use serde::{Deserialize, Serialize};
 
+/// A line in.
 #[derive(Deserialize)]
-pub struct Batch {
+pub(crate) struct Batch {
+    /// The time of all that happened.
     #[serde(rename = "clock-ns")]
-    pub clock: u64,
-    pub happened: Vec<Happened>,
+    pub clock_ns: u64,
+    /// What happened, in order.
+    pub happened: Vec<WireEvent>,
 }
 
+/// A line out.
 #[derive(Serialize, Default)]
-pub struct Reply {
-    pub output: Vec<Output>,
+pub(crate) struct Reply {
+    /// What is to be done, in order.
+    pub output: Vec<WireAction>,
 }
 
+/// What happened, as the simulator words it.
 #[derive(Deserialize)]
 #[serde(tag = "t", rename_all = "kebab-case", rename_all_fields = "kebab-case")]
-pub enum Happened {
+pub(crate) enum WireEvent {
     Begin {
         gateway_id: u32,
         rng_seed: u64,
@@ -49,7 +55,7 @@
         first_door: u32,
         #[serde(default)]
         account: String,
-        #[serde(default = "one")]
+        #[serde(default = "default_capacity")]
         units: f64,
         #[serde(default)]
         width: u32,
@@ -112,13 +118,14 @@
     Unknown,
 }
 
-fn one() -> f64 {
+fn default_capacity() -> f64 {
     1.0
 }
 
+/// How a list of backends is to be taken.
 #[derive(Deserialize, Clone, Copy)]
 #[serde(rename_all = "kebab-case")]
-pub enum Form {
+pub(crate) enum Form {
     Update,
     Replace,
     Restored,
@@ -127,8 +134,9 @@
     Unknown,
 }
 
+/// How an attempt or a call ended.
 #[derive(Deserialize, Clone, Copy)]
-pub enum Disposition {
+pub(crate) enum Disposition {
     Ok,
     Failed,
     QueueFull,
@@ -141,9 +149,10 @@
     Unknown,
 }
 
+/// A backend in a list.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub struct Row {
+pub(crate) struct Row {
     #[serde(default)]
     pub online_since_ns: u64,
     #[serde(default)]
@@ -151,16 +160,17 @@
     pub health: String,
     #[serde(default)]
     pub unit_group: u32,
-    #[serde(default = "one")]
+    #[serde(default = "default_capacity")]
     pub capacity_hint: f64,
     #[serde(default)]
     pub failure_domain: u32,
     pub backend: u32,
 }
 
+/// What is to be done, as the simulator words it.
 #[derive(Serialize)]
 #[serde(tag = "t", rename_all = "kebab-case", rename_all_fields = "kebab-case")]
-pub enum Output {
+pub(crate) enum WireAction {
     Place {
         gateway_id: u32,
         msg_id: u64,
--- a/crates/ctl/src/explain.rs
+++ b/crates/ctl/src/explain.rs
@@ -6,12 +6,16 @@
 
 use std::path::Path;
 
-use crate::{Fault, file};
+use crate::CtlError;
 
+/// A line of a log.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Line {
+    /// When it was written, as it says itself.
     pub time: String,
+    /// Whose log it stands in.
     pub machine: String,
+    /// What it says.
     pub text: String,
 }
 
@@ -33,36 +37,31 @@
 
 /// Whether a line names it: as a word of its own, not as part of another name.
 fn names(text: &str, what: &str) -> bool {
-    let part = |c: char| c.is_alphanumeric() || c == '-' || c == '_';
-    text.match_indices(what)
-        .any(|(at, _)| !text[..at].ends_with(part) && !text[at + what.len()..].starts_with(part))
+    let is_part_of_name = |c: char| c.is_alphanumeric() || c == '-' || c == '_';
+    text.match_indices(what).any(|(start, _)| {
+        let (before, after) = (&text[..start], &text[start + what.len()..]);
+        !before.ends_with(is_part_of_name) && !after.starts_with(is_part_of_name)
+    })
 }
 
 /// All lines that name it.
 ///
 /// # Errors
 /// Where the folder or a file can't be read.
-pub fn explain(what: &str, logs: &Path) -> Result<Vec<Line>, Fault> {
-    let mut out = Vec::new();
-    let mut files: Vec<_> = std::fs::read_dir(logs)
-        .map_err(|e| file(logs, e))?
-        .flatten()
-        .map(|f| f.path())
-        .collect();
-    files.sort();
-    for path in files.into_iter().filter(|p| p.is_file()) {
-        let text = std::fs::read(&path).map_err(|e| file(&path, e))?;
-        let machine = path
-            .file_stem()
-            .unwrap_or_default()
-            .to_string_lossy()
-            .into_owned();
-        let text = String::from_utf8_lossy(&text);
-        let whole_file = machine.starts_with(what);
-        let lines = text.lines().filter(|l| whole_file || names(l, what));
-        out.extend(lines.filter_map(|l| read(&machine, l)));
+pub fn explain(what: &str, logs: &Path) -> Result<Vec<Line>, CtlError> {
+    let folder = std::fs::read_dir(logs).map_err(|error| CtlError::file(logs, error))?;
+    let mut paths: Vec<_> = folder.flatten().map(|entry| entry.path()).collect();
+    paths.sort();
+    let mut found = Vec::new();
+    for path in paths.into_iter().filter(|path| path.is_file()) {
+        let bytes = std::fs::read(&path).map_err(|error| CtlError::file(&path, error))?;
+        let text = String::from_utf8_lossy(&bytes);
+        let machine = path.file_stem().unwrap_or_default().to_string_lossy();
+        let is_its_own = machine.starts_with(what);
+        let lines = text.lines().filter(|line| is_its_own || names(line, what));
+        found.extend(lines.filter_map(|line| read(&machine, line)));
     }
     // A stable sort: what one process said at one time stays in its order.
-    out.sort_by(|a, b| a.time.cmp(&b.time));
-    Ok(out)
+    found.sort_by(|earlier, later| earlier.time.cmp(&later.time));
+    Ok(found)
 }
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -6,14 +6,14 @@
 
 use bpaf::Bpaf;
 use damsonbeam_ctl::{
-    Fault, account, check_calls, check_settings, explain, export_store, loads, mirror, show_store,
-    state, verify_store,
+    CtlError, account, check_calls, check_settings, explain, export_store, loads, mirror,
+    show_store, state, verify_store,
 };
 
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version)]
 /// Checks files of the system, asks a live one, reads stores and logs.
-enum Work {
+enum Command {
     /// Checks a settings file as a program would at its start
     #[bpaf(command("check-settings"))]
     Settings(#[bpaf(positional("FILE"))] PathBuf),
@@ -76,45 +76,46 @@
     },
 }
 
-fn done(what: Work) -> Result<String, Fault> {
-    match what {
-        Work::Settings(path) => check_settings(&path),
-        Work::Calls(paths) => check_calls(&paths),
-        Work::State(at) => state(at),
-        Work::Loads(at) => loads(at),
-        Work::MirrorSet(at, path) => mirror::set(at, &path),
-        Work::MirrorShow(at) => mirror::show(at),
-        Work::MirrorStop(at, name, version) => mirror::stop(at, &name, &version),
-        Work::MirrorReport(proxies) => mirror::report(&proxies),
-        Work::Account { request, proxies } => account(&proxies, request.as_deref()),
-        Work::Show(dir) => show_store(&dir),
-        Work::Verify(dir) => verify_store(&dir),
-        Work::Export(dir) => export_store(&dir),
-        Work::Explain { what, logs } => {
+/// Does what the command line asks for; returns what is printed.
+fn run(command: Command) -> Result<String, CtlError> {
+    match command {
+        Command::Settings(path) => check_settings(&path),
+        Command::Calls(paths) => check_calls(&paths),
+        Command::State(at) => state(at),
+        Command::Loads(at) => loads(at),
+        Command::MirrorSet(at, path) => mirror::set(at, &path),
+        Command::MirrorShow(at) => mirror::show(at),
+        Command::MirrorStop(at, name, version) => mirror::stop(at, &name, &version),
+        Command::MirrorReport(proxies) => mirror::report(&proxies),
+        Command::Account { request, proxies } => account(&proxies, request.as_deref()),
+        Command::Show(dir) => show_store(&dir),
+        Command::Verify(dir) => verify_store(&dir),
+        Command::Export(dir) => export_store(&dir),
+        Command::Explain { what, logs } => {
             let lines = explain::explain(&what, &logs)?;
             if lines.is_empty() {
-                return Err(Fault::Asked(format!(
+                return Err(CtlError::Request(format!(
                     "{}: no line names `{what}`",
                     logs.display()
                 )));
             }
             let lines = lines
                 .iter()
-                .map(|l| format!("{}  {}  {}", l.time, l.machine, l.text));
+                .map(|line| format!("{}  {}  {}", line.time, line.machine, line.text));
             Ok(lines.collect::<Vec<_>>().join("\n"))
         }
     }
 }
 
 fn main() -> ExitCode {
-    let what = match work().run_inner(bpaf::Args::current_args()) {
-        Ok(what) => what,
+    let command = match command().run_inner(bpaf::Args::current_args()) {
+        Ok(command) => command,
         Err(failure) => {
             failure.print_message(100);
             return ExitCode::from(if failure.exit_code() == 0 { 0 } else { 2 });
         }
     };
-    match done(what) {
+    match run(command) {
         Ok(text) => {
             println!("{text}");
             ExitCode::SUCCESS
--- a/crates/ctl/tests/files.rs
+++ b/crates/ctl/tests/files.rs
@@ -34,7 +34,7 @@
 }
 
 /// An error without the folder, which differs by run.
-fn told<T: std::fmt::Debug>(result: Result<T, damsonbeam_ctl::Fault>, dir: &Folder) -> String {
+fn told<T: std::fmt::Debug>(result: Result<T, damsonbeam_ctl::CtlError>, dir: &Folder) -> String {
     let e = result.expect_err("a fault").to_string();
     e.replace(&format!("{}/", dir.0.display()), "")
         .replace(&dir.0.display().to_string(), "DIR")
