--- a/crates/gateway/src/bodies.rs
+++ b/crates/gateway/src/bodies.rs
@@ -1,6 +1,6 @@
 //! Bodies on their way through: what does not fit in memory goes from one socket to the other as it comes.
 //!
-//! A body of up to [`BODY`] bytes is held whole, so that another delivery can carry it and a broken answer
+//! A body of up to [`BODY`] bytes is held whole, so that another attempt can carry it and a broken answer
 //! never reaches a client. A larger one is streamed: the reader of one side is the writer of the other, so
 //! each waits for the other, and what is on the way at a time is a chunk and a socket's buffer.
 
@@ -21,11 +21,11 @@
 type Error = Box<dyn std::error::Error + Send + Sync>;
 
 /// A client that sends nothing of its body for this long is held for gone.
-pub const CLIENT_SILENT: Duration = Duration::from_millis(2600);
+pub const CLIENT_SILENCE_TIMEOUT: Duration = Duration::from_millis(2600);
 /// A backend that gives nothing of an answer begun for this long is held for gone: the answer is cut.
-const BACKEND_SILENT: Duration = Duration::from_secs(30);
+const BACKEND_SILENCE_TIMEOUT: Duration = Duration::from_secs(30);
 /// What a client still sends after its answer is read for so long, so that the answer reaches it.
-const DRAIN: Duration = Duration::from_secs(10);
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// The start of a body, and whether that was all: so much as is held, or as comes in the time given.
 ///
@@ -63,36 +63,36 @@
     Ok((parts.into(), body.is_end_stream()))
 }
 
-/// A request's body that is still coming, shared by the deliveries that may carry it.
+/// A request's body that is still coming, shared by the attempts that may carry it.
 pub struct StreamedBody {
     first: Bytes,
     rest: RefCell<Option<Incoming>>,
     /// Bytes in all, where the client said.
     pub length: Option<u64>,
-    came: Cell<u64>,
-    /// Part of what is not held has gone to a backend: no other delivery can carry it.
+    received: Cell<u64>,
+    /// Part of what is not held has gone to a backend: no other attempt can carry it.
     consumed: Cell<bool>,
-    ended: Cell<bool>,
+    is_complete: Cell<bool>,
     /// Told once its last byte has come.
-    whole: RefCell<Option<Box<dyn FnOnce()>>>,
+    on_complete: RefCell<Option<Box<dyn FnOnce()>>>,
 }
 
 impl StreamedBody {
-    /// `whole` is called once its last byte has come.
+    /// `on_complete` is called once its last byte has come.
     pub fn new(
         first: Bytes,
         rest: Incoming,
         length: Option<u64>,
-        whole: Box<dyn FnOnce()>,
+        on_complete: Box<dyn FnOnce()>,
     ) -> Rc<Self> {
         Rc::new(StreamedBody {
-            came: Cell::new(first.len() as u64),
+            received: Cell::new(first.len() as u64),
             first,
             rest: RefCell::new(Some(rest)),
             length,
             consumed: Cell::default(),
-            ended: Cell::default(),
-            whole: RefCell::new(Some(whole)),
+            is_complete: Cell::default(),
+            on_complete: RefCell::new(Some(on_complete)),
         })
     }
 
@@ -103,7 +103,7 @@
 
     /// All of it has gone to a backend, or is about to: it may run.
     pub fn is_complete(&self) -> bool {
-        self.ended.get()
+        self.is_complete.get()
     }
 
     /// Reads what still comes and drops it, so that the client goes on to read its answer.
@@ -113,14 +113,14 @@
         };
         let read = async {
             let mut read = 0;
-            while let Ok(Some(Ok(frame))) = timeout(CLIENT_SILENT, rest.frame()).await {
+            while let Ok(Some(Ok(frame))) = timeout(CLIENT_SILENCE_TIMEOUT, rest.frame()).await {
                 read += frame.data_ref().map_or(0, Bytes::len);
                 if read > LARGE {
                     return;
                 }
             }
         };
-        timeout(DRAIN, read).await.ok();
+        timeout(DRAIN_TIMEOUT, read).await.ok();
     }
 
     fn poll(&self, cx: &mut Context) -> Poll<Option<Result<Frame<Bytes>, Error>>> {
@@ -131,19 +131,17 @@
         let frame = ready!(Pin::new(&mut *body).poll_frame(cx));
         if let Some(Ok(frame)) = &frame {
             self.consumed.set(true);
-            self.came
-                .set(self.came.get() + frame.data_ref().map_or(0, Bytes::len) as u64);
-            if self.came.get() > LARGE as u64 {
+            self.received
+                .set(self.received.get() + frame.data_ref().map_or(0, Bytes::len) as u64);
+            if self.received.get() > LARGE as u64 {
                 return Poll::Ready(Some(Err("the body is too large".into())));
             }
         }
         if frame.is_none() || body.is_end_stream() {
-            self.ended.set(true);
-            self.whole
-                .borrow_mut()
-                .take()
-                .into_iter()
-                .for_each(|whole| whole());
+            self.is_complete.set(true);
+            if let Some(on_complete) = self.on_complete.borrow_mut().take() {
+                on_complete();
+            }
         }
         Poll::Ready(frame.map(|f| f.map_err(Error::from)))
     }
@@ -195,7 +193,7 @@
     }
 }
 
-/// A request's body as one delivery carries it.
+/// A request's body as one attempt carries it.
 pub struct Upload {
     first: Option<Bytes>,
     rest: Option<Rc<StreamedBody>>,
@@ -249,7 +247,7 @@
                 Poll::Ready(frame)
             }
             Poll::Pending => {
-                ready!(self.silence.poll(CLIENT_SILENT, cx));
+                ready!(self.silence.poll(CLIENT_SILENCE_TIMEOUT, cx));
                 Poll::Ready(Some(Err("the client stopped sending".into())))
             }
         }
@@ -330,7 +328,7 @@
         let frame = match Pin::new(&mut self.rest).poll_frame(cx) {
             Poll::Ready(frame) => frame,
             Poll::Pending => {
-                ready!(self.silence.poll(BACKEND_SILENT, cx));
+                ready!(self.silence.poll(BACKEND_SILENCE_TIMEOUT, cx));
                 self.broken = true;
                 return Poll::Ready(Some(Err("the backend fell silent".into())));
             }
--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -124,16 +124,18 @@
     figures: Figures,
     protocol: Rc<dyn ClientProtocol>,
     timeouts: Rc<Cell<ClientTimeouts>>,
-    /// Connections at most, now and alone.
+    /// Connections at most now.
     max_connections: Cell<usize>,
-    all: usize,
+    /// Connections at most where no other process of this gateway has some.
+    max_connections_alone: usize,
     /// Room for the bodies that are held or on their way.
     bodies: MemoryBudget,
     shutdown_admission: ShutdownAdmission,
     admission: RefCell<ConnectionAdmission>,
     connections: RefCell<BTreeMap<u64, Rc<ClientConnection>>>,
-    next: Cell<u64>,
-    /// Names of the invocations that the module holds.
+    /// Numbers connections and invocations.
+    next_id: Cell<u64>,
+    /// Names of the invocations that a dispatcher holds.
     open: RefCell<HashSet<String>>,
     /// Connections whose tasks still run, and the word that one ended.
     running: Cell<usize>,
@@ -157,12 +159,12 @@
             protocol,
             timeouts: Rc::default(),
             max_connections: Cell::new(max_connections),
-            all: max_connections,
+            max_connections_alone: max_connections,
             bodies: MemoryBudget::new(bodies),
             shutdown_admission: ShutdownAdmission::default(),
             admission: RefCell::new(ConnectionAdmission::new(clock.now())),
             connections: RefCell::default(),
-            next: Cell::new(0),
+            next_id: Cell::new(0),
             open: RefCell::default(),
             running: Cell::new(0),
             connection_ended: Notify::new(),
@@ -184,26 +186,27 @@
         self.connections
             .borrow()
             .values()
-            .filter(|c| !c.is_free())
+            .filter(|connection| !connection.is_free())
             .count()
     }
 
     /// Two processes are one gateway: until the other has ended, half of the connections are its.
     pub fn share_with_predecessor(&self) {
-        self.max_connections.set(self.all / 2);
+        self.max_connections.set(self.max_connections_alone / 2);
     }
 
     /// The other process has ended: all connections are this one's.
     pub fn use_all_connections(&self) {
-        self.max_connections.set(self.all);
+        self.max_connections.set(self.max_connections_alone);
     }
 
     /// Takes in connections until dropped.
     pub async fn accept(self: Rc<Self>, listener: Rc<TcpListener>) {
         loop {
-            let (open, max_connections) = (self.open(), self.max_connections.get());
+            let open = self.open_connections();
+            let max_connections = self.max_connections.get();
             let (idle, id) = if open >= max_connections {
-                self.idle()
+                self.evictable()
             } else {
                 (Evictable::None, None)
             };
@@ -237,7 +240,7 @@
                 Err(e) => {
                     // Out of descriptors: asking again at once would spin, leaving would end the gateway.
                     log!(warn, "accept-failed", "{e}");
-                    self.evict(self.idle().1);
+                    self.evict(self.evictable().1);
                     tokio::time::sleep(ACCEPT_RETRY_PAUSE).await;
                 }
             }
@@ -245,12 +248,12 @@
     }
 
     fn take(self: Rc<Self>, socket: TcpStream) {
-        let full = self.open() >= self.max_connections.get();
+        let full = self.open_connections() >= self.max_connections.get();
         if full {
             self.admission.borrow_mut().record_refused(self.clock.now());
         }
         socket.set_nodelay(true).ok();
-        let id = self.next.replace(self.next.get() + 1);
+        let id = self.next_id.replace(self.next_id.get() + 1);
         let connection = Rc::new(ClientConnection {
             socket: Rc::new(RefCell::new(socket)),
             state: Cell::new(ConnectionState::New),
@@ -279,7 +282,8 @@
 
     /// A connection, until it ends or its client's time is over.
     async fn serve(self: Rc<Self>, connection: Rc<ClientConnection>, full: bool) {
-        let (clock, phase) = (self.clock, self.phase.clone());
+        let clock = self.clock;
+        let phase = self.phase.clone();
         let invoke = InvocationService {
             connection: connection.clone(),
             clients: self,
@@ -297,16 +301,17 @@
             .auto_date_header(false)
             .max_buf_size(HEAD)
             .serve_connection(TokioIo::new(observed), service);
-        let (mut serving, mut armed) = (pin!(serving), connection.due());
+        let mut serving = pin!(serving);
+        let mut armed = connection.due();
         let mut alarm = pin!(sleep_until(clock.instant(armed.unwrap_or_default())));
         let mut close = pin!(connection.close.notified());
-        let mut invocation = false;
+        let mut is_closing = false;
         let done = poll_fn(|cx| {
             if let Poll::Ready(done) = serving.as_mut().poll(cx) {
                 return Poll::Ready(done);
             }
-            if !invocation && close.as_mut().poll(cx).is_ready() {
-                invocation = true;
+            if !is_closing && close.as_mut().poll(cx).is_ready() {
+                is_closing = true;
                 // A request that is here already is answered first, and its answer ends the connection.
                 if !unread(&connection.socket) || !phase.get().closes_connections() {
                     serving.as_mut().graceful_shutdown();
@@ -336,11 +341,17 @@
     /// A connection that holds no invocation and may be closed for another: those that never brought one first,
     /// the longest quiet of each kind before others, or hundreds that say nothing would push out the usual
     /// clients. Not one whose request is here unread; one that has hardly come is waited for.
-    fn idle(&self) -> (Evictable, Option<u64>) {
-        let (connections, now) = (self.connections.borrow(), self.clock.now());
-        let free = connections.iter().filter(|(_, c)| c.is_free());
+    fn evictable(&self) -> (Evictable, Option<u64>) {
+        let connections = self.connections.borrow();
+        let now = self.clock.now();
+        let free = connections
+            .iter()
+            .filter(|(_, connection)| connection.is_free());
         let mut free: Vec<_> = free
-            .map(|(id, c)| ((c.has_sent_request.get(), c.since.get()), *id))
+            .map(|(id, connection)| {
+                let rank = (connection.has_sent_request.get(), connection.since.get());
+                (rank, *id)
+            })
             .collect();
         free.sort_unstable();
         match free
@@ -356,8 +367,11 @@
     }
 
     fn evict(&self, id: Option<u64>) {
-        let connection_ended = id.and_then(|id| self.connections.borrow_mut().remove(&id));
-        connection_ended.inspect(|c| (c.close_now.set(true), c.close.notify_one()).1);
+        let evicted = id.and_then(|id| self.connections.borrow_mut().remove(&id));
+        if let Some(connection) = evicted {
+            connection.close_now.set(true);
+            connection.close.notify_one();
+        }
     }
 
     /// Ends all connections, each after the answer that it owes.
@@ -368,7 +382,7 @@
             .for_each(|c| c.close.notify_one());
     }
 
-    fn open(&self) -> usize {
+    fn open_connections(&self) -> usize {
         self.connections.borrow().len()
     }
 
--- a/crates/gateway/src/clients/connection.rs
+++ b/crates/gateway/src/clients/connection.rs
@@ -14,11 +14,11 @@
 use tokio::sync::Notify;
 
 use super::ClientTimeouts;
-use crate::bodies::CLIENT_SILENT;
+use crate::bodies::CLIENT_SILENCE_TIMEOUT;
 use crate::clock::Clock;
 use crate::request_heads::HeadScanner;
 
-/// A body may be slow, but not silent ([`CLIENT_SILENT`]), nor slower than so many bytes a second once it has
+/// A body may be slow, but not silent ([`CLIENT_SILENCE_TIMEOUT`]), nor slower than so many bytes a second once it has
 /// come for a while: a byte now and then would hold its place for good.
 const SLOW_BODY_GRACE: Duration = Duration::from_secs(5);
 const MIN_BYTES_PER_S: u64 = 16 << 10;
@@ -86,7 +86,7 @@
             ConnectionState::ReadingBody => {
                 let paid = Duration::from_millis(self.received.get() * 1000 / MIN_BYTES_PER_S);
                 Some(
-                    (self.since.get() + CLIENT_SILENT)
+                    (self.since.get() + CLIENT_SILENCE_TIMEOUT)
                         .min(self.started.get() + SLOW_BODY_GRACE + paid),
                 )
             }
--- a/crates/gateway/src/clients/invocation.rs
+++ b/crates/gateway/src/clients/invocation.rs
@@ -66,7 +66,7 @@
         request: Request<Incoming>,
     ) -> Result<ClientResponse, Rejection> {
         let (head, body) = request.into_parts();
-        let invocation_id = InvocationId(self.next.replace(self.next.get() + 1));
+        let invocation_id = InvocationId(self.next_id.replace(self.next_id.get() + 1));
         let mut decoded = self.protocol.decode(invocation_id, &head)?;
         let body = self
             .receive_body(connection, &head.method, body, &decoded)
--- a/crates/gateway/src/dispatcher/mod.rs
+++ b/crates/gateway/src/dispatcher/mod.rs
@@ -1,4 +1,4 @@
-//! The module's actor: owns the rules, feeds them events in order of arrival, carries out their actions.
+//! The decision module's actor: owns the rules, feeds them events in order of arrival, carries out their actions.
 
 mod actions;
 mod attempt_policy;
@@ -38,21 +38,21 @@
 /// The figures that are looked up, not counted, are this old at most.
 const FIGURES_INTERVAL: Duration = Duration::from_millis(200);
 
-/// An invocation that is not over, or that has deliveries out.
+/// A request that is not answered, or that has attempts out.
 struct PendingRequest {
     request: Rc<ForwardedRequest>,
     deadline: Duration,
     /// While its body comes: how long its client waits from then on.
     coming: Option<Duration>,
     answer: Option<oneshot::Sender<Answer>>,
-    /// A failed delivery's answer, which the client gets where no better one comes.
+    /// A failed attempt's response, which the client gets where no better one comes.
     fallback: Option<BackendResponse>,
     attempts: Attempts,
     overdue: Option<Overdue>,
     in_flight: Vec<Option<InFlightAttempt>>,
 }
 
-/// A delivery that is out.
+/// An attempt that is out.
 struct InFlightAttempt {
     backend_id: BackendId,
     sent: Duration,
@@ -66,7 +66,7 @@
     AttemptTimeout(InvocationId, AttemptNumber),
     /// An overdue attempt after which nothing follows.
     OverdueEnd(InvocationId),
-    /// The witness's report to the peers.
+    /// The report to the other gateways.
     PeerReport,
     /// The figures that only the rules know.
     Figures,
@@ -85,7 +85,7 @@
     pub mailbox: mpsc::Receiver<ToDispatcher>,
     /// Starts a backend's actor.
     pub spawn_backend: SpawnBackend,
-    /// The module's own mailbox, for what its deliveries tell.
+    /// Its own mailbox, for what its attempts tell.
     pub own_mailbox: mpsc::Sender<ToDispatcher>,
     /// What all gateways share besides the quotas: where the protocol sets it.
     pub attempt_policy: Option<Box<dyn AttemptPolicy>>,
@@ -311,53 +311,48 @@
     ) {
         let unnamed: Arc<str> = "".into();
         if matches!(form, ListForm::Replace | ListForm::Restored) {
-            let named: BTreeSet<BackendId> = entries.iter().map(|e| e.backend_id).collect();
+            let named: BTreeSet<BackendId> = entries.iter().map(|entry| entry.backend_id).collect();
             self.state
                 .backends
                 .retain(|backend_id, _| named.contains(backend_id));
         }
-        for (n, (e, at)) in entries.iter().zip(addresses).enumerate() {
-            if e.health == Health::Gone {
-                self.state.backends.remove(&e.backend_id);
-            } else if self
-                .state
-                .backends
-                .get(&e.backend_id)
-                .is_none_or(|b| b.at != at)
-            {
-                self.state.backends.insert(
-                    e.backend_id,
-                    (self.spawn_backend)(at, names.get(n).unwrap_or(&unnamed)),
-                );
+        for (position, (entry, address)) in entries.iter().zip(addresses).enumerate() {
+            let id = entry.backend_id;
+            if entry.health == Health::Gone {
+                self.state.backends.remove(&id);
+                continue;
+            }
+            let known = self.state.backends.get(&id);
+            if known.is_none_or(|backend| backend.at != address) {
+                let name = names.get(position).unwrap_or(&unnamed);
+                let backend = (self.spawn_backend)(address, name);
+                self.state.backends.insert(id, backend);
             }
-            if let Some(peer) = self.state.backends.get(&e.backend_id) {
-                peer.closed.set(e.health != Health::Up);
+            if let Some(backend) = self.state.backends.get(&id) {
+                backend.closed.set(entry.health != Health::Up);
             }
         }
         self.handle_event(Event::BackendList { form, entries });
     }
 
-    /// A body's last byte has come: its deliveries' times run from now.
+    /// A body's last byte has come: its attempts' times run from now.
     fn body_complete(&mut self, invocation_id: InvocationId, deadline: Duration) {
         let now = self.clock.now();
         let Some(request) = self.state.requests.get_mut(&invocation_id) else {
             return;
         };
-        (request.deadline, request.coming) = (deadline, None);
-        for (number, attempt) in request
-            .in_flight
-            .iter_mut()
-            .enumerate()
-            .filter_map(|(number, o)| Some((number, o.as_mut()?)))
-        {
+        request.deadline = deadline;
+        request.coming = None;
+        for (number, attempt) in request.in_flight.iter_mut().enumerate() {
+            let Some(attempt) = attempt else {
+                continue;
+            };
             let number = AttemptNumber(number as u32);
-            self.state
-                .timers
-                .remove(&(attempt.until, Timer::AttemptTimeout(invocation_id, number)));
-            (attempt.sent, attempt.until) = (now, deadline);
-            self.state
-                .timers
-                .insert((attempt.until, Timer::AttemptTimeout(invocation_id, number)));
+            let timers = &mut self.state.timers;
+            timers.remove(&(attempt.until, Timer::AttemptTimeout(invocation_id, number)));
+            attempt.sent = now;
+            attempt.until = deadline;
+            timers.insert((deadline, Timer::AttemptTimeout(invocation_id, number)));
         }
         self.handle_event(Event::BodyComplete {
             invocation_id,
@@ -365,7 +360,7 @@
         });
     }
 
-    /// Takes a delivery off those out.
+    /// Takes an attempt off those out.
     fn take_attempt(
         &mut self,
         invocation_id: InvocationId,
@@ -385,7 +380,7 @@
         Some(attempt)
     }
 
-    /// How a delivery ended; the invocation is closed if its final answer has gone out.
+    /// How an attempt ended; the invocation is closed if its final answer has gone out.
     fn outcome_event(
         &self,
         invocation_id: InvocationId,
@@ -402,18 +397,17 @@
             .state
             .requests
             .get(&invocation_id)
-            .is_none_or(|h| h.answer.is_none());
+            .is_none_or(|request| request.answer.is_none());
         let latency = self.clock.now().saturating_sub(attempt.sent);
-        let (backend_id, used, true_units) = (attempt.backend_id, None, None);
         Event::AttemptEnded {
             invocation_id,
             attempt: number,
-            backend_id,
+            backend_id: attempt.backend_id,
             outcome,
             latency,
             closed,
-            used,
-            true_units,
+            used: None,
+            true_units: None,
             report,
         }
     }
@@ -432,7 +426,7 @@
         self.forget_if_finished(invocation_id);
     }
 
-    /// A delivery that went out is over.
+    /// An attempt that went out is over.
     fn notify_policy(&mut self, attempt: &InFlightAttempt, outcome: Outcome) {
         if let Some(attempt_policy) = &mut self.attempt_policy {
             let now = self.clock.now();
@@ -470,8 +464,12 @@
         let Some(request) = self.state.requests.get_mut(&invocation_id) else {
             return;
         };
-        request.overdue.take().into_iter().for_each(Overdue::cancel);
-        request.answer.take().map(|to| to.send(answer).ok());
+        if let Some(overdue) = request.overdue.take() {
+            overdue.cancel();
+        }
+        if let Some(waiting) = request.answer.take() {
+            waiting.send(answer).ok();
+        }
     }
 
     /// The decision module has nothing better for the client; an overdue attempt may.
@@ -484,11 +482,15 @@
     /// Hands the rules an event, and those that their actions give rise to.
     pub fn handle_event(&mut self, event: Event) {
         let mut event = Some(event);
-        while let Some(now) = event.take() {
-            let at = self.clock.now();
-            self.account.iter_mut().for_each(|a| a.event(at, &now));
-            for action in self.rules.on(at, now) {
-                self.account.iter_mut().for_each(|a| a.action(at, &action));
+        while let Some(current) = event.take() {
+            let now = self.clock.now();
+            if let Some(account) = &mut self.account {
+                account.event(now, &current);
+            }
+            for action in self.rules.on(now, current) {
+                if let Some(account) = &mut self.account {
+                    account.action(now, &action);
+                }
                 self.carry_out(action);
             }
             event = self.state.follow_up_events.pop_front();
--- a/crates/gateway/src/dispatcher/overdue.rs
+++ b/crates/gateway/src/dispatcher/overdue.rs
@@ -51,7 +51,7 @@
             && self
                 .attempt_policy
                 .as_ref()
-                .is_some_and(|g| !g.may_cancel())
+                .is_some_and(|policy| !policy.may_cancel())
         {
             return self.extend_timeout(invocation_id, number, deadline);
         }
@@ -102,10 +102,10 @@
         failure: Answer,
     ) -> Option<Answer> {
         let now = self.clock.now();
-        let stays = self
+        let must_not_cancel = self
             .attempt_policy
             .as_ref()
-            .is_some_and(|g| !g.may_cancel());
+            .is_some_and(|policy| !policy.may_cancel());
         let Some(request) = self.state.requests.get_mut(&invocation_id) else {
             return Some(failure);
         };
@@ -113,7 +113,7 @@
         let Some(overdue) = request.overdue.as_mut() else {
             return Some(failure);
         };
-        if stays {
+        if must_not_cancel {
             overdue.until = deadline;
         }
         if now >= overdue.until {
@@ -129,10 +129,10 @@
     /// The time for an overdue attempt is over too.
     pub(super) fn overdue_timed_out(&mut self, invocation_id: InvocationId) {
         let now = self.clock.now();
-        let stays = self
+        let must_not_cancel = self
             .attempt_policy
             .as_ref()
-            .is_some_and(|g| !g.may_cancel());
+            .is_some_and(|policy| !policy.may_cancel());
         let Some(request) = self.state.requests.get_mut(&invocation_id) else {
             return;
         };
@@ -140,7 +140,7 @@
         let Some(overdue) = request.overdue.as_mut().filter(|o| o.failure.is_some()) else {
             return;
         };
-        if stays && now < deadline {
+        if must_not_cancel && now < deadline {
             overdue.until = deadline;
             self.state
                 .timers
--- a/crates/gateway/src/peer_admissions.rs
+++ b/crates/gateway/src/peer_admissions.rs
@@ -30,105 +30,130 @@
 const ENTRY_BYTES: usize = 12;
 
 fn hash(name: &str) -> u64 {
-    let mut h = FnvHasher::default();
-    h.write(name.as_bytes());
-    h.finish()
+    let mut hasher = FnvHasher::default();
+    hasher.write(name.as_bytes());
+    hasher.finish()
+}
+
+/// What this gateway reports under a name.
+#[derive(Default)]
+struct OwnReport {
+    units: f32,
+    /// How many times it still has to go.
+    repeats_left: u8,
+}
+
+/// What another gateway reported under a name.
+struct PeerReport {
+    units: f64,
+    at: Duration,
+}
+
+impl PeerReport {
+    fn counts(&self, now: Duration) -> bool {
+        now < self.at + REPORT_LIFETIME
+    }
 }
 
 /// What the other gateways say they admitted, and what was reported to them.
 #[derive(Default)]
 pub struct PeerAdmissions {
-    /// By name's hash: what was reported last and how many times it still has to go.
-    own: HashMap<u64, (f32, u8)>,
-    /// By name's hash and peer: what it reported, and when.
-    peers: HashMap<u64, BTreeMap<u32, (f64, Duration)>>,
-    heard: BTreeMap<u32, Duration>,
-    swept: Duration,
+    /// By the name's hash.
+    own: HashMap<u64, OwnReport>,
+    /// By the name's hash and the gateway's number.
+    peers: HashMap<u64, BTreeMap<u32, PeerReport>>,
+    /// When each gateway was heard last.
+    last_heard: BTreeMap<u32, Duration>,
+    swept_at: Duration,
 }
 
 impl PeerAdmissions {
     /// Datagrams of `max_bytes` bytes at most with what changed of late; one at least, for silence tells too.
     pub fn report(&mut self, admitted: &[Admitted], max_bytes: usize) -> Vec<Vec<u8>> {
-        let (mut news, mut named) = (Vec::new(), HashSet::new());
-        for a in admitted {
-            let (h, units) = (hash(&a.name), a.units as f32);
-            named.insert(h);
-            let own = self.own.entry(h).or_insert((0.0, 0));
-            if own.0 != units {
-                *own = (units, REPORT_REPEATS);
+        let mut entries = Vec::new();
+        let mut names = HashSet::new();
+        for admitted in admitted {
+            let name_hash = hash(&admitted.name);
+            let units = admitted.units as f32;
+            names.insert(name_hash);
+            let own = self.own.entry(name_hash).or_default();
+            if own.units != units {
+                own.units = units;
+                own.repeats_left = REPORT_REPEATS;
             }
-            if own.1 > 0 {
-                own.1 -= 1;
-                news.push((h, units));
+            if own.repeats_left > 0 {
+                own.repeats_left -= 1;
+                entries.push(encode_entry(name_hash, units));
             }
         }
         // A name that is asked about no more has left every window.
-        self.own.retain(|h, _| named.contains(h));
-        let per = (max_bytes.saturating_sub(1) / ENTRY_BYTES).max(1);
-        let entry = |(h, units): &(u64, f32)| [&h.to_be_bytes()[..], &units.to_be_bytes()].concat();
-        let datagram = |news: &[(u64, f32)]| {
-            std::iter::once(REPORT_TAG)
-                .chain(news.iter().flat_map(entry))
-                .collect()
-        };
-        if news.is_empty() {
-            vec![vec![REPORT_TAG]]
-        } else {
-            news.chunks(per).map(datagram).collect()
+        self.own.retain(|name_hash, _| names.contains(name_hash));
+        if entries.is_empty() {
+            return vec![vec![REPORT_TAG]];
         }
+        let entries_per_datagram = (max_bytes.saturating_sub(1) / ENTRY_BYTES).max(1);
+        let datagrams = entries.chunks(entries_per_datagram);
+        datagrams
+            .map(|entries| [&[REPORT_TAG], entries.concat().as_slice()].concat())
+            .collect()
     }
 
-    /// Takes a peer's report; false where the bytes are none.
+    /// Takes another gateway's report; `false` where the bytes are none.
     pub fn record_report(&mut self, from: u32, bytes: &[u8], now: Duration) -> bool {
         let Some((&REPORT_TAG, entries)) = bytes.split_first() else {
             return false;
         };
-        if entries.len() % ENTRY_BYTES != 0 {
+        let (entries, []) = entries.as_chunks::<ENTRY_BYTES>() else {
             return false;
-        }
-        for e in entries.chunks(ENTRY_BYTES) {
-            let (Ok(name), Ok(units)) = (e[..8].try_into(), e[8..].try_into()) else {
-                continue;
-            };
-            let h = u64::from_be_bytes(name);
-            let units = f64::from(f32::from_be_bytes(units));
+        };
+        for entry in entries {
+            let (name_hash, units) = decode_entry(entry);
             if units.is_finite() && units >= 0.0 {
-                self.peers.entry(h).or_default().insert(from, (units, now));
+                let report = PeerReport { units, at: now };
+                let reports = self.peers.entry(name_hash).or_default();
+                reports.insert(from, report);
             }
         }
-        self.heard.insert(from, now);
-        if now >= self.swept + SWEEP_INTERVAL {
-            self.swept = now;
-            let fresh = |told: &BTreeMap<u32, (f64, Duration)>| {
-                told.values().any(|(_, at)| now < *at + REPORT_LIFETIME)
-            };
-            self.peers.retain(|_, told| fresh(told));
+        self.last_heard.insert(from, now);
+        if now >= self.swept_at + SWEEP_INTERVAL {
+            self.swept_at = now;
+            self.peers
+                .retain(|_, reports| reports.values().any(|report| report.counts(now)));
         }
         true
     }
 
-    /// What the peers say they admitted under a name.
+    /// What the other gateways say they admitted under a name.
     pub fn admitted_by_peers(&self, name: &str, now: Duration) -> f64 {
-        let told = self
-            .peers
-            .get(&hash(name))
-            .into_iter()
-            .flat_map(BTreeMap::values);
-        told.filter(|(_, at)| now < *at + REPORT_LIFETIME)
-            .map(|(units, _)| units)
-            .sum()
+        let reports = self.peers.get(&hash(name)).into_iter();
+        let reports = reports.flat_map(BTreeMap::values);
+        let counted = reports.filter(|report| report.counts(now));
+        counted.map(|report| report.units).sum()
     }
 
-    /// Up to when every one of these peers has told what it admitted; none where one is silent.
+    /// Up to when every one of these gateways has reported what it admitted; `None` where one is silent.
     pub fn reported_until(&self, peers: &[GatewayId], now: Duration) -> Option<Duration> {
-        let oldest = peers
+        let last_heard = |peer: &GatewayId| self.last_heard.get(&peer.0).copied();
+        let times = peers
             .iter()
-            .map(|p| self.heard.get(&p.0).copied().unwrap_or_default())
-            .min()?;
+            .map(|peer| last_heard(peer).unwrap_or_default());
+        let oldest = times.min()?;
         (now < oldest + SILENCE_TIMEOUT).then_some(oldest)
     }
 }
 
+/// One name's entry: its hash, and the units.
+fn encode_entry(name_hash: u64, units: f32) -> Vec<u8> {
+    [&name_hash.to_be_bytes()[..], &units.to_be_bytes()].concat()
+}
+
+fn decode_entry(entry: &[u8; ENTRY_BYTES]) -> (u64, f64) {
+    let [h0, h1, h2, h3, h4, h5, h6, h7, u0, u1, u2, u3] = *entry;
+    let name_hash = u64::from_be_bytes([h0, h1, h2, h3, h4, h5, h6, h7]);
+    let units = f32::from_be_bytes([u0, u1, u2, u3]);
+    (name_hash, f64::from(units))
+}
+
 #[cfg(test)]
 mod tests {
     use super::*;
