--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -211,14 +211,15 @@
 }
 
 fn account(folder: &Path, csv: Option<PathBuf>) -> Result<(), String> {
-    let account = damsonbeam_account::read(folder)?;
+    let account = damsonbeam_account::read(folder).map_err(|error| error.to_string())?;
     account.faulty.iter().for_each(|f| eprintln!("{f}"));
     print!("{}", account.summary());
     if account.faulty_lines > 0 {
         println!("{} lines could not be used", account.faulty_lines);
     }
     let Some(path) = csv else { return Ok(()) };
-    std::fs::write(&path, account.csv()?).map_err(|e| format!("{}: {e}", path.display()))
+    let table = account.csv().map_err(|error| error.to_string())?;
+    std::fs::write(&path, table).map_err(|e| format!("{}: {e}", path.display()))
 }
 
 fn failed(what: &str) -> ExitCode {
@@ -260,7 +261,7 @@
         },
         Command::Migrate(args) => match damsonbeam_migrate::command::run(&args) {
             Ok(()) => ExitCode::SUCCESS,
-            Err(what) => failed(&what),
+            Err(error) => failed(&error.to_string()),
         },
     }
 }
