--- a/crates/account/src/lib.rs
+++ b/crates/account/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! One gateway's log shows a call a second; a hundred of them show a service that serves none. A line that
 //! can't be used is named with file and line and counted, never left out in silence.
-#![warn(clippy::too_many_lines)]
+#![warn(clippy::too_many_lines, unreachable_pub)]
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -4,7 +4,7 @@
 //! where each thing happens, whether the process is ready, and a mailbox for [`Order`]s. It runs on a thread
 //! of its own, so that callers are answered within their second however busy the serving thread is, and cost
 //! that thread nothing but the processor time that the system gives them.
-#![warn(clippy::too_many_lines)]
+#![warn(clippy::too_many_lines, unreachable_pub)]
 
 pub mod calls;
 pub mod figures;
--- a/crates/config-store/src/lib.rs
+++ b/crates/config-store/src/lib.rs
@@ -6,7 +6,7 @@
 //! - [`consensus`]: the replica's state machine, free of I/O
 //! - [`disk`]: what a replica keeps, in a file
 //! - [`process`]: one store process, which owns the disk and the connections and carries out the replica's effects
-#![warn(clippy::too_many_lines)]
+#![warn(clippy::too_many_lines, unreachable_pub)]
 
 pub mod consensus;
 pub mod disk;
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -13,7 +13,7 @@
 //! - [`settings`]: the settings file of a process
 //! - [`link`]: held connections; with [`program`], the only module that does I/O
 //! - [`address`], [`json`]: small helpers
-#![warn(clippy::too_many_lines)]
+#![warn(clippy::too_many_lines, unreachable_pub)]
 
 pub mod address;
 pub mod config;
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -1,6 +1,6 @@
 //! What staff do besides running the three programs: check files before anything starts, ask a live system how it
 //! stands, read a store's disk, and join the logs of all machines into the account of one thing.
-#![warn(clippy::too_many_lines)]
+#![warn(clippy::too_many_lines, unreachable_pub)]
 
 mod account;
 mod error;
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -15,7 +15,7 @@
 //! | `handover` | the socket between a process and the one that follows it |
 //! | `bodies`, `memory_budget`, `request_heads`, `write_meter`, `sizes` | bodies and bytes on their way |
 //! | `config`, `log`, `account`, `clock` | settings, log lines, the account of each second, time |
-#![warn(clippy::too_many_lines)]
+#![warn(clippy::too_many_lines, unreachable_pub)]
 
 pub mod account;
 pub mod attempts;
--- a/crates/handover/src/lib.rs
+++ b/crates/handover/src/lib.rs
@@ -1,18 +1,18 @@
-//! A gateway's hand-over from the process that serves, the elder, to a new one, the younger: the steps of each
-//! side and what is said between them. No I/O; `docs/upgrade.md` weighs the options.
+//! A gateway's hand-over from the process that serves, the predecessor, to a new one, the successor: the steps of each
+//! side and the messages between them. No I/O; `docs/upgrade.md` weighs the options.
 //!
 //! ```text
-//! younger                          elder
+//! successor                        predecessor
 //! Hello ------------------------->            serves on
 //!       <------------------------- Known      the list of backends as it stands
-//! Prepared ---------------------->            accepts no more; its module yields
+//! Prepared ---------------------->            accepts no more; its dispatcher yields
 //!       <------------------------- Carry      counts, learned times, its parts of what is shared
-//! Taken ------------------------->            sends its clients away, owes what it holds
+//! Taken ------------------------->            sends its clients away, gives the answers that it owes
 //! ```
 //!
-//! Whoever is left alone goes on alone: the younger serves without what it could not get, and the elder takes
-//! its place up again if the younger dies, unless it was told to end.
-#![warn(clippy::too_many_lines)]
+//! Whoever is left alone goes on alone: the successor serves without what it could not get, and the predecessor
+//! accepts clients again if the successor ends, unless it was told to end.
+#![warn(clippy::too_many_lines, unreachable_pub)]
 
 use damsonbeam::interface::Carry;
 use serde::{Deserialize, Serialize};
@@ -20,7 +20,7 @@
 /// Of what is said; a process that hears another version's `Hello` does not answer it.
 pub const VERSION: u32 = 1;
 
-/// What the two say to each other, a JSON line each.
+/// What the two send each other, a JSON line each.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum HandoverMessage {
     /// The successor greets.
@@ -40,23 +40,23 @@
     Taken,
 }
 
-/// How far the elder has come.
+/// How far the predecessor has come.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Predecessor {
     /// It serves; nobody is there to follow it.
     #[default]
     Alone,
-    /// A younger process has asked, and starts.
+    /// A successor has asked, and starts.
     Asked,
     /// It accepts no more, and has handed over its parts.
     Yielded,
-    /// The younger serves.
+    /// The successor serves.
     Followed,
     /// It was told to end: nothing takes it back.
     Ending,
 }
 
-/// What happens to the elder.
+/// What happens to the predecessor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PredecessorEvent {
     /// A greeting, and whether its version and the gateway's name are ours.
@@ -68,13 +68,13 @@
     Prepared,
     /// The successor serves.
     Taken,
-    /// The younger said what has no place here, or its connection ended.
+    /// The successor said what has no place here, or its connection ended.
     Lost,
     /// SIGTERM.
     Terminate,
 }
 
-/// What the elder does, in order.
+/// What the predecessor does, in order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PredecessorAction {
     /// The list of backends is sent.
@@ -87,7 +87,7 @@
     SendClientsAway,
     /// Accepts again, and the module has its parts again.
     Resume,
-    /// The connection to the younger is closed.
+    /// The connection to the successor is closed.
     HangUp,
 }
 
@@ -128,7 +128,7 @@
     }
 }
 
-/// How far the younger has come.
+/// How far the successor has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Successor {
     /// It has greeted, and waits for the list.
@@ -137,19 +137,19 @@
     Starting,
     /// It has told that it is prepared, and waits for what it takes over.
     Prepared,
-    /// It serves after the elder, whose state it has.
+    /// It serves after the predecessor, whose state it has.
     Follows,
-    /// It serves alone: nobody answered, or the elder went silent or away midway.
+    /// It serves alone: nobody answered, or the predecessor went silent or away midway.
     Alone,
 }
 
 impl Successor {
-    /// The next step after what the elder said; none: it is gone, silent, or says what has no place here.
+    /// The next step after what the predecessor said; none: it is gone, silent, or says what has no place here.
     pub fn handle(&mut self, message: Option<&HandoverMessage>) -> Successor {
         *self = match (*self, message) {
             (Successor::Greeted, Some(HandoverMessage::Known(_))) => Successor::Starting,
             (Successor::Prepared, Some(HandoverMessage::Carry(_))) => Successor::Follows,
-            // Once it follows, the elder's end is what is meant to come.
+            // Once it follows, the predecessor's end is what is meant to come.
             (Successor::Follows, None) => Successor::Follows,
             _ => Successor::Alone,
         };
--- a/crates/migrate/src/lib.rs
+++ b/crates/migrate/src/lib.rs
@@ -1,5 +1,5 @@
 //! A gateway's configuration, carried over to a deployment of another shape. No I/O.
-#![warn(clippy::too_many_lines)]
+#![warn(clippy::too_many_lines, unreachable_pub)]
 
 pub mod command;
 mod differences;
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -11,7 +11,7 @@
 //! - [`protocol`]: what clients and backends speak; [`dispatch`]: the decision modules
 //! - [`control_client`]: the connections to the registries; [`mirroring`]: mirrored requests
 //! - [`process`]: one proxy process, from start to exit
-#![warn(clippy::too_many_lines)]
+#![warn(clippy::too_many_lines, unreachable_pub)]
 
 pub mod backend_pool;
 pub mod config_transfer;
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -9,7 +9,7 @@
 //! - `registry`: the state as a whole, and what happens to it; `store_messages`: what the store sends; `proxy_updates`:
 //!   what proxies are sent; `state_report`: what operators are shown
 //! - `gossip`, `links`, `operators`, `platform`: sockets and connections; `report`: bodies of answers
-#![warn(clippy::too_many_lines)]
+#![warn(clippy::too_many_lines, unreachable_pub)]
 
 pub mod backend_list;
 pub mod calls;
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,6 +1,6 @@
 //! The settings object that a gateway gets at its start, as it stands on the simulator's wire and in a
 //! gateway's configuration, and its translation to the module's settings. One decoder for both.
-#![warn(clippy::too_many_lines)]
+#![warn(clippy::too_many_lines, unreachable_pub)]
 
 use std::time::Duration;
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -6,7 +6,7 @@
 //!
 //! `interface` is what both sides say to each other; `rules` holds every decision, a file for each concern;
 //! `settings_update` keeps the meaning of positions while settings change.
-#![warn(clippy::too_many_lines)]
+#![warn(clippy::too_many_lines, unreachable_pub)]
 
 pub mod interface;
 pub mod rules;
