--- a/crates/config-store/src/process/store.rs
+++ b/crates/config-store/src/process/store.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use damsonbeam_control::address::{Ip, ip_addr};
+use damsonbeam_control::address::{Ip, ip_texts};
 use damsonbeam_control::config::Item;
 use damsonbeam_control::link::MessageSender;
 use damsonbeam_control::messages::{BackendList, Command, CommandReply, Message};
@@ -314,7 +314,10 @@
         };
         let epoch = set.epoch;
         let voters: Vec<Ip> = set.voters().iter().map(|voter| voter.ip).collect();
-        log::info!("store: voters of epoch {epoch}: {}.", describe_ips(&voters));
+        log::info!(
+            "store: voters of epoch {epoch}: {}.",
+            ip_texts(voters.iter().copied()).join(", ")
+        );
         self.epoch_sent = epoch;
         self.send_to_registry(&Message::Voters { epoch, voters });
     }
@@ -324,8 +327,3 @@
 pub(super) fn configuration_items(items: impl Iterator<Item = Item>) -> Vec<Item> {
     items.filter(|item| !item.key.kind.is_internal()).collect()
 }
-
-fn describe_ips(ips: &[Ip]) -> String {
-    let ips: Vec<String> = ips.iter().map(|ip| ip_addr(*ip).to_string()).collect();
-    ips.join(", ")
-}
--- a/crates/control/src/address.rs
+++ b/crates/control/src/address.rs
@@ -20,6 +20,12 @@
     IpAddr::V4(ip.into())
 }
 
+/// Wire forms as they are printed.
+pub fn ip_texts(ips: impl IntoIterator<Item = Ip>) -> Vec<String> {
+    let ips = ips.into_iter();
+    ips.map(|ip| ip_addr(ip).to_string()).collect()
+}
+
 /// An address and port as they go over the wire.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct Endpoint {
--- a/crates/control/src/config/snapshot.rs
+++ b/crates/control/src/config/snapshot.rs
@@ -67,21 +67,18 @@
     /// Takes an item in if its version is above the one known, or, of one version, its proposal number. Returns whether
     /// it did.
     pub fn merge(&mut self, item: Item) -> bool {
-        let rank = |item: &Item| (item.version, item.proposal_number);
-        let prevails = self
-            .get(&item.key)
-            .is_none_or(|known| rank(known) < rank(&item));
-        if prevails {
-            self.insert(item);
-        }
-        prevails
+        self.merge_ranked(item, |item| (item.version, item.proposal_number))
     }
 
     /// Takes an item in if its proposal number is above that of the one known: a proposal takes the place of any earlier
     /// one. Of one number the later version prevails, for what was left uncommitted before it is committed first. Returns
     /// whether it did.
     pub fn merge_proposed(&mut self, item: Item) -> bool {
-        let rank = |item: &Item| (item.proposal_number, item.version);
+        self.merge_ranked(item, |item| (item.proposal_number, item.version))
+    }
+
+    /// Takes an item in if it ranks above the one known. Returns whether it did.
+    fn merge_ranked<R: Ord>(&mut self, item: Item, rank: impl Fn(&Item) -> R) -> bool {
         let prevails = self
             .get(&item.key)
             .is_none_or(|known| rank(known) < rank(&item));
--- a/crates/ctl/src/stores.rs
+++ b/crates/ctl/src/stores.rs
@@ -4,7 +4,7 @@
 
 use damsonbeam_config_store::consensus::voters::VoterSet;
 use damsonbeam_config_store::disk::{Disk, StoredState};
-use damsonbeam_control::address::ip_addr;
+use damsonbeam_control::address::ip_texts;
 use damsonbeam_control::config::Item;
 
 use crate::CtlError;
@@ -33,9 +33,8 @@
         promised.round, promised.proposer
     )];
     if let Some(voters) = VoterSet::committed(&durable.committed) {
-        let all = voters.voters().iter();
-        let ips: Vec<String> = all.map(|voter| ip_addr(voter.ip).to_string()).collect();
-        let ips = ips.join(", ");
+        let ips = voters.voters().iter().map(|voter| voter.ip);
+        let ips = ip_texts(ips).join(", ");
         lines.push(format!("voters of epoch {}: {ips}", voters.epoch));
     }
     lines.push(format!("{} stores known", roster.len()));
--- a/crates/ctl/tests/system/cluster.rs
+++ b/crates/ctl/tests/system/cluster.rs
@@ -496,11 +496,13 @@
     }
 
     pub fn edges(&self) -> Vec<SocketAddr> {
-        self.machines
-            .iter()
-            .filter(|m| !m.core)
-            .map(|m| m.at(FRONT))
-            .collect()
+        self.edges_at(FRONT)
+    }
+
+    /// A port of all proxies' machines.
+    pub fn edges_at(&self, port: u16) -> Vec<SocketAddr> {
+        let edges = self.machines.iter().filter(|m| !m.core);
+        edges.map(|m| m.at(port)).collect()
     }
 
     /// The operator's call, sent again to the next running core machine as long as none answers it clearly.
--- a/crates/ctl/tests/system/main.rs
+++ b/crates/ctl/tests/system/main.rs
@@ -133,12 +133,7 @@
 
     // What was not served is accounted for, by whoever met it.
     get(edges[0], "/nowhere/", KEY);
-    let proxies: Vec<SocketAddr> = cluster
-        .machines
-        .iter()
-        .filter(|m| !m.core)
-        .map(|m| m.at(READY))
-        .collect();
+    let proxies = cluster.edges_at(READY);
     let told = account(&proxies, None).expect("an account");
     assert!(
         told.lines()
@@ -459,12 +454,7 @@
             200
         );
         let says = format!("\"version\":{version},\"copied\":");
-        let proxies: Vec<SocketAddr> = cluster
-            .machines
-            .iter()
-            .filter(|m| !m.core)
-            .map(|m| m.at(READY))
-            .collect();
+        let proxies = cluster.edges_at(READY);
         cluster.until("the rule is known", |_| {
             edges
                 .iter()
@@ -475,12 +465,7 @@
             })
         });
     }
-    let proxies: Vec<SocketAddr> = cluster
-        .machines
-        .iter()
-        .filter(|m| !m.core)
-        .map(|m| m.at(READY))
-        .collect();
+    let proxies = cluster.edges_at(READY);
     let report = mirror::report(&proxies).expect("a report");
     let of = |version: &str| {
         report
--- a/crates/gateway/src/backend_list/name_table.rs
+++ b/crates/gateway/src/backend_list/name_table.rs
@@ -50,19 +50,18 @@
     /// A list as the dispatcher takes it. Names of backends that are gone are forgotten.
     pub fn to_update(&mut self, page: DiscoveryPage, form: ListForm) -> BackendListUpdate {
         let addresses = page.members.iter().map(|member| member.host_port).collect();
-        let is_listed = |member: &&Member| member.phase != LEFT;
-        let listed = page.members.iter().filter(is_listed);
-        let listed: HashSet<String> = listed.map(|member| member.id.clone()).collect();
         let members = page.members.iter();
         let entries = members.map(|member| self.entry(member)).collect();
+        let has_left = |member: &&Member| member.phase == LEFT;
         // Backends are replaced for ever: names that are gone must not stay, or they fill the memory.
         if form == ListForm::Update {
-            let gone = page.members.iter().filter(|member| member.phase == LEFT);
-            for member in gone {
+            for member in page.members.iter().filter(has_left) {
                 self.ids.remove(&member.id);
             }
         } else {
-            self.ids.retain(|id, _| listed.contains(id));
+            let listed = page.members.iter().filter(|member| !has_left(member));
+            let listed: HashSet<&str> = listed.map(|member| member.id.as_str()).collect();
+            self.ids.retain(|id, _| listed.contains(id.as_str()));
         }
         BackendListUpdate {
             form,
--- a/crates/gateway/src/clients/services.rs
+++ b/crates/gateway/src/clients/services.rs
@@ -38,32 +38,35 @@
         let clients = self.inner.clients.clone();
         let connection = self.inner.connection.clone();
         let started = clients.clock.now();
-        let local = self.answered_here(&request, started);
+        let answered_here = self.answered_here(&request, started);
         let ends_connection = self.full
-            || local == Some(AnsweredHere::ConflictingLength)
+            || answered_here == Some(AnsweredHere::ConflictingLength)
             // Where the next head starts is not known after one.
             || request.headers().contains_key(TRANSFER_ENCODING);
         let operation = clients.protocol.operation_name(request.uri());
-        let inner = local.is_none().then(|| self.inner.call(request));
+        let inner = match answered_here {
+            Some(reason) => Err(reason),
+            None => Ok(self.inner.call(request)),
+        };
         Box::pin(async move {
-            let mut response = match (inner, local) {
-                (Some(inner), _) => {
+            let mut response = match inner {
+                Ok(inner) => {
                     let response = inner.await?;
                     let took = clients.clock.now().saturating_sub(started);
                     clients.shutdown_admission.answered(took);
                     response
                 }
-                (None, Some(local)) => clients.local_response(local),
-                (None, None) => plain(StatusCode::SERVICE_UNAVAILABLE),
+                Err(reason) => clients.local_response(reason),
             };
             let closes_connections = clients.phase.get().closes_connections();
-            connection.enter_writing(&mut response, clients.clock.now(), |response| {
+            let now = clients.clock.now();
+            connection.enter_writing(&mut response, now, |response| {
                 if let Some(operation) = operation {
                     clients.count(&operation, response);
                 }
             });
             let ends = ends_connection || closes_connections || connection.unread.get();
-            if ends || clients.closes_for_others() {
+            if ends || clients.closes_for_others(now) {
                 let close = HeaderValue::from_static("close");
                 response.headers_mut().insert(CONNECTION, close);
             }
@@ -109,8 +112,8 @@
 }
 
 impl Clients {
-    fn local_response(&self, local: AnsweredHere) -> ClientResponse {
-        match local {
+    fn local_response(&self, reason: AnsweredHere) -> ClientResponse {
+        match reason {
             AnsweredHere::ConflictingLength => plain(StatusCode::BAD_REQUEST),
             AnsweredHere::TooLate => self.refusal(),
             AnsweredHere::Readiness if self.phase.get().is_serving() => plain(StatusCode::OK),
@@ -119,9 +122,9 @@
     }
 
     /// Whether a response ends its connection for the sake of clients that wait for one.
-    fn closes_for_others(&self) -> bool {
+    fn closes_for_others(&self, now: Duration) -> bool {
         let mut admission = self.admission.borrow_mut();
-        admission.closes_after_response(self.max_connections.get(), self.clock.now())
+        admission.closes_after_response(self.max_connections.get(), now)
     }
 }
 
--- a/crates/gateway/src/counter_client/call_stream.rs
+++ b/crates/gateway/src/counter_client/call_stream.rs
@@ -71,9 +71,9 @@
         let Some(end) = self.read.iter().position(|byte| *byte == b'\n') else {
             return Ok(None);
         };
-        let line: Vec<u8> = self.read.drain(..=end).collect();
-        let (outcome, total) =
-            decode(&line[..end]).ok_or_else(|| invalid("an answer that is none"))?;
+        let answer = decode(&self.read[..end]);
+        let (outcome, total) = answer.ok_or_else(|| invalid("an answer that is none"))?;
+        self.read.drain(..=end);
         let sent_call = self.sent.pop_front();
         let sent_call = sent_call.ok_or_else(|| invalid("an answer to no call"))?;
         Ok(Some((sent_call, outcome, total)))
--- a/crates/gateway/src/counter_client/mod.rs
+++ b/crates/gateway/src/counter_client/mod.rs
@@ -143,7 +143,8 @@
             ..CallStream::default()
         };
         waiting.drain(..).for_each(|call| stream.encode(call));
-        let reason = self.exchange(socket, &mut stream).await;
+        let exchanged = self.exchange(socket, &mut stream).await;
+        let reason = exchanged.unwrap_or_else(Disconnected::Broken);
         let was_silent = stream.last_heard == began;
         self.end_calls(stream, &reason).await;
         *silence_limit = if was_silent {
@@ -174,16 +175,9 @@
         }
     }
 
-    /// Exchanges calls and answers until the connection ends, the counter has moved and all calls out have
-    /// ended, or nobody calls any more.
-    async fn exchange(&mut self, socket: TcpStream, stream: &mut CallStream) -> Disconnected {
-        match self.try_exchange(socket, stream).await {
-            Ok(reason) => reason,
-            Err(error) => Disconnected::Broken(error),
-        }
-    }
-
-    async fn try_exchange(
+    /// Exchanges calls and answers until the counter has moved and all calls out have ended, or nobody calls any
+    /// more; an error where the connection ends.
+    async fn exchange(
         &mut self,
         socket: TcpStream,
         stream: &mut CallStream,
--- a/crates/gateway/src/dispatcher/overdue.rs
+++ b/crates/gateway/src/dispatcher/overdue.rs
@@ -47,12 +47,7 @@
         };
         let deadline = request.deadline;
         let clients_time_is_over = now >= deadline || request.answer.is_none();
-        if !clients_time_is_over
-            && self
-                .attempt_policy
-                .as_ref()
-                .is_some_and(|policy| !policy.may_cancel())
-        {
+        if !clients_time_is_over && self.must_not_cancel() {
             return self.extend_timeout(invocation_id, number, deadline);
         }
         let Some(attempt) = self.take_attempt(invocation_id, number) else {
@@ -78,6 +73,12 @@
         self.handle_event(event);
     }
 
+    /// Whether what a backend may work on must be left to it until its client's time is over.
+    fn must_not_cancel(&self) -> bool {
+        let policy = self.attempt_policy.as_ref();
+        policy.is_some_and(|policy| !policy.may_cancel())
+    }
+
     fn extend_timeout(
         &mut self,
         invocation_id: InvocationId,
@@ -102,10 +103,7 @@
         failure: Answer,
     ) -> Option<Answer> {
         let now = self.clock.now();
-        let must_not_cancel = self
-            .attempt_policy
-            .as_ref()
-            .is_some_and(|policy| !policy.may_cancel());
+        let must_not_cancel = self.must_not_cancel();
         let Some(request) = self.state.requests.get_mut(&invocation_id) else {
             return Some(failure);
         };
@@ -129,10 +127,7 @@
     /// The time for an overdue attempt is over too.
     pub(super) fn overdue_timed_out(&mut self, invocation_id: InvocationId) {
         let now = self.clock.now();
-        let must_not_cancel = self
-            .attempt_policy
-            .as_ref()
-            .is_some_and(|policy| !policy.may_cancel());
+        let must_not_cancel = self.must_not_cancel();
         let Some(request) = self.state.requests.get_mut(&invocation_id) else {
             return;
         };
--- a/crates/registry/src/state_report.rs
+++ b/crates/registry/src/state_report.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use damsonbeam_control::address::{Ip, ip_addr};
+use damsonbeam_control::address::{ip_addr, ip_texts};
 
 use crate::registry::Registry;
 use crate::report::{self, CoordinatorReport, ListReport, ProxyReport, StateReport};
@@ -22,9 +22,9 @@
         report::to_json(&StateReport {
             registry: self.settings.node_name.clone(),
             up_ms: now.as_millis() as u64,
-            registries: ip_texts(&self.membership.alive()),
+            registries: ip_texts(self.membership.alive()),
             epoch: self.lease.epoch(),
-            voters: ip_texts(voters),
+            voters: ip_texts(voters.iter().copied()),
             in_contact: self.is_in_contact(),
             contact_age_ms: self.contact.age(now).map(|age| age.as_millis() as u64),
             coordinator,
@@ -51,7 +51,3 @@
         reports.collect()
     }
 }
-
-pub(crate) fn ip_texts(ips: &[Ip]) -> Vec<String> {
-    ips.iter().map(|ip| ip_addr(*ip).to_string()).collect()
-}
--- a/crates/registry/src/store_messages.rs
+++ b/crates/registry/src/store_messages.rs
@@ -1,12 +1,12 @@
 //! What the store on this machine sends: voters, committed items, replies.
 
+use damsonbeam_control::address::ip_texts;
 use damsonbeam_control::config::{Item, ItemKind, Tenant};
 use damsonbeam_control::link::MessageSender;
 use damsonbeam_control::messages::Message;
 use damsonbeam_control::voters::VoterSet;
 
 use crate::registry::Registry;
-use crate::state_report::ip_texts;
 
 impl Registry {
     /// The connection to the store is up.
@@ -54,7 +54,7 @@
         if voters.epoch <= self.lease.epoch() {
             return;
         }
-        let ips = ip_texts(voters.voters()).join(" ");
+        let ips = ip_texts(voters.voters().iter().copied()).join(" ");
         log::info!("voters: epoch {}, {ips}.", voters.epoch);
         self.membership.add_seeds(voters.voters().iter().copied());
         self.contact.set_voters(voters.clone());
--- a/src/rules/admission.rs
+++ b/src/rules/admission.rs
@@ -207,8 +207,8 @@
     /// Reads finished slots where they can matter; returns whether the decision waits for them.
     fn reads_first(&mut self, id: InvocationId, sum: f64, burst: f64) -> bool {
         let invocation = &self.invocations[&id];
-        let customer_id = invocation.request.customer.clone();
-        let customer = &self.customers[&customer_id];
+        let customer_id = &invocation.request.customer;
+        let customer = &self.customers[customer_id];
         // Of the slot before, what was out at its end is over soon.
         let slot_start_s = invocation.slot as f64 * customer.slot_s;
         let is_over = self.caps_in_flight(invocation.request.plan)
@@ -224,6 +224,7 @@
             running.saturating_sub(customer.window_slots)
         };
         let unread = self.unread_slots(customer, first);
+        let customer_id = customer_id.clone();
         for number in &unread {
             let customer = self.customers.get_mut(&customer_id).expect("registered");
             customer.awaiting_reads.insert(id);
--- a/src/rules/counter.rs
+++ b/src/rules/counter.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::customer::{KEPT_WINDOWS, counter_name};
-use super::{EPSILON, Rules, is_answered};
+use super::{EPSILON, Rules};
 use crate::interface::{Action, CustomerId, InvocationId, Outcome};
 
 /// The counter keeps a name for 60 s at most; names outlive the window by this many slots.
@@ -72,7 +72,7 @@
         timeout: Duration,
         now: Duration,
     ) {
-        let is_ok = is_answered(outcome);
+        let is_ok = outcome == Outcome::Ok;
         let is_prompt = is_ok && took < timeout.mul_f64(PROMPT_PART_OF_TIMEOUT);
         self.prompt_answers = if is_prompt {
             self.prompt_answers + 1.0
@@ -143,8 +143,9 @@
         if !self.customers.contains_key(&call.customer) {
             return;
         }
-        self.take_total(&call, is_answered(outcome), total, others, lost);
-        self.decide_waiting(&call, is_answered(outcome), total);
+        let is_ok = outcome == Outcome::Ok;
+        self.take_total(&call, is_ok, total, others, lost);
+        self.decide_waiting(&call, is_ok, total);
     }
 
     /// The oldest call under that name, and the units of this gateway that the counter turns out to lack.
@@ -156,7 +157,7 @@
     ) -> Option<(CounterCall, f64)> {
         let queue = self.calls.get_mut(name)?;
         let call = queue.pop_front().expect("kept only while calls are out");
-        let lost = if is_answered(outcome) {
+        let lost = if outcome == Outcome::Ok {
             // Less than this gateway alone has added: the counter lost it, so it is owed anew.
             let lacking = (call.added_until - total).max(0.0);
             if lacking > EPSILON { lacking } else { 0.0 }
--- a/src/rules/mod.rs
+++ b/src/rules/mod.rs
@@ -57,8 +57,7 @@
 use self::use_estimate::{PlanUse, initial_plan_use};
 use self::warm_up::WarmFlow;
 use crate::interface::{
-    Action, BackendId, CustomerId, Event, InvocationId, OperationId, Outcome, PeersAdmitted,
-    Settings,
+    Action, BackendId, CustomerId, Event, InvocationId, OperationId, PeersAdmitted, Settings,
 };
 
 /// Sums of fractions are equal within this many units.
@@ -262,8 +261,3 @@
         f64::from(self.settings.gateways.max(1))
     }
 }
-
-/// Whether a call to the counter may have been counted.
-fn is_answered(outcome: Outcome) -> bool {
-    outcome == Outcome::Ok
-}
