--- a/src/rules/admission.rs
+++ b/src/rules/admission.rs
@@ -1,37 +1,41 @@
-//! Whether an invocation is let in, by its customer's quota.
+//! Admission of invocations by the quotas of their customers.
 
 use std::time::Duration;
 
 use rand::Rng;
 
-use super::customer::{Customer, KEPT_WINDOWS};
+use super::customer::{Customer, RETAINED_WINDOWS};
 use super::invocation::PendingInvocation;
 use super::timers::Timer;
 use super::{EPSILON, MEAN_SAMPLES, Rules};
 use crate::interface::{Invocation, InvocationId, RejectReason};
 
-/// Part of the burst up to which guesses stand in for unread slots: half leaves room to be wrong twofold.
-const UNREAD_PART_OF_BURST: f64 = 0.5;
-/// A window known to be full is not asked about again for this long: add and undo would be calls for nothing.
-const FULL_HOLD: Duration = Duration::from_millis(100);
-/// Part of guessed units by which a window may be over, times (earned inside / cost beyond - 1).
-const GUESS_SLACK: f64 = 0.3;
-/// What is at stake counts up to this far from the mean for who may ask: none is never asked for.
-const MAX_STAKE: f64 = 5.0;
+/// Fraction of the burst up to which estimates replace reads of finished slots. One half leaves
+/// room for an estimate that is too low by a factor of two.
+const MAX_UNREAD_BURST_FRACTION: f64 = 0.5;
+/// How long the counter is not asked again about a full window. Such a call would only add units
+/// and then undo the add.
+const FULL_WINDOW_RECHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// A window may exceed the burst by `ESTIMATE_SLACK * (1 / loss - 1)` of its estimated units, where
+/// `loss` is `excess_cost - excess_value`, at least `ESTIMATE_SLACK`.
+const ESTIMATE_SLACK: f64 = 0.3;
+/// Bound on the value of an invocation relative to the mean, in both directions, so that even the
+/// least valuable invocations are sometimes checked against the counter.
+const MAX_RELATIVE_VALUE: f64 = 5.0;
 
 impl Rules {
-    /// An invocation came in: it is let in, refused, or the counter is asked.
-    pub(super) fn arrive(&mut self, request: Invocation) {
+    /// Handles a new invocation: admits it, rejects it or asks the counter.
+    pub(super) fn handle_invocation(&mut self, request: Invocation) {
         let mut pending = PendingInvocation {
             request,
             arrived: self.now,
-            time_from: self.now,
+            timed_from: self.now,
             max_attempts: self.settings.limits.max_attempts,
             ..PendingInvocation::default()
         };
         let id = pending.request.id;
-        let last_at = self.last_answer_at(&pending);
-        self.timers.insert((last_at, Timer::FinalAnswer(id)));
+        let answer_by = self.answer_deadline(&pending);
+        self.timers.insert((answer_by, Timer::FinalAnswer(id)));
         self.register_customer(&mut pending);
         let is_metered = self.is_metered(pending.request.plan);
         pending.is_admitted = !is_metered;
@@ -40,22 +44,23 @@
             return self.enqueue(id);
         }
         let customer = self.invocations[&id].request.customer.clone();
-        self.age_slots(&customer);
-        // Known full, or no room in the queue: refused early, without calls that are then undone.
+        self.expire_slots(&customer);
+        // Rejected here, a full window or a long queue costs no counter calls that would be undone.
         if self.is_known_full(id) {
             return self.throttle(id, RejectReason::Full);
         }
         if self.is_queue_too_long(id) {
             return self.throttle(id, RejectReason::Line);
         }
-        if self.asks_counter(id) {
+        if self.should_ask_counter(id) {
             self.add_to_counter(id);
         } else {
-            self.decide(id, false);
+            self.decide_admission(id, false);
         }
     }
 
-    /// Its customer is known from now on; the invocation gets its slot and its units.
+    /// Creates the customer's state if there is none, and sets the invocation's slot and quota
+    /// units.
     fn register_customer(&mut self, pending: &mut PendingInvocation) {
         let request = &pending.request;
         let Some(plan) = self.settings.plans.get(request.plan.0) else {
@@ -64,15 +69,15 @@
         let (ceiling_rate, ceiling_burst) = (plan.ceiling_rate, plan.ceiling_burst);
         let gateways = self.customer_gateways(request);
         let burst = self.burst(request.plan);
-        let cut = self.window_cut(request.plan, gateways);
+        let layout = self.slot_layout_for(request.plan, gateways);
         pending.quota_units = if self.caps_in_flight(request.plan) {
             1.0
         } else {
             request.units
         };
         self.mean_units += (request.units - self.mean_units) / MEAN_SAMPLES;
-        let running = (self.now.as_secs_f64() / cut.slot_s) as u64;
-        let ceiling_part = if self.is_own_customer(request, gateways) && !self.has_yielded {
+        let current_slot = (self.now.as_secs_f64() / layout.slot_s) as u64;
+        let ceiling_share = if self.serves_customer(request, gateways) && !self.has_yielded {
             1.0 / f64::from(gateways)
         } else {
             0.0
@@ -80,14 +85,15 @@
         let (now, started_at) = (self.now, self.started_at);
         let new_customer = || Customer {
             plan: request.plan,
-            window_slots: cut.slots,
-            slot_s: cut.slot_s,
+            window_slots: layout.slots,
+            slot_s: layout.slot_s,
             debt: burst,
-            oldest_slot: running.saturating_sub(KEPT_WINDOWS * cut.slots),
-            learned_until: running,
-            // A restart must not hand out the ceiling's store again: a process earns its part from nothing.
+            oldest_slot: current_slot.saturating_sub(RETAINED_WINDOWS * layout.slots),
+            learned_until: current_slot,
+            // A restart must not grant the whole burst of the ceiling again. The budget starts
+            // empty when the process starts.
             ceiling_units: (ceiling_rate * (now - started_at).as_secs_f64()).min(ceiling_burst)
-                * ceiling_part,
+                * ceiling_share,
             ceiling_at: now,
             ..Customer::default()
         };
@@ -96,12 +102,12 @@
             .entry(request.customer.clone())
             .or_insert_with(new_customer);
         customer.gateways = f64::from(gateways);
-        customer.ceiling_part = ceiling_part;
+        customer.ceiling_share = ceiling_share;
         customer.open_invocations += 1;
         pending.slot = (now.as_secs_f64() / customer.slot_s) as u64;
     }
 
-    /// Gateways at which its customer's invocations come in.
+    /// Returns the number of gateways that receive the customer's invocations.
     fn customer_gateways(&self, request: &Invocation) -> u32 {
         let all = self.settings.gateways.max(1);
         match request.spread {
@@ -110,14 +116,14 @@
         }
     }
 
-    /// Whether this gateway is one of these.
-    fn is_own_customer(&self, request: &Invocation, gateways: u32) -> bool {
+    /// Returns whether this gateway is one of those that receive the customer's invocations.
+    fn serves_customer(&self, request: &Invocation, gateways: u32) -> bool {
         let all = self.settings.gateways.max(1);
         let first = request.first_gateway.0 % all;
         (self.settings.own_id.0 + all - first) % all < gateways
     }
 
-    /// Whether its customer's window is known to have no room for it.
+    /// Returns whether the customer's window is known to have no room for the invocation.
     fn is_known_full(&self, id: InvocationId) -> bool {
         let invocation = &self.invocations[&id];
         let plan = invocation.request.plan;
@@ -128,29 +134,30 @@
         }
         let slot = customer.slots.get(&invocation.slot);
         let answered_at = slot.map_or(Duration::ZERO, |slot| slot.answered_at);
-        let hold = if self.caps_in_flight(plan) {
+        let recheck_after = if self.caps_in_flight(plan) {
             Duration::from_secs_f64(self.mean_attempt_s)
         } else {
-            FULL_HOLD
+            FULL_WINDOW_RECHECK_INTERVAL
         };
-        !self.counter_sampling.allows_reads() || self.now < answered_at + hold
+        !self.counter_sampling.allows_reads() || self.now < answered_at + recheck_after
     }
 
-    /// Whether the counter is asked: near quotas, and where a wrong verdict costs most, first.
-    fn asks_counter(&mut self, id: InvocationId) -> bool {
+    /// Decides at random whether to ask the counter. If it can not be asked every time, invocations
+    /// near the quota and those with a high value are preferred.
+    fn should_ask_counter(&mut self, id: InvocationId) -> bool {
         let invocation = &self.invocations[&id];
         let request = &invocation.request;
         let customer = &self.customers[&request.customer];
-        let sum = self.window_sum(customer, self.pace(customer, request.repeat));
+        let sum = self.window_sum(customer, self.expected_usage(customer, request.repeat));
         let fullness = (sum + invocation.quota_units) / self.burst(request.plan);
-        let stake = self.stake(id);
-        let distance = fullness.max(1.0 / fullness) / stake;
+        let relative_value = self.relative_value(id);
+        let distance = fullness.max(1.0 / fullness) / relative_value;
         let probability = self.counter_sampling.probability.powf(distance);
         self.settings.counter.is_some() && self.rng.random::<f64>() < probability
     }
 
-    /// What an invocation earns, beside the mean of those that came of late.
-    fn stake(&mut self, id: InvocationId) -> f64 {
+    /// Returns the value of an invocation relative to the moving mean, and updates the mean.
+    fn relative_value(&mut self, id: InvocationId) -> f64 {
         let request = &self.invocations[&id].request;
         let value = self.settings.operations[request.operation.0].billed_value
             * self.settings.plans[request.plan.0].price
@@ -161,11 +168,12 @@
             1.0
         };
         self.mean_value += (value - self.mean_value) / samples;
-        (value / self.mean_value.max(EPSILON)).clamp(1.0 / MAX_STAKE, MAX_STAKE)
+        (value / self.mean_value.max(EPSILON)).clamp(1.0 / MAX_RELATIVE_VALUE, MAX_RELATIVE_VALUE)
     }
 
-    /// Adds its units on the counter, and what the counter lacks of the units admitted here (not asked, or lost),
-    /// or holds too much.
+    /// Adds the units of the invocation on the counter. The call also corrects the difference
+    /// between the units admitted here and those the counter holds, for example after lost or
+    /// omitted calls.
     fn add_to_counter(&mut self, id: InvocationId) {
         let Some(invocation) = self.invocations.get_mut(&id) else {
             return;
@@ -180,48 +188,52 @@
         self.call_counter(customer_id, number, add, Some(id), false);
     }
 
-    /// Decides; with a counter that answers, finished slots are read first where they can matter.
-    pub(super) fn decide(&mut self, id: InvocationId, answered: bool) {
+    /// Admits or rejects an invocation. If the counter has `answered`, finished slots that can
+    /// change the decision are read first.
+    pub(super) fn decide_admission(&mut self, id: InvocationId, answered: bool) {
         let customer_id = self.invocations[&id].request.customer.clone();
-        self.age_slots(&customer_id);
+        self.expire_slots(&customer_id);
         let invocation = &self.invocations[&id];
         let request = &invocation.request;
         let customer = &self.customers[&customer_id];
         let burst = self.burst(request.plan);
         let known = self.window_sum(customer, 0.0) + invocation.quota_units;
-        let pace = self.pace(customer, request.repeat);
-        let sum = self.window_sum(customer, pace) + invocation.quota_units;
-        if answered && self.reads_first(id, sum, burst) {
+        let expected_usage = self.expected_usage(customer, request.repeat);
+        let sum = self.window_sum(customer, expected_usage) + invocation.quota_units;
+        if answered && self.read_finished_slots(id, sum, burst) {
             return;
         }
-        // A guess is no proof: what is likely inside is let in, up to what beyond quota would cost it.
+        // Estimated units alone do not justify a rejection. The window may exceed the burst by a
+        // fraction of them; the fraction shrinks as the loss from exceeding the quota grows.
         let plan = &self.settings.plans[self.invocations[&id].request.plan.0];
-        let loss = (plan.excess_cost - plan.excess_value).max(GUESS_SLACK);
-        let slack = GUESS_SLACK * (1.0 / loss - 1.0);
+        let loss = (plan.excess_cost - plan.excess_value).max(ESTIMATE_SLACK);
+        let slack = ESTIMATE_SLACK * (1.0 / loss - 1.0);
         if sum > burst + EPSILON + slack * (sum - known) {
             return self.throttle(id, RejectReason::Quota);
         }
-        self.let_in(id);
+        self.admit(id);
     }
 
-    /// Reads finished slots where they can matter; returns whether the decision waits for them.
-    fn reads_first(&mut self, id: InvocationId, sum: f64, burst: f64) -> bool {
+    /// Reads the finished slots that can change the decision. Returns whether the decision has to
+    /// wait for them.
+    fn read_finished_slots(&mut self, id: InvocationId, sum: f64, burst: f64) -> bool {
         let invocation = &self.invocations[&id];
         let customer_id = &invocation.request.customer;
         let customer = &self.customers[customer_id];
-        // Of the slot before, what was out at its end is over soon.
+        // An in-flight cap also counts the previous slot. Attempts that were in flight at its end
+        // have usually ended after the mean attempt duration, so that a read tells nothing.
         let slot_start_s = invocation.slot as f64 * customer.slot_s;
         let is_over = self.caps_in_flight(invocation.request.plan)
             && self.now.as_secs_f64() - slot_start_s > self.mean_attempt_s;
-        let matters = sum > UNREAD_PART_OF_BURST * burst;
+        let matters = sum > MAX_UNREAD_BURST_FRACTION * burst;
         if is_over || !self.counter_sampling.allows_reads() || !matters {
             return false;
         }
         let first = if sum > burst {
             0
         } else {
-            let running = self.running_slot(customer);
-            running.saturating_sub(customer.window_slots)
+            let current_slot = self.current_slot(customer);
+            current_slot.saturating_sub(customer.window_slots)
         };
         let unread = self.unread_slots(customer, first);
         let customer_id = customer_id.clone();
@@ -236,7 +248,7 @@
         !unread.is_empty()
     }
 
-    fn let_in(&mut self, id: InvocationId) {
+    fn admit(&mut self, id: InvocationId) {
         let invocation = self.invocations.get_mut(&id).expect("is open");
         let customer = self.customers.get_mut(&invocation.request.customer);
         let customer = customer.expect("registered");
@@ -249,8 +261,9 @@
         self.enqueue(id);
     }
 
-    /// Takes back what an invocation added that was never sent on, or that is out no more.
-    pub(super) fn undo(&mut self, id: InvocationId) {
+    /// Releases the units of an invocation that was never sent, or, under an in-flight cap, of one
+    /// that is no longer in flight.
+    pub(super) fn release_quota(&mut self, id: InvocationId) {
         let pending = self.invocations.get(&id);
         let caps_in_flight =
             pending.is_some_and(|invocation| self.caps_in_flight(invocation.request.plan));
@@ -273,15 +286,16 @@
         } else if was_added {
             slot.pending -= units;
         }
-        let owed = slot.admitted + slot.pending;
-        if (was_added || caps_in_flight) && slot.on_counter > owed + EPSILON {
-            let add = (owed - slot.on_counter).max(-units);
+        let expected_on_counter = slot.admitted + slot.pending;
+        if (was_added || caps_in_flight) && slot.on_counter > expected_on_counter + EPSILON {
+            let add = (expected_on_counter - slot.on_counter).max(-units);
             self.call_counter(customer_id, number, add, None, false);
         }
     }
 
-    /// True units are known: the difference goes to the running slot, and rides on the next add there.
-    pub(super) fn settle(&mut self, id: InvocationId, units: f64) {
+    /// Applies the true units of an invocation. The difference is added to the current slot and is
+    /// sent with the next add for that slot.
+    pub(super) fn apply_true_units(&mut self, id: InvocationId, units: f64) {
         let Some(invocation) = self.invocations.get(&id) else {
             return;
         };
@@ -291,8 +305,8 @@
         }
         let difference = units - request.units;
         let customer_id = request.customer.clone();
-        let running = self.running_slot(&self.customers[&customer_id]);
+        let current_slot = self.current_slot(&self.customers[&customer_id]);
         let customer = self.customers.get_mut(&customer_id).expect("registered");
-        customer.slots.entry(running).or_default().admitted += difference;
+        customer.slots.entry(current_slot).or_default().admitted += difference;
     }
 }
--- a/src/rules/answers.rs
+++ b/src/rules/answers.rs
@@ -1,4 +1,4 @@
-//! The final answers, and what an invocation that is over leaves behind.
+//! Final answers, and the cleanup after an invocation.
 
 use std::time::Duration;
 
@@ -7,17 +7,18 @@
 use super::{MEDIAN, Rules};
 use crate::interface::{Action, AttemptNumber, InvocationId, RejectReason};
 
-/// A batch of events comes this often at least.
+/// Lower bound for the interval between two batches of events.
 const MIN_TICK: Duration = Duration::from_millis(1);
 
 impl Rules {
-    /// When an invocation's final answer goes out at the latest: a batch later is too late.
-    pub(super) fn last_answer_at(&self, invocation: &PendingInvocation) -> Duration {
+    /// Returns the latest time for the final answer. It is one batch of events before the deadline,
+    /// as the next batch would be too late.
+    pub(super) fn answer_deadline(&self, invocation: &PendingInvocation) -> Duration {
         let tick = self.settings.tick.max(MIN_TICK);
         invocation.request.deadline.saturating_sub(tick)
     }
 
-    /// The final answer: throttled, where that may be said, else an error.
+    /// Sends the final answer: a throttling reply if the operation permits one, else an error.
     pub(super) fn throttle(&mut self, invocation_id: InvocationId, reason: RejectReason) {
         let invocation = &self.invocations[&invocation_id];
         if self.may_throttle(invocation) {
@@ -30,10 +31,11 @@
         } else {
             self.actions.push(Action::Fail { invocation_id });
         }
-        self.forget(invocation_id);
+        self.remove_invocation(invocation_id);
     }
 
-    /// When the client is to come back: once its quota has room, or a place is free.
+    /// Returns the advised retry delay: until the quota has room, but at least the median latency and
+    /// at most the longest delay that the deployment permits. `None` if it permits none.
     fn retry_after(&self, invocation: &PendingInvocation) -> Option<Duration> {
         let longest = self.settings.limits.retry_after?;
         let request = &invocation.request;
@@ -43,17 +45,17 @@
         if let Some(plan) = quota
             && let Some(customer) = self.customers.get(&request.customer)
         {
-            let pace = self.pace(customer, request.repeat);
-            let excess = self.window_sum(customer, pace) + request.units - plan.burst;
+            let expected_usage = self.expected_usage(customer, request.repeat);
+            let excess = self.window_sum(customer, expected_usage) + request.units - plan.burst;
             excess_s = excess / plan.rate;
         }
         let expected_s = self.expected_s(MEDIAN, request.operation);
         Some(Duration::from_secs_f64(excess_s.max(expected_s)).min(longest))
     }
 
-    /// Forgets an invocation that is over: its units go back, its attempts are cancelled.
-    pub(super) fn forget(&mut self, invocation_id: InvocationId) {
-        self.undo(invocation_id);
+    /// Removes an invocation: releases its units and cancels its attempts.
+    pub(super) fn remove_invocation(&mut self, invocation_id: InvocationId) {
+        self.release_quota(invocation_id);
         let Some(invocation) = self.invocations.remove(&invocation_id) else {
             return;
         };
@@ -75,7 +77,8 @@
         customer.open_invocations -= 1;
         customer.used_at = self.now;
         customer.in_flight -= invocation.in_flight().count() as u32;
-        // Counted once decided, or it would be evidence against itself; a repeat asks for nothing more.
+        // Refused units are counted only after the decision, so that an invocation is no evidence
+        // against itself. A retry is not counted, as it requests the same units again.
         let is_refused = !invocation.is_admitted && !invocation.request.repeat;
         if is_refused && invocation.slot >= customer.oldest_slot {
             let slot = customer.slots.entry(invocation.slot).or_default();
@@ -83,23 +86,24 @@
         }
     }
 
-    /// The last byte of its body is here: its client's time, and its attempts', run from now on.
-    pub(super) fn body_complete(&mut self, invocation_id: InvocationId, deadline: Duration) {
+    /// Handles the end of the request body: the client's deadline and the timers of the attempts
+    /// start now.
+    pub(super) fn handle_body_complete(&mut self, invocation_id: InvocationId, deadline: Duration) {
         let pending = self.invocations.get_mut(&invocation_id);
         let Some(invocation) = pending.filter(|invocation| invocation.request.body_pending) else {
             return;
         };
         invocation.request.body_pending = false;
         invocation.request.deadline = deadline;
-        invocation.time_from = self.now;
+        invocation.timed_from = self.now;
         let invocation = &self.invocations[&invocation_id];
         let operation = &self.settings.operations[invocation.request.operation.0];
         let slow_at = self.now + operation.latency_objective;
         let slow = invocation.in_flight();
         self.timers
             .extend(slow.map(|(number, _)| (slow_at, Timer::SlowAttempt(invocation_id, number))));
-        let last_at = self.last_answer_at(invocation);
+        let answer_by = self.answer_deadline(invocation);
         self.timers
-            .insert((last_at, Timer::FinalAnswer(invocation_id)));
+            .insert((answer_by, Timer::FinalAnswer(invocation_id)));
     }
 }
--- a/src/rules/backend.rs
+++ b/src/rules/backend.rs
@@ -1,4 +1,4 @@
-//! What is remembered of a backend.
+//! State kept for a backend.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,31 +6,32 @@
 use super::latency_histogram::LatencyHistogram;
 use crate::interface::{BackendEntry, OperationId, PlanId};
 
-/// The part of an operation's attempts that a backend left unanswered.
+/// Fraction of an operation's attempts that a backend has left unanswered.
 #[derive(Clone, Copy)]
 pub(super) struct UnansweredRate {
     pub(super) rate: f64,
-    /// When that was reckoned.
-    pub(super) at: Duration,
+    /// When the rate was computed.
+    pub(super) computed_at: Duration,
 }
 
-/// What is remembered of a backend.
+/// State kept for a backend.
 #[derive(Default)]
 pub(crate) struct BackendState {
     pub(super) entry: BackendEntry,
-    /// Attempts from here that are out.
+    /// Attempts of this gateway that are in flight.
     pub(super) in_flight: u32,
     pub(super) latency: LatencyHistogram,
-    /// Nothing is sent to it until then.
+    /// No attempt is sent to the backend before this time.
     pub(super) blocked_until: Duration,
-    /// Connections in a row that did not come up.
+    /// Number of consecutive failed connections.
     pub(super) failures: u32,
-    /// Part of each plan's attempts that it turned away of late.
+    /// Recent fraction of each plan's attempts that the backend has refused.
     pub(super) refusal_rates: BTreeMap<PlanId, f64>,
-    /// Part of each operation's attempts that went unanswered of late.
+    /// Recent fraction of each operation's attempts that went unanswered.
     pub(super) unanswered_rates: BTreeMap<OperationId, UnansweredRate>,
-    /// Units that this gateway may send while it warms up; an attempt needs 0.
+    /// Units that this gateway may send while the backend warms up. Never above 0; an attempt is
+    /// permitted at 0 and may make it negative.
     pub(super) credit: f64,
-    /// Until when these are earned.
+    /// Time up to which `credit` has been accrued.
     pub(super) credit_at: Duration,
 }
--- a/src/rules/backend_choice.rs
+++ b/src/rules/backend_choice.rs
@@ -1,67 +1,77 @@
-//! Which backend an attempt goes to.
+//! Choice of the backend for an attempt.
 
 use rand::Rng;
 
 use super::backend::BackendState;
 use super::invocation::PendingInvocation;
-use super::{EPSILON, Rules, USUAL_LATENCY_WEIGHT};
+use super::{EPSILON, PRIOR_LATENCY_WEIGHT, Rules};
 use crate::interface::{BackendId, Group, Health, InvocationId, OperationId, Repeat};
 
-/// A backend that was tried before costs so much more.
-const TRIED_FACTOR: f64 = 100.0;
-/// The least weight of a backend that is reckoned with.
+/// Cost factor of a backend that this invocation has already tried.
+const ALREADY_TRIED_COST_FACTOR: f64 = 100.0;
+/// Lower bound for the weight of a backend in the cost.
 const MIN_WEIGHT: f64 = 0.1;
 
 impl Rules {
-    /// The best backend with a free place that this invocation may go to.
+    /// Returns the cheapest backend that has capacity and may get the invocation.
     pub(super) fn choose_backend(&mut self, id: InvocationId) -> Option<BackendId> {
         let invocation = &self.invocations[&id];
         let operation = invocation.request.operation;
-        let usual_s = self.mean_s(operation);
-        let own_limit = self.own_limit_per_backend();
-        let usual_rate = self.fleet_unanswered_rate(operation);
+        let prior_s = self.mean_s(operation);
+        let local_limit = self.local_limit_per_backend();
+        let fleet_rate = self.fleet_unanswered_rate(operation);
         let mut best: Option<(f64, BackendId)> = None;
         for (&backend_id, backend) in &self.backends {
             if self.now < backend.blocked_until || !self.may_send(invocation, backend) {
                 continue;
             }
-            let warmth = self.warmth(&backend.entry);
+            let warm_up_fraction = self.warm_up_fraction(&backend.entry);
             let in_flight = f64::from(backend.in_flight);
-            if in_flight + 1.0 > (own_limit * warmth).max(1.0) {
+            if in_flight + 1.0 > (local_limit * warm_up_fraction).max(1.0) {
                 continue;
             }
-            if warmth < 1.0 && (self.has_yielded || self.warm_up_credit(backend, warmth) < 0.0) {
+            if warm_up_fraction < 1.0
+                && (self.has_yielded || self.warm_up_credit(backend, warm_up_fraction) < 0.0)
+            {
                 continue;
             }
-            // In overload all are late: only who is silent beside the others is passed over.
-            let own_rate = backend.unanswered_rate(operation, self.now);
-            let excess_rate = ((own_rate - usual_rate) / (1.0 - usual_rate)).max(0.0);
-            // Pushed over, it stays down: a part earned by time, from a start by chance, or all send at once.
-            let chance = warmth * (1.0 - excess_rate);
+            // Under overload every backend is slow. Only backends that are worse than the fleet are
+            // penalized.
+            let backend_rate = backend.unanswered_rate(operation, self.now);
+            let excess_rate = ((backend_rate - fleet_rate) / (1.0 - fleet_rate)).max(0.0);
+            // A warming backend that is overloaded does not recover. Its share is therefore earned
+            // over time, starts at a random credit and applies as a probability, so that not all
+            // gateways send to it at once.
+            let chance = warm_up_fraction * (1.0 - excess_rate);
             if chance < 1.0 && self.rng.random::<f64>() >= chance {
                 continue;
             }
-            let latency_s = backend.latency.mean_s(usual_s, USUAL_LATENCY_WEIGHT);
-            // The less of a backend is this gateway's, the more it is by lot: hundreds that know as little.
-            let draw = -self.rng.random::<f64>().max(EPSILON).ln();
-            let lot = draw.powf(1.0 / (1.0 + own_limit));
-            let cost = latency_s * lot * (in_flight + 1.0) / backend.entry.weight.max(MIN_WEIGHT)
-                * refusal_factor(invocation, backend_id, backend, excess_rate);
-            if best.is_none_or(|(least, _)| cost < least) {
+            let latency_s = backend.latency.mean_s(prior_s, PRIOR_LATENCY_WEIGHT);
+            // The smaller this gateway's share of a backend, the more random the choice. Hundreds
+            // of gateways with equally little information would otherwise choose the same backend.
+            let exponential_sample = -self.rng.random::<f64>().max(EPSILON).ln();
+            let random_factor = exponential_sample.powf(1.0 / (1.0 + local_limit));
+            let cost = latency_s * random_factor * (in_flight + 1.0)
+                / backend.entry.weight.max(MIN_WEIGHT)
+                * refusal_cost_factor(invocation, backend_id, backend, excess_rate);
+            if best.is_none_or(|(lowest_cost, _)| cost < lowest_cost) {
                 best = Some((cost, backend_id));
             }
         }
         best.map(|(_, backend_id)| backend_id)
     }
 
-    /// Part of an operation's attempts that a backend leaves unanswered, on the mean of all.
+    /// Returns the mean over all backends of the fraction of an operation's attempts left
+    /// unanswered.
     fn fleet_unanswered_rate(&self, operation: OperationId) -> f64 {
         let backends = self.backends.values();
         let rates = backends.map(|backend| backend.unanswered_rate(operation, self.now));
         rates.sum::<f64>() / self.backends.len().max(1) as f64
     }
 
-    /// Rules 1, 2 and 3 and the site's limits, for one attempt more.
+    /// Returns whether one more attempt may go to `backend`: the invocation is open and in time,
+    /// the backend is up, the limits of the deployment allow it, and the operation may run again
+    /// there if an earlier attempt may have run.
     pub(super) fn may_send(&self, invocation: &PendingInvocation, backend: &BackendState) -> bool {
         let is_over = invocation.is_streaming || self.now >= invocation.request.deadline;
         let is_last = invocation.attempts.len() as u32 >= invocation.max_attempts;
@@ -76,17 +86,18 @@
             Repeat::NonIdempotent => may_have_run.next().is_none(),
             Repeat::Tokened { group, window } => may_have_run.all(|attempt| {
                 let same_zone = attempt.zone == backend.entry.zone;
-                let knows_of_it = match group {
+                let shares_deduplication = match group {
                     Group::All => true,
                     Group::Zone => same_zone,
                     Group::Cell => same_zone && attempt.cell == backend.entry.cell,
                 };
-                knows_of_it && self.now < attempt.sent_at + window
+                shares_deduplication && self.now < attempt.sent_at + window
             }),
         }
     }
 
-    /// Rule 2: a throttling reply promises that trying again is harmless.
+    /// Returns whether a throttling reply is permitted. Such a reply promises that a retry is
+    /// harmless, so either no attempt may have run or a repeat must have no effect.
     pub(super) fn may_throttle(&self, invocation: &PendingInvocation) -> bool {
         match self.settings.operations[invocation.request.operation.0].repeat {
             Repeat::Idempotent
@@ -98,8 +109,9 @@
     }
 }
 
-/// How much more a backend costs that was tried, or that turns the plan's attempts away or leaves them unanswered.
-fn refusal_factor(
+/// Returns the cost factor of a backend that was already tried, or that refuses the plan's attempts
+/// or leaves them unanswered.
+fn refusal_cost_factor(
     invocation: &PendingInvocation,
     backend_id: BackendId,
     backend: &BackendState,
@@ -107,7 +119,7 @@
 ) -> f64 {
     let mut attempts = invocation.attempts.iter();
     if attempts.any(|attempt| attempt.backend_id == backend_id) {
-        return TRIED_FACTOR;
+        return ALREADY_TRIED_COST_FACTOR;
     }
     let refusal_rate = backend.refusal_rates.get(&invocation.request.plan);
     let refusal_rate = refusal_rate.copied().unwrap_or(0.0);
--- a/src/rules/backend_list.rs
+++ b/src/rules/backend_list.rs
@@ -1,4 +1,4 @@
-//! New lists of backends.
+//! Handling of backend lists.
 
 use std::time::Duration;
 
@@ -9,11 +9,12 @@
 use super::timers::Timer;
 use crate::interface::{BackendEntry, Discovery, Health, ListForm};
 
-/// A subscription is asked for within about this times the gateways: all at once, and discovery serves none.
+/// Gateways spread their subscription calls over about this time multiplied by their number. If all
+/// call at once, discovery serves none of them.
 const WATCH_DELAY_PER_GATEWAY: Duration = Duration::from_millis(50);
 
 impl Rules {
-    /// Takes a list of backends.
+    /// Applies a list of backends.
     pub(super) fn update_backends(&mut self, form: ListForm, entries: &[BackendEntry]) {
         let has_failed = form == ListForm::Unavailable;
         let is_subscribed = self.settings.discovery == Discovery::Subscribed;
@@ -21,7 +22,7 @@
             self.ask_for_list(has_failed, !entries.is_empty());
         }
         if form != ListForm::Update && !has_failed {
-            // Absent from a whole list is gone.
+            // A backend that is missing from a full list is gone.
             for backend in self.backends.values_mut() {
                 backend.entry.health = Health::Gone;
             }
@@ -36,7 +37,8 @@
             .retain(|_, backend| backend.entry.health != Health::Gone || is_used(backend));
     }
 
-    /// Asks for the list after a while; at once where nothing is known yet.
+    /// Schedules a request for the list after a random delay, or at once if
+    /// the restored list is empty.
     fn ask_for_list(&mut self, has_failed: bool, has_backends: bool) {
         let waits = has_failed || has_backends;
         let longest = WATCH_DELAY_PER_GATEWAY * self.settings.gateways * u32::from(waits);
@@ -48,12 +50,13 @@
     fn update_backend(&mut self, entry: &BackendEntry) {
         let backend = self.backends.entry(entry.backend_id).or_default();
         if entry.health != Health::Up {
-            // It may come back as it was, with what it was sent while it warmed up.
+            // The backend may return as the same process. Its statistics and its warm-up credit are
+            // kept.
             backend.entry.health = entry.health;
             return;
         }
         if backend.credit_at.is_zero() || backend.entry.since != entry.since {
-            // A new process: nothing measured of the last one holds.
+            // A new process: measurements of the previous one do not apply.
             *backend = BackendState {
                 in_flight: backend.in_flight,
                 credit: -self.mean_units * self.rng.random::<f64>(),
@@ -64,7 +67,7 @@
         backend.entry = entry.clone();
     }
 
-    /// Backends listed, and those of them that are avoided now.
+    /// Returns the number of listed backends, and how many of them are draining or blocked.
     pub fn backends(&self) -> (usize, usize) {
         let all = self.backends.values();
         let listed = all.filter(|backend| backend.entry.health != Health::Gone);
--- a/src/rules/counter.rs
+++ b/src/rules/counter.rs
@@ -1,49 +1,58 @@
-//! The calls to the shared counter, and which of them are left out while it is slow or gone.
+//! Calls to the shared counter, and the sampling that omits some of them while it is slow or
+//! unavailable.
 
 use std::time::Duration;
 
-use super::customer::{KEPT_WINDOWS, counter_name};
+use super::customer::{RETAINED_WINDOWS, counter_name};
 use super::{EPSILON, Rules};
 use crate::interface::{Action, CustomerId, InvocationId, Outcome};
 
-/// The counter keeps a name for 60 s at most; names outlive the window by this many slots.
+/// Slots by which a counter name outlives the retained windows.
 const EXTRA_KEPT_SLOTS: u64 = 3;
+/// Longest time for which the counter keeps a name.
 const MAX_KEEP: Duration = Duration::from_secs(60);
-/// Part of invocations that still ask a dead counter: a few a second find its return, none wait long.
+/// Probability of asking an unavailable counter. A few calls a second detect its recovery, and few
+/// invocations wait for a timeout.
 const MIN_PROBABILITY: f64 = 0.05;
-/// The probability falls by this at a failed call: out in twenty; few are lost where a counter is too small for good.
+/// Factor on the probability for a failed call. About twenty failures reach `MIN_PROBABILITY`; the
+/// small step loses few answers where a counter is permanently too small.
 const FAILURE_FACTOR: f64 = 0.85;
-/// It grows by this at a prompt call, times those in a row: back in two dozen.
+/// Growth of the probability for a prompt answer, multiplied by the number of consecutive prompt
+/// answers. About two dozen restore a probability of 1.
 const GROWTH_PER_PROMPT_CALL: f64 = 0.02;
-/// It grows by this at most.
+/// Upper bound for the growth factor.
 const MAX_GROWTH_FACTOR: f64 = 1.35;
-/// It falls by this at a late answer: the queue at a crowded counter is time that every verdict waits.
-const LATE_FACTOR: f64 = 0.98;
-/// A call answered later than this part of its time-out stood in a queue.
-const PROMPT_PART_OF_TIMEOUT: f64 = 0.3;
-/// Reads are left out below this probability: a crowded counter's calls are for adds.
+/// Factor on the probability for a late answer. Every decision waits for the queue of an overloaded
+/// counter.
+const LATE_ANSWER_FACTOR: f64 = 0.98;
+/// Fraction of the call timeout beyond which an answer counts as late, that is, as delayed by a
+/// queue at the counter.
+const PROMPT_TIMEOUT_FRACTION: f64 = 0.3;
+/// Probability below which reads are omitted, so that an overloaded counter spends its capacity on
+/// adds.
 const MIN_PROBABILITY_OF_READS: f64 = 0.95;
 
-/// A call that is not answered yet.
+/// A call that has not been answered yet.
 pub(super) struct CounterCall {
     pub(super) customer: CustomerId,
     pub(super) slot: u64,
     add: f64,
-    /// All that this gateway has added there, with this call.
-    added_until: f64,
-    /// Whose verdict waits for the answer.
+    /// Units that this gateway has added under the name so far, including this call.
+    added_so_far: f64,
+    /// The invocation whose decision waits for the answer.
     invocation: Option<InvocationId>,
-    /// It reads a finished slot.
+    /// Whether the call only reads a finished slot.
     is_read: bool,
-    at: Duration,
+    sent_at: Duration,
 }
 
-/// How probable it is that an invocation asks the counter: it follows how promptly the counter answers.
+/// The probability that an invocation asks the counter. It follows how promptly the counter
+/// answers.
 pub(super) struct CounterSampling {
     pub(super) probability: f64,
-    /// When it last fell for a failed call.
+    /// When the probability was last reduced for a failed call.
     fell_at: Duration,
-    /// Prompt answers in a row.
+    /// Number of consecutive prompt answers.
     prompt_answers: f64,
 }
 
@@ -56,30 +65,32 @@
         }
     }
 
-    /// Whether the counter answers well enough to be asked for finished slots too.
+    /// Returns whether the counter answers well enough to be asked for finished slots too.
     pub(super) fn allows_reads(&self) -> bool {
         self.probability >= MIN_PROBABILITY_OF_READS
     }
 
-    /// A call made at `called_at` ended after `took`.
+    /// Records the outcome of a call made at `called_at`.
     ///
-    /// A crowded counter works on calls that nobody waits for: its queue is followed, not only failures.
+    /// An overloaded counter works on calls whose callers have given up. The probability therefore follows
+    /// late answers too, not only failures.
     fn record(
         &mut self,
         outcome: Outcome,
         called_at: Duration,
-        took: Duration,
+        latency: Duration,
         timeout: Duration,
         now: Duration,
     ) {
         let is_ok = outcome == Outcome::Ok;
-        let is_prompt = is_ok && took < timeout.mul_f64(PROMPT_PART_OF_TIMEOUT);
+        let is_prompt = is_ok && latency < timeout.mul_f64(PROMPT_TIMEOUT_FRACTION);
         self.prompt_answers = if is_prompt {
             self.prompt_answers + 1.0
         } else {
             0.0
         };
-        // Calls out together that fail are one failure: a dead connection takes all. An unreadable total is none.
+        // Calls that were in flight together and fail count as one failure, since one broken
+        // connection fails them all. `Failed` (an unreadable total) does not count.
         let falls = !is_ok && called_at >= self.fell_at && outcome != Outcome::Failed;
         let factor = if falls {
             self.fell_at = now;
@@ -87,7 +98,7 @@
         } else if is_prompt {
             (1.0 + GROWTH_PER_PROMPT_CALL * self.prompt_answers).min(MAX_GROWTH_FACTOR)
         } else if is_ok {
-            LATE_FACTOR
+            LATE_ANSWER_FACTOR
         } else {
             1.0
         };
@@ -96,7 +107,7 @@
 }
 
 impl Rules {
-    /// Calls the counter; `is_read`: for a finished slot's total only.
+    /// Calls the counter. With `is_read` the call only reads a finished slot's total.
     pub(super) fn call_counter(
         &mut self,
         customer_id: CustomerId,
@@ -106,8 +117,8 @@
         is_read: bool,
     ) {
         let customer = self.customers.get_mut(&customer_id).expect("registered");
-        let kept_slots = KEPT_WINDOWS * customer.window_slots + EXTRA_KEPT_SLOTS;
-        let keep = Duration::from_secs_f64(customer.slot_s * kept_slots as f64).min(MAX_KEEP);
+        let retained_slots = RETAINED_WINDOWS * customer.window_slots + EXTRA_KEPT_SLOTS;
+        let keep = Duration::from_secs_f64(customer.slot_s * retained_slots as f64).min(MAX_KEEP);
         let slot = customer.slots.entry(number).or_default();
         slot.on_counter += add;
         let name = counter_name(&customer_id, number);
@@ -115,23 +126,23 @@
             customer: customer_id,
             slot: number,
             add,
-            added_until: slot.on_counter,
+            added_so_far: slot.on_counter,
             invocation,
             is_read,
-            at: self.now,
+            sent_at: self.now,
         };
         self.calls.entry(name.clone()).or_default().push_back(call);
         self.actions.push(Action::AddToCounter { name, add, keep });
     }
 
-    /// A call ended: its total is taken in, and the verdicts that wait for it are given.
+    /// Handles the end of a call: applies its total and makes the decisions that wait for it.
     pub(super) fn handle_total(
         &mut self,
         name: &str,
         outcome: Outcome,
         total: f64,
         others: f64,
-        took: Duration,
+        latency: Duration,
     ) {
         let Some((call, lost)) = self.take_call(name, outcome, total) else {
             return;
@@ -139,16 +150,17 @@
         let timeout = self.counter_timeout();
         let now = self.now;
         self.counter_sampling
-            .record(outcome, call.at, took, timeout, now);
+            .record(outcome, call.sent_at, latency, timeout, now);
         if !self.customers.contains_key(&call.customer) {
             return;
         }
         let is_ok = outcome == Outcome::Ok;
-        self.take_total(&call, is_ok, total, others, lost);
-        self.decide_waiting(&call, is_ok, total);
+        self.apply_total(&call, is_ok, total, others, lost);
+        self.decide_pending(&call, is_ok, total);
     }
 
-    /// The oldest call under that name, and the units of this gateway that the counter turns out to lack.
+    /// Removes the oldest call under `name`. Also returns how many units of this gateway the
+    /// counter lacks.
     fn take_call(
         &mut self,
         name: &str,
@@ -158,8 +170,9 @@
         let queue = self.calls.get_mut(name)?;
         let call = queue.pop_front().expect("kept only while calls are out");
         let lost = if outcome == Outcome::Ok {
-            // Less than this gateway alone has added: the counter lost it, so it is owed anew.
-            let lacking = (call.added_until - total).max(0.0);
+            // The total is less than this gateway alone has added, so the counter has lost units.
+            // They are added again with a later call.
+            let lacking = (call.added_so_far - total).max(0.0);
             if lacking > EPSILON { lacking } else { 0.0 }
         } else if outcome.never_ran() {
             call.add
@@ -167,7 +180,7 @@
             0.0
         };
         for later in queue.iter_mut() {
-            later.added_until -= lost;
+            later.added_so_far -= lost;
         }
         if queue.is_empty() {
             self.calls.remove(name);
@@ -175,9 +188,9 @@
         Some((call, lost))
     }
 
-    fn take_total(&mut self, call: &CounterCall, is_ok: bool, total: f64, others: f64, lost: f64) {
+    fn apply_total(&mut self, call: &CounterCall, is_ok: bool, total: f64, others: f64, lost: f64) {
         let customer = &self.customers[&call.customer];
-        let is_final = is_ok && call.is_read && self.is_final(customer, call.slot, call.at);
+        let is_final = is_ok && call.is_read && self.is_final(customer, call.slot, call.sent_at);
         let customer = self.customers.get_mut(&call.customer).expect("seen above");
         let Some(slot) = customer.slots.get_mut(&call.slot) else {
             return;
@@ -186,20 +199,20 @@
         slot.on_counter -= lost;
         if is_ok {
             if lost <= 0.0 {
-                slot.others = (total - call.added_until).max(others);
+                slot.others = (total - call.added_so_far).max(others);
             }
             slot.answered_at = self.now;
             slot.is_final |= is_final;
         }
     }
 
-    fn decide_waiting(&mut self, call: &CounterCall, is_ok: bool, total: f64) {
+    fn decide_pending(&mut self, call: &CounterCall, is_ok: bool, total: f64) {
         let asking = call.invocation;
         if let Some(id) = asking.filter(|id| self.invocations.contains_key(id)) {
             if is_ok {
-                self.learn_plan_use(id, total);
+                self.record_plan_usage(id, total);
             }
-            return self.decide(id, is_ok);
+            return self.decide_admission(id, is_ok);
         }
         let customer = self.customers.get_mut(&call.customer).expect("seen above");
         let mut slots = customer.slots.values();
@@ -209,7 +222,7 @@
         for id in std::mem::take(&mut customer.awaiting_reads) {
             let pending = self.invocations.get(&id);
             if pending.is_some_and(|invocation| !invocation.is_admitted) {
-                self.decide(id, true);
+                self.decide_admission(id, true);
             }
         }
     }
--- a/src/rules/customer.rs
+++ b/src/rules/customer.rs
@@ -1,4 +1,4 @@
-//! What is remembered of a customer: the slots of its window, and what was seen of its use.
+//! State kept for a customer: the slots of its window and its observed usage.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::Hasher;
@@ -9,50 +9,52 @@
 
 use crate::interface::{Admitted, CustomerId, InvocationId, PeersAdmitted, PlanId};
 
-/// A longer name is hashed in the counter's names.
-const MAX_COUNTED_NAME: usize = 40;
-/// Windows of slots that are kept.
-pub(super) const KEPT_WINDOWS: u64 = 2;
+/// Length in bytes beyond which a customer name is hashed in counter names.
+const MAX_COUNTER_NAME_LEN: usize = 40;
+/// Number of windows whose slots are retained.
+pub(super) const RETAINED_WINDOWS: u64 = 2;
 
-/// One slot of a customer's window, as far as known here.
+/// One slot of a customer's window, as far as this gateway knows it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Slot {
-    /// Units admitted here.
+    /// Units admitted at this gateway.
     #[serde(rename = "own")]
     pub(super) admitted: f64,
-    /// Units whose add is not answered yet.
+    /// Units whose add has not been answered yet.
     #[serde(rename = "asking")]
     pub(super) pending: f64,
-    /// Units asked for here and refused: they show a surge that what is admitted does not.
+    /// Units requested at this gateway and refused. They reveal a surge that the admitted units do
+    /// not show.
     #[serde(rename = "came")]
     pub(super) refused: f64,
-    /// Own units that the counter is believed to hold.
+    /// This gateway's units that the counter is believed to hold.
     #[serde(rename = "put")]
     pub(super) on_counter: f64,
-    /// Units of the other gateways, by the last answer.
+    /// Units of the other gateways, according to the last answer.
     pub(super) others: f64,
-    /// When that answer came.
+    /// When the last answer arrived.
     #[serde(rename = "told")]
     pub(super) answered_at: Duration,
-    /// Nothing changes that answer any more.
+    /// Whether the last answer is final, that is, no more adds are expected for the slot.
     #[serde(rename = "last")]
     pub(super) is_final: bool,
-    /// The counter is asked for it.
+    /// Whether a read of the slot is in progress.
     #[serde(rename = "reading")]
     pub(super) read_pending: bool,
 }
 
 impl Slot {
-    /// The part of this slot, of the `passed` part of it, in which the others' units are known.
-    pub(super) fn known_part(&self, number: u64, slot_s: f64, passed: f64) -> f64 {
+    /// Returns the fraction of the slot for which the other gateways' units are known, out of the
+    /// fraction `elapsed`.
+    pub(super) fn known_fraction(&self, number: u64, slot_s: f64, elapsed: f64) -> f64 {
         if self.is_final {
-            passed
+            elapsed
         } else {
-            (self.answered_at.as_secs_f64() / slot_s - number as f64).clamp(0.0, passed)
+            (self.answered_at.as_secs_f64() / slot_s - number as f64).clamp(0.0, elapsed)
         }
     }
 
-    /// What was counted here was counted by another process.
+    /// Counts the units admitted by a previous process as units of another gateway.
     pub(super) fn count_as_others(&mut self) {
         *self = Slot {
             others: self.others + self.admitted,
@@ -63,7 +65,7 @@
         };
     }
 
-    /// Takes in what a slot of another length has counted.
+    /// Adds the counts of a slot from another slot layout.
     pub(super) fn merge(&mut self, other: &Slot) {
         self.admitted += other.admitted;
         self.pending += other.pending;
@@ -73,74 +75,76 @@
     }
 }
 
-/// How a customer's window is cut into slots.
+/// How a customer's window is divided into slots.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) struct WindowCut {
-    /// Slots of a window.
+pub(super) struct SlotLayout {
+    /// Slots per window.
     pub(super) slots: u64,
-    /// The length of a slot in seconds.
+    /// Length of a slot in seconds.
     pub(super) slot_s: f64,
 }
 
-/// What is remembered of a customer.
+/// State kept for a customer.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Customer {
     #[serde(skip)]
     pub(super) plan: PlanId,
-    /// Gateways at which its invocations come in.
+    /// Number of gateways that receive the customer's invocations.
     #[serde(rename = "spread")]
     pub(super) gateways: f64,
-    /// Slots that its window is cut into.
+    /// Slots per window.
     #[serde(rename = "cut")]
     pub(super) window_slots: u64,
-    /// The length of a slot in seconds.
+    /// Length of a slot in seconds.
     #[serde(rename = "len")]
     pub(super) slot_s: f64,
-    /// Part of a ceiling that is this gateway's.
+    /// Fraction of the customer's ceiling that this gateway may use.
     #[serde(rename = "part")]
-    pub(super) ceiling_part: f64,
+    pub(super) ceiling_share: f64,
     pub(super) slots: BTreeMap<u64, Slot>,
-    /// Units over the refill at the start of the oldest slot kept (an upper bound).
+    /// Upper bound for the units used beyond the refill at the start of the oldest retained slot.
     pub(super) debt: f64,
-    /// The oldest slot kept.
+    /// Number of the oldest retained slot.
     #[serde(rename = "oldest")]
     pub(super) oldest_slot: u64,
-    /// The slot up to which the use of those before was learned.
+    /// Number of the first slot whose usage has not been learned yet.
     #[serde(rename = "learned")]
     pub(super) learned_until: u64,
-    /// Units seen of late.
+    /// Recently observed units, with exponential decay.
     #[serde(rename = "units")]
     pub(super) recent_units: f64,
-    /// The slots that they were seen in: a known one whole, else this gateway's share.
+    /// Number of slots in which `recent_units` were observed. A slot with known totals counts
+    /// fully, any other by this gateway's share.
     #[serde(rename = "span")]
     pub(super) recent_slots: f64,
-    /// Units admitted here in slots that are known.
+    /// Units admitted at this gateway in slots whose total is known, with exponential decay.
     #[serde(rename = "own_seen")]
-    pub(super) own_in_known: f64,
-    /// Units admitted at all gateways in slots that are known.
+    pub(super) local_units_in_known: f64,
+    /// Units admitted at all gateways in slots whose total is known, with exponential decay.
     #[serde(rename = "all_seen")]
-    pub(super) all_in_known: f64,
-    /// Invocations whose add is answered and that wait for reads.
+    pub(super) fleet_units_in_known: f64,
+    /// Invocations whose add has been answered and that wait for reads.
     #[serde(skip)]
     pub(super) awaiting_reads: BTreeSet<InvocationId>,
-    /// Invocations that are not over.
+    /// Number of open invocations.
     #[serde(skip)]
     pub(super) open_invocations: u32,
-    /// Attempts that are out.
+    /// Number of attempts in flight.
     #[serde(skip)]
     pub(super) in_flight: u32,
-    /// Units that the ceiling has saved up.
+    /// Units available in the ceiling budget.
     #[serde(rename = "ceiling")]
     pub(super) ceiling_units: f64,
-    /// When these were reckoned.
+    /// When `ceiling_units` was computed.
     pub(super) ceiling_at: Duration,
-    /// When an invocation of its was last over.
+    /// When the customer's last invocation ended.
     pub(super) used_at: Duration,
 }
 
 impl Customer {
-    /// Takes in what the other gateways say they admitted: all of it, up to a time, where all have reported.
-    pub(super) fn take_peer_report(&mut self, report: &PeersAdmitted) {
+    /// Applies a report of the units admitted by the other gateways. The report is complete up to a
+    /// time if all of them have reported.
+    pub(super) fn apply_peer_report(&mut self, report: &PeersAdmitted) {
         if report.slot < self.oldest_slot {
             return;
         }
@@ -150,15 +154,15 @@
         slot.answered_at = slot.answered_at.max(complete_until);
     }
 
-    /// What was admitted here in each slot that is kept.
+    /// Returns the units admitted at this gateway in each retained slot.
     pub(super) fn admitted(
         &self,
         id: &CustomerId,
         now: Duration,
     ) -> impl Iterator<Item = Admitted> {
-        let running = (now.as_secs_f64() / self.slot_s) as u64;
-        let first = running.saturating_sub(KEPT_WINDOWS * self.window_slots);
-        (self.oldest_slot.max(first)..=running).map(|slot| Admitted {
+        let current_slot = (now.as_secs_f64() / self.slot_s) as u64;
+        let first = current_slot.saturating_sub(RETAINED_WINDOWS * self.window_slots);
+        (self.oldest_slot.max(first)..=current_slot).map(|slot| Admitted {
             name: counter_name(id, slot),
             customer: id.clone(),
             slot,
@@ -166,18 +170,19 @@
         })
     }
 
-    /// How its window is cut now.
-    pub(super) fn cut(&self) -> WindowCut {
-        WindowCut {
+    /// Returns the current slot layout.
+    pub(super) fn slot_layout(&self) -> SlotLayout {
+        SlotLayout {
             slots: self.window_slots,
             slot_s: self.slot_s,
         }
     }
 }
 
-/// The counter's name for a slot of a customer's: short, however long the customer's own is.
+/// Returns the counter name for a slot of a customer. The name is short even where that of the
+/// customer is long.
 pub(super) fn counter_name(customer: &CustomerId, slot: u64) -> String {
-    if customer.0.len() <= MAX_COUNTED_NAME {
+    if customer.0.len() <= MAX_COUNTER_NAME_LEN {
         return format!("{slot}/{}", customer.0);
     }
     let mut hash = FnvHasher::default();
--- a/src/rules/handover.rs
+++ b/src/rules/handover.rs
@@ -1,4 +1,4 @@
-//! A process's state for the process that takes its place.
+//! Handover of the state of a process to its successor.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,10 +9,11 @@
 use super::backend::BackendState;
 use super::customer::{Customer, Slot};
 use super::latency_histogram::LatencyHistogram;
-use super::use_estimate::PlanUse;
+use super::use_estimate::PlanUsage;
 use crate::interface::{Action, BackendId, CustomerId, PlanId};
 
-/// A process's state for its successor. Times are on the clock that both share.
+/// The state that a process hands over to its successor. Times are relative to the clock that both
+/// processes share.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Carry {
     #[serde(rename = "began")]
@@ -23,13 +24,13 @@
     concurrency_limit: f64,
     #[serde(rename = "stay")]
     mean_attempt_s: f64,
-    /// Answer times, by the operation's name.
+    /// Latencies, by operation name.
     #[serde(rename = "lat")]
     latencies: Vec<(String, LatencyHistogram)>,
-    /// The usual use, by the plan's name.
+    /// Observed usage, by plan name.
     #[serde(rename = "usual")]
-    plan_use: Vec<(String, [PlanUse; 2])>,
-    /// Customers by name, each with its plan's name.
+    plan_usage: Vec<(String, [PlanUsage; 2])>,
+    /// Customer name, plan name and state of each customer.
     customers: Vec<(String, String, Customer)>,
     #[serde(rename = "tgts")]
     backends: Vec<CarriedBackend>,
@@ -59,7 +60,8 @@
 }
 
 impl Rules {
-    /// Its successor gets what is known, and its parts of what all share: none go to fresh backends from here.
+    /// Hands over the state, including the shares of ceilings and of warm-up budgets. This process
+    /// then sends nothing to warming backends.
     pub(super) fn hand_over(&mut self) {
         let operations = self.settings.operations.iter();
         let plans = self.settings.plans.iter();
@@ -68,8 +70,8 @@
             counter_probability: self.counter_sampling.probability,
             concurrency_limit: self.concurrency_limit,
             mean_attempt_s: self.mean_attempt_s,
-            latencies: with_names(operations.map(|operation| &operation.name), &self.latencies),
-            plan_use: with_names(plans.map(|plan| &plan.name), &self.plan_use),
+            latencies: zip_with_names(operations.map(|operation| &operation.name), &self.latencies),
+            plan_usage: zip_with_names(plans.map(|plan| &plan.name), &self.plan_usage),
             customers: Vec::new(),
             backends: self.backends.iter().map(CarriedBackend::of).collect(),
         };
@@ -79,13 +81,14 @@
             carry.customers.push(carried);
             customer.ceiling_units = 0.0;
             customer.ceiling_at = self.now;
-            customer.ceiling_part = 0.0;
+            customer.ceiling_share = 0.0;
         }
         self.has_yielded = true;
         self.actions.push(Action::HandOver(Box::new(carry)));
     }
 
-    /// Takes over a predecessor's state; that process counts on for a while as another gateway would.
+    /// Takes over the state of a predecessor. The predecessor's units are treated as those of
+    /// another gateway, because it continues to count for a while.
     pub(super) fn take_over(&mut self, carry: Carry) {
         self.started_at = carry.started_at;
         self.counter_sampling.probability = carry.counter_probability;
@@ -93,10 +96,10 @@
         self.mean_attempt_s = carry.mean_attempt_s;
         let operations = self.settings.operations.iter();
         let names = operations.map(|operation| &operation.name);
-        set_by_name(names, carry.latencies, &mut self.latencies);
+        restore_by_name(names, carry.latencies, &mut self.latencies);
         let plans = self.settings.plans.iter();
         let names = plans.map(|plan| &plan.name);
-        set_by_name(names, carry.plan_use, &mut self.plan_use);
+        restore_by_name(names, carry.plan_usage, &mut self.plan_usage);
         for (name, plan, customer) in carry.customers {
             self.take_over_customer(CustomerId(name.into()), &plan, customer);
         }
@@ -113,13 +116,13 @@
         customer.plan = PlanId(row);
         customer.slots.values_mut().for_each(Slot::count_as_others);
         self.customers.insert(id.clone(), customer);
-        self.recut(&id);
+        self.apply_slot_layout(&id);
     }
 
     fn take_over_backend(&mut self, carried: CarriedBackend) {
         let backend_id = BackendId(carried.backend_id);
         let known = self.backends.entry(backend_id).or_default();
-        // A list that came first has the last word on which process it is.
+        // A list received before the handover decides which process of the backend is current.
         if known.credit_at.is_zero() || known.entry.since == carried.since {
             known.credit = carried.credit;
             known.credit_at = carried.credit_at;
@@ -129,8 +132,8 @@
     }
 }
 
-/// Values with their names, where both stand in the same order.
-fn with_names<'a, T: Clone>(
+/// Pairs values with the names at the same positions.
+fn zip_with_names<'a, T: Clone>(
     names: impl Iterator<Item = &'a Arc<str>>,
     values: &[T],
 ) -> Vec<(String, T)> {
@@ -140,8 +143,8 @@
         .collect()
 }
 
-/// Those of the named that stand here get their value.
-fn set_by_name<'a, T: Clone>(
+/// Sets each value whose name occurs in `named`.
+fn restore_by_name<'a, T: Clone>(
     names: impl Iterator<Item = &'a Arc<str>>,
     named: Vec<(String, T)>,
     values: &mut [T],
--- a/src/rules/invocation.rs
+++ b/src/rules/invocation.rs
@@ -1,4 +1,4 @@
-//! What is remembered of an invocation that is not over.
+//! State kept for an open invocation.
 
 use std::time::Duration;
 
@@ -11,38 +11,39 @@
     pub(super) cell: u32,
     pub(super) sent_at: Duration,
     pub(super) in_flight: bool,
-    /// Known not to have run.
+    /// Whether the attempt is known not to have run.
     pub(super) never_ran: bool,
 }
 
-/// An invocation that is not over.
+/// An invocation without a final answer yet.
 #[derive(Default)]
 pub(super) struct PendingInvocation {
     pub(super) request: Invocation,
     pub(super) arrived: Duration,
-    /// From where its time runs: its arrival, or the last byte of a body that came later.
-    pub(super) time_from: Duration,
+    /// Start of the latency objective: the arrival, or the end of a request body that arrived
+    /// later.
+    pub(super) timed_from: Duration,
     pub(super) max_attempts: u32,
-    /// The slot that it is counted in.
+    /// Number of the slot in which the invocation is counted.
     pub(super) slot: u64,
-    /// Units that it draws from its customer's quota.
+    /// Units that the invocation takes from its customer's quota.
     pub(super) quota_units: f64,
-    /// Its units are in the slot's `pending`, then in `admitted` once it is.
+    /// Whether the units are in the slot's `pending`, and in `admitted` after admission.
     pub(super) is_added: bool,
     pub(super) is_admitted: bool,
-    /// Its answer is a stream that has begun.
+    /// Whether a streamed answer has started.
     pub(super) is_streaming: bool,
     pub(super) attempts: Vec<Attempt>,
 }
 
 impl PendingInvocation {
-    /// Attempts that are out.
+    /// Returns the attempts in flight with their numbers.
     pub(super) fn in_flight(&self) -> impl Iterator<Item = (usize, &Attempt)> {
         let numbered = self.attempts.iter().enumerate();
         numbered.filter(|(_, attempt)| attempt.in_flight)
     }
 
-    /// Whether an attempt is out.
+    /// Returns whether an attempt is in flight.
     pub(super) fn is_in_flight(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.in_flight)
     }
--- a/src/rules/latency_histogram.rs
+++ b/src/rules/latency_histogram.rs
@@ -1,25 +1,25 @@
-//! A histogram of answer times that fades: the module's measure of how long answers take.
+//! A histogram of latencies that favors recent samples.
 //!
-//! Bins are half an octave wide; the whole is halved once it holds more samples than the caller's
-//! `max_samples`, so that it follows the recent answers of a backend or of the fleet. `hdrhistogram` keeps exact
-//! counts and has no fading, which is why this one is kept here.
+//! Bins are half an octave wide. All bins are halved once the histogram holds more samples than the
+//! caller's `max_samples`, so that the histogram follows recent answers of a backend or of the fleet.
+//! `hdrhistogram` keeps exact counts and has no such decay.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// The lowest bin in seconds.
+/// Lower bound of the first bin in seconds. Shorter latencies fall into the same bin.
 const FIRST_BIN_S: f64 = 0.004;
-/// How many bins: each is half an octave up, the last takes the rest.
+/// Number of bins. The last one holds all longer latencies.
 const BINS: usize = 24;
 const BINS_PER_OCTAVE: f64 = 2.0;
 
-/// Samples of answer times, by bin.
+/// Number of samples per bin.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct LatencyHistogram([f64; BINS]);
 
 impl LatencyHistogram {
-    /// Counts one answer time; halves all bins where they hold more than `max_samples`.
+    /// Records a latency, then halves all bins if they hold more than `max_samples`.
     pub(crate) fn record(&mut self, latency: Duration, max_samples: f64) {
         let octaves = (latency.as_secs_f64() / FIRST_BIN_S).max(1.0).log2();
         let bin = (BINS_PER_OCTAVE * octaves) as usize;
@@ -33,27 +33,28 @@
         self.0.iter().sum()
     }
 
-    fn middle_s(bin: usize) -> f64 {
+    fn bin_center_s(bin: usize) -> f64 {
         FIRST_BIN_S * 2f64.powf((bin as f64 + 0.5) / BINS_PER_OCTAVE)
     }
 
-    /// The middle of the bin in which the quantile lies, in seconds; `None` while empty.
+    /// Returns the middle of the bin that contains the quantile, in seconds; `None` if the
+    /// histogram is empty.
     pub(crate) fn quantile_s(&self, quantile: f64) -> Option<f64> {
-        let mut left = quantile * self.samples();
+        let mut remaining = quantile * self.samples();
         let bin = self.0.iter().position(|samples| {
-            left -= samples;
-            left < 0.0
+            remaining -= samples;
+            remaining < 0.0
         })?;
-        Some(Self::middle_s(bin))
+        Some(Self::bin_center_s(bin))
     }
 
-    /// The mean in seconds, with `usual_s` counted as `weight` samples beside those measured.
-    pub(crate) fn mean_s(&self, usual_s: f64, weight: f64) -> f64 {
+    /// Returns the mean in seconds, with `prior_s` counted as `weight` additional samples.
+    pub(crate) fn mean_s(&self, prior_s: f64, weight: f64) -> f64 {
         let bins = self.0.iter().enumerate();
         let sum: f64 = bins
-            .map(|(bin, samples)| samples * Self::middle_s(bin))
+            .map(|(bin, samples)| samples * Self::bin_center_s(bin))
             .sum();
-        (sum + usual_s * weight) / (self.samples() + weight)
+        (sum + prior_s * weight) / (self.samples() + weight)
     }
 }
 
@@ -62,41 +63,41 @@
     use super::*;
 
     #[test]
-    fn quantiles_fall_in_the_bin_of_the_sample_and_the_empty_has_none() {
-        let mut h = LatencyHistogram::default();
-        assert_eq!(h.quantile_s(0.5), None);
-        (0..9).for_each(|_| h.record(Duration::from_millis(10), 100.0));
-        h.record(Duration::from_secs(2), 100.0);
-        let median = h.quantile_s(0.5).unwrap();
-        assert!((0.008..0.012).contains(&median), "{median}");
+    fn quantile_lies_in_bin_of_sample_and_is_none_when_empty() {
+        let mut histogram = LatencyHistogram::default();
+        assert_eq!(histogram.quantile_s(0.5), None);
+        (0..9).for_each(|_| histogram.record(Duration::from_millis(10), 100.0));
+        histogram.record(Duration::from_secs(2), 100.0);
+        let median = histogram.quantile_s(0.5).unwrap();
+        assert!((0.008..0.012).contains(&median), "median: {median} s");
         assert!(
-            h.quantile_s(0.95).unwrap() > 1.4,
-            "the slow tenth shows at the top"
+            histogram.quantile_s(0.95).unwrap() > 1.4,
+            "the slowest tenth determines the high quantile"
         );
-        assert!(h.quantile_s(0.0).unwrap() <= median);
+        assert!(histogram.quantile_s(0.0).unwrap() <= median);
     }
 
     #[test]
-    fn it_fades_to_the_recent_answers() {
-        let mut h = LatencyHistogram::default();
-        (0..200).for_each(|_| h.record(Duration::from_millis(5), 16.0));
-        (0..40).for_each(|_| h.record(Duration::from_millis(500), 16.0));
+    fn quantile_follows_recent_samples() {
+        let mut histogram = LatencyHistogram::default();
+        (0..200).for_each(|_| histogram.record(Duration::from_millis(5), 16.0));
+        (0..40).for_each(|_| histogram.record(Duration::from_millis(500), 16.0));
         assert!(
-            h.quantile_s(0.5).unwrap() > 0.3,
-            "old fast answers are forgotten"
+            histogram.quantile_s(0.5).unwrap() > 0.3,
+            "old fast samples have decayed"
         );
     }
 
     #[test]
-    fn the_mean_is_drawn_towards_the_usual_by_its_weight() {
-        let mut h = LatencyHistogram::default();
+    fn mean_is_weighted_with_prior() {
+        let mut histogram = LatencyHistogram::default();
         assert!(
-            (h.mean_s(0.2, 3.0) - 0.2).abs() < 1e-12,
-            "the empty one is the usual"
+            (histogram.mean_s(0.2, 3.0) - 0.2).abs() < 1e-12,
+            "an empty histogram returns the prior"
         );
-        h.record(Duration::from_millis(4), 100.0);
-        let m = h.mean_s(0.2, 3.0);
-        assert!(m > 0.1 && m < 0.2, "{m}");
-        assert!(h.mean_s(0.2, 0.0) < 0.01);
+        histogram.record(Duration::from_millis(4), 100.0);
+        let mean = histogram.mean_s(0.2, 3.0);
+        assert!(mean > 0.1 && mean < 0.2, "mean: {mean} s");
+        assert!(histogram.mean_s(0.2, 0.0) < 0.01);
     }
 }
--- a/src/rules/mod.rs
+++ b/src/rules/mod.rs
@@ -1,26 +1,30 @@
-//! Every decision of a gateway: [`Rules::on`] takes events in order and returns actions to carry out at once.
+//! All decisions of a gateway. [`Rules::on`] takes events in order and returns the actions to carry
+//! out at once.
 //!
-//! Time is the events' clock, chance comes from the seed: same events, same actions. The design (docs/design.md):
-//! an invocation adds its units to its customer's count of the running slot on the shared counter, the slots inside
-//! the window are summed, and it is throttled if the sum passes the burst, its add then undone.
+//! The module reads no clock: time comes with the events and randomness from the seed, so that the same
+//! events always produce the same actions.
 //!
-//! A file for each concern:
+//! Quotas (docs/design.md) use a sliding window that is divided into slots. An invocation adds its units
+//! to its customer's count for the current slot on the shared counter. If the slots inside the window sum
+//! up to more than the burst, the invocation is throttled and its add is undone.
+//!
+//! Each file covers one concern:
 //!
 //! | file | decides |
 //! | --- | --- |
-//! | `admission` | whether an invocation is let in |
-//! | `window` | what the slots of a customer's window sum up to |
-//! | `use_estimate` | what a customer uses where the counter was not asked |
-//! | `counter` | the calls to the shared counter, and which of them are left out while it is slow or gone |
+//! | `admission` | whether an invocation is admitted |
+//! | `window` | the units used in a customer's window |
+//! | `use_estimate` | the estimated usage of a customer where the counter was not asked |
+//! | `counter` | the calls to the shared counter, and which are omitted while it is slow or unavailable |
 //! | `queue` | which invocations wait for a backend, and for how long |
 //! | `concurrency` | how many attempts the backends take at once |
-//! | `backend_choice`, `warm_up` | which backend an attempt goes to; how much a fresh one gets |
-//! | `attempts` | whether a further attempt or a second copy is sent |
-//! | `unanswered` | which backends leave operations unanswered, told between gateways |
-//! | `answers` | the final answers, and how long clients are to stay away |
-//! | `backend_list`, `reconfigure`, `handover` | what new lists, new settings and a successor change |
+//! | `backend_choice`, `warm_up` | which backend gets an attempt, and how much work a new backend gets |
+//! | `attempts` | whether a retry or a hedge is sent |
+//! | `unanswered` | which backends leave operations unanswered, as reported between gateways |
+//! | `answers` | the final answers, and the advised retry delay |
+//! | `backend_list`, `reconfigure`, `handover` | the effect of new lists, new settings and a new process |
 //!
-//! `backend`, `customer`, `invocation`, `latency_histogram` are what is remembered of each; `timers` is what is due.
+//! `backend`, `customer`, `invocation` and `latency_histogram` hold state; `timers` holds what is due.
 
 mod admission;
 mod answers;
@@ -54,68 +58,72 @@
 use self::invocation::PendingInvocation;
 use self::latency_histogram::LatencyHistogram;
 use self::timers::Timer;
-use self::use_estimate::{PlanUse, initial_plan_use};
-use self::warm_up::WarmFlow;
+use self::use_estimate::{PlanUsage, initial_plan_usage};
+use self::warm_up::WarmThroughput;
 use crate::interface::{
     Action, BackendId, CustomerId, Event, InvocationId, OperationId, PeersAdmitted, Settings,
 };
 
-/// Sums of fractions are equal within this many units.
+/// Tolerance in units when sums of fractions are compared.
 const EPSILON: f64 = 1e-3;
-/// Samples that a fading mean is taken over: a gateway meets a few a second.
+/// Number of samples over which exponentially weighted means are taken. A gateway receives a few
+/// samples a second.
 const MEAN_SAMPLES: f64 = 50.0;
-/// Part of an operation's objective that an answer is taken to need before any came.
-const UNKNOWN_LATENCY_DIVISOR: f64 = 8.0;
-/// Answers that the usual time weighs beside those measured.
-const USUAL_LATENCY_WEIGHT: f64 = 3.0;
-/// The median.
+/// Before any answer, the latency of an operation is assumed to be its objective divided by this.
+const DEFAULT_LATENCY_DIVISOR: f64 = 8.0;
+/// Weight of the prior latency, in samples, in a mean latency.
+const PRIOR_LATENCY_WEIGHT: f64 = 3.0;
+/// The median as a quantile.
 const MEDIAN: f64 = 0.5;
 
-/// The decisions of one gateway, and what it remembers for them.
+/// The decisions of one gateway, and the state they depend on.
 pub struct Rules {
     settings: Settings,
     rng: ChaCha8Rng,
     now: Duration,
-    /// What the event at hand has given rise to.
+    /// Actions that the current event has caused so far.
     actions: Vec<Action>,
     started_at: Duration,
     invocations: BTreeMap<InvocationId, PendingInvocation>,
     customers: BTreeMap<CustomerId, Customer>,
     backends: BTreeMap<BackendId, BackendState>,
-    /// Invocations that wait for a backend, by arrival.
+    /// Invocations that wait for a backend, ordered by arrival.
     queue: BTreeSet<(Duration, InvocationId)>,
-    /// Calls to the counter that are not answered yet, by name.
+    /// Unanswered calls to the counter, by counter name, oldest first.
     calls: BTreeMap<String, VecDeque<CounterCall>>,
     timers: BTreeSet<(Duration, Timer)>,
-    /// When the front end's timer ends.
+    /// When the front end's timer fires.
     armed_until: Option<Duration>,
     counter_sampling: CounterSampling,
-    /// Attempts that a backend takes at once, from all gateways together.
+    /// Limit on concurrent attempts at one backend, from all gateways together.
     concurrency_limit: f64,
-    /// Answer times, by operation.
+    /// Latencies, indexed by operation.
     latencies: Vec<LatencyHistogram>,
-    /// What an invocation earns, on the mean of late.
+    /// Moving mean of the value of an invocation.
     mean_value: f64,
-    /// Units of an invocation, on the mean of late; at first the geometric middle, for few are large.
+    /// Moving mean of the units of an invocation. Starts at the geometric mean of 1 and the
+    /// maximum, as few invocations are large.
     mean_units: f64,
-    /// How long an attempt stays out, on the mean of late, in seconds.
+    /// Moving mean of the duration of an attempt, in seconds.
     mean_attempt_s: f64,
-    /// By plan, and whether the client has tried before: the part of the quota seen in use.
-    plan_use: Vec<[PlanUse; 2]>,
-    /// Second copies that may be sent.
+    /// Observed fraction of the quota in use, indexed by plan and by whether the client has tried
+    /// before.
+    plan_usage: Vec<[PlanUsage; 2]>,
+    /// Number of hedges that may be sent.
     hedge_budget: f64,
-    warm_flow: WarmFlow,
-    /// Another process takes this one's place.
+    warm_throughput: WarmThroughput,
+    /// Whether the state has been handed over to a successor process.
     has_yielded: bool,
 }
 
 impl Rules {
-    /// Nothing is known yet. `seed`: where chance comes from.
+    /// Creates the state of a gateway that knows no backend and no customer. `seed` seeds the
+    /// random number generator.
     pub fn new(seed: u64, settings: Settings, now: Duration) -> Self {
         let operations = settings.operations.iter();
-        let unknown_latencies_s = operations
+        let default_latencies_s = operations
             .clone()
-            .map(|operation| operation.latency_objective.as_secs_f64() / UNKNOWN_LATENCY_DIVISOR);
+            .map(|operation| operation.latency_objective.as_secs_f64() / DEFAULT_LATENCY_DIVISOR);
         Rules {
             rng: ChaCha8Rng::seed_from_u64(seed),
             now,
@@ -130,25 +138,25 @@
             armed_until: None,
             counter_sampling: CounterSampling::new(now),
             concurrency_limit: concurrency::INITIAL_LIMIT,
-            mean_attempt_s: unknown_latencies_s.fold(1.0, f64::min),
+            mean_attempt_s: default_latencies_s.fold(1.0, f64::min),
             latencies: operations.map(|_| LatencyHistogram::default()).collect(),
             mean_value: 0.0,
             mean_units: settings.max_units.max(1.0).sqrt(),
-            plan_use: vec![initial_plan_use(); settings.plans.len()],
+            plan_usage: vec![initial_plan_usage(); settings.plans.len()],
             hedge_budget: 0.0,
-            warm_flow: WarmFlow::new(now),
+            warm_throughput: WarmThroughput::new(now),
             has_yielded: false,
             settings,
         }
     }
 
-    /// Takes an event; returns what is to be done.
+    /// Processes an event and returns the actions to carry out.
     pub fn on(&mut self, now: Duration, event: Event) -> Vec<Action> {
         self.now = now;
         self.handle(event);
         self.send_queued();
         self.run_timers();
-        self.sweep();
+        self.run_periodic_cleanup();
         self.arm_timer();
         std::mem::take(&mut self.actions)
     }
@@ -159,15 +167,15 @@
             Event::Invocation(invocation) => {
                 let operation = invocation.operation.0;
                 if operation < self.settings.operations.len() {
-                    self.arrive(invocation);
+                    self.handle_invocation(invocation);
                 } else {
                     let invocation_id = invocation.id;
                     self.actions.push(Action::Fail { invocation_id });
                 }
             }
-            Event::FirstByte { invocation_id, .. } => self.stream_started(invocation_id),
+            Event::FirstByte { invocation_id, .. } => self.handle_stream_started(invocation_id),
             Event::AttemptEnded { .. } => self.handle_attempt_ended(event),
-            Event::ClientGone { invocation_id } => self.forget(invocation_id),
+            Event::ClientGone { invocation_id } => self.remove_invocation(invocation_id),
             Event::CounterTotal {
                 name,
                 outcome,
@@ -175,17 +183,18 @@
                 others,
                 latency,
             } => self.handle_total(&name, outcome, total, others, latency),
-            Event::PeersAdmitted(reports) => self.take_peer_reports(&reports),
-            // A front end may round a wait down: a timer that comes early must not leave all others unarmed.
+            Event::PeersAdmitted(reports) => self.apply_peer_reports(&reports),
+            // A front end may round a wait down, so that its timer fires up to a tick early. The
+            // timer then counts as fired; otherwise no later one would be armed.
             Event::Timer { .. } => {
                 let rounded = self.now + self.settings.tick;
                 self.armed_until = self.armed_until.filter(|until| *until > rounded);
             }
-            Event::PeerMessage { bytes, .. } => self.take_unanswered_report(&bytes),
+            Event::PeerMessage { bytes, .. } => self.apply_unanswered_report(&bytes),
             Event::BodyComplete {
                 invocation_id,
                 deadline,
-            } => self.body_complete(invocation_id, deadline),
+            } => self.handle_body_complete(invocation_id, deadline),
             Event::BodyConsumed { invocation_id } => {
                 if let Some(invocation) = self.invocations.get_mut(&invocation_id) {
                     invocation.max_attempts = invocation.attempts.len() as u32;
@@ -215,48 +224,49 @@
             return;
         };
         if let Some(used) = used {
-            self.learn_metered_use(invocation_id, used);
+            self.record_metered_usage(invocation_id, used);
         }
         self.attempt_ended(invocation_id, attempt, backend_id, outcome, latency);
         if let Some(units) = true_units.filter(|_| self.settings.true_units_follow) {
-            self.settle(invocation_id, units);
+            self.apply_true_units(invocation_id, units);
         }
         if closed {
-            self.forget(invocation_id);
+            self.remove_invocation(invocation_id);
         } else {
-            self.retry_or_end(invocation_id);
+            self.retry_or_finish(invocation_id);
         }
     }
 
-    fn take_peer_reports(&mut self, reports: &[PeersAdmitted]) {
+    fn apply_peer_reports(&mut self, reports: &[PeersAdmitted]) {
         for report in reports {
             if let Some(customer) = self.customers.get_mut(&report.customer) {
-                customer.take_peer_report(report);
+                customer.apply_peer_report(report);
             }
         }
     }
 
-    /// Seconds that an answer takes by this quantile of late; a part of the objective before any came.
+    /// Returns the given quantile of recent latencies in seconds, or a fraction of the objective if
+    /// there are none yet.
     fn expected_s(&self, quantile: f64, operation: OperationId) -> f64 {
         let objective = self.settings.operations[operation.0].latency_objective;
         self.latencies[operation.0]
             .quantile_s(quantile)
-            .unwrap_or(objective.as_secs_f64() / UNKNOWN_LATENCY_DIVISOR)
+            .unwrap_or(objective.as_secs_f64() / DEFAULT_LATENCY_DIVISOR)
     }
 
-    /// Seconds that an answer takes on the mean of late.
+    /// Returns the mean of recent latencies in seconds.
     fn mean_s(&self, operation: OperationId) -> f64 {
-        let usual_s = self.expected_s(MEDIAN, operation);
-        self.latencies[operation.0].mean_s(usual_s, USUAL_LATENCY_WEIGHT)
+        let prior_s = self.expected_s(MEDIAN, operation);
+        self.latencies[operation.0].mean_s(prior_s, PRIOR_LATENCY_WEIGHT)
     }
 
-    /// Until when an invocation's answer earns its full value.
+    /// Returns the time until which an answer earns its full value.
     fn objective(&self, invocation: &PendingInvocation) -> Duration {
         let operation = &self.settings.operations[invocation.request.operation.0];
-        (invocation.time_from + operation.latency_objective).min(invocation.request.deadline)
+        (invocation.timed_from + operation.latency_objective).min(invocation.request.deadline)
     }
 
-    /// The fleet's gateways, as a number to divide by.
+    /// Returns the number of gateways, at least 1.
     fn gateway_count(&self) -> f64 {
         f64::from(self.settings.gateways.max(1))
     }
--- a/src/rules/queue.rs
+++ b/src/rules/queue.rs
@@ -7,33 +7,37 @@
 use super::{MEDIAN, Rules};
 use crate::interface::{InvocationId, RejectReason};
 
-/// Part of an invocation's time that the queue before it may take: more, and what it keeps is late.
-const MAX_WAIT_PART: f64 = 0.25;
-/// Invocations for which no backend was found, after which the queue is left.
+/// Fraction of an invocation's remaining time that the expected wait may take. With a longer wait,
+/// what remains does not suffice for an answer in time.
+const MAX_WAIT_FRACTION: f64 = 0.25;
+/// Number of invocations without a suitable backend after which the queue is not searched further.
 const MAX_MISSES: u32 = 3;
 
 impl Rules {
-    /// Whether what stands in the queue before it would use up too much of its time.
+    /// Returns whether the expected wait would use up too much of the remaining time of an
+    /// invocation.
     pub(super) fn is_queue_too_long(&self, id: InvocationId) -> bool {
         let invocation = &self.invocations[&id];
         let request = &invocation.request;
         let objective = self.objective(invocation);
-        let left_s = objective.saturating_sub(self.now).as_secs_f64();
+        let remaining_s = objective.saturating_sub(self.now).as_secs_f64();
         let in_flight = self.in_flight();
         let wait_s = self.queue.len() as f64 * self.mean_s(request.operation)
-            / in_flight.max(self.own_concurrency_limit());
+            / in_flight.max(self.local_concurrency_limit());
         let usable_s = if request.repeat {
-            self.first_try_left_s(invocation).min(left_s)
+            self.first_try_remaining_s(invocation).min(remaining_s)
         } else {
-            left_s
+            remaining_s
         };
         let expected_s = self.expected_s(MEDIAN, request.operation);
-        // With nothing out nothing is learned any more: one goes to find out, however slow the last were.
-        in_flight > 0.0 && (expected_s > left_s || wait_s > MAX_WAIT_PART * usable_s)
+        // With no attempt in flight, no new latency would be measured. One invocation is sent
+        // regardless of how slow the last answers were.
+        in_flight > 0.0 && (expected_s > remaining_s || wait_s > MAX_WAIT_FRACTION * usable_s)
     }
 
-    /// What is left of the objective of its client's first try: while work waits, a next try goes last.
-    fn first_try_left_s(&self, invocation: &PendingInvocation) -> f64 {
+    /// Returns the time left of the objective of the client's first try. Retries have a lower
+    /// priority while other work waits.
+    fn first_try_remaining_s(&self, invocation: &PendingInvocation) -> f64 {
         let request = &invocation.request;
         let operation = &self.settings.operations[request.operation.0];
         let own_time = request.deadline.saturating_sub(invocation.arrived);
@@ -42,18 +46,18 @@
         left.as_secs_f64()
     }
 
-    /// Puts an invocation that was let in into the queue, where it can be answered in time.
+    /// Queues an admitted invocation if an answer in time is likely, else rejects it.
     pub(super) fn enqueue(&mut self, id: InvocationId) {
         let until = self.objective(&self.invocations[&id]);
         if self.is_queue_too_long(id) {
             self.throttle(id, RejectReason::Line);
         } else {
-            self.wait_in_queue(id, until);
+            self.insert_into_queue(id, until);
         }
     }
 
-    /// It waits until it could not be answered by `until` any more.
-    pub(super) fn wait_in_queue(&mut self, id: InvocationId, until: Duration) {
+    /// Queues an invocation until an answer by `until` is no longer likely.
+    pub(super) fn insert_into_queue(&mut self, id: InvocationId, until: Duration) {
         let invocation = &self.invocations[&id];
         let arrived = invocation.arrived;
         let expected_s = self.expected_s(MEDIAN, invocation.request.operation);
@@ -63,12 +67,12 @@
         self.timers.insert((timeout.max(self.now), timer));
     }
 
-    /// Sends what waits, while backends take more.
+    /// Sends queued invocations while the backends have capacity.
     pub(super) fn send_queued(&mut self) {
         let mut next = self.queue.first().copied();
         let mut misses = 0;
         while let Some((arrived, id)) = next {
-            if misses >= MAX_MISSES || self.in_flight() >= self.own_concurrency_limit() {
+            if misses >= MAX_MISSES || self.in_flight() >= self.local_concurrency_limit() {
                 return;
             }
             let following = (arrived, InvocationId(id.0 + 1));
@@ -83,7 +87,8 @@
         }
     }
 
-    /// A plan's cap on attempts out at once: this gateway's part of it, one at least.
+    /// Returns whether the customer has reached this gateway's share of the plan's cap on attempts
+    /// in flight. The share is at least one attempt.
     fn is_at_in_flight_cap(&self, invocation: &PendingInvocation) -> bool {
         let request = &invocation.request;
         let plan = self.settings.plans.get(request.plan.0);
@@ -91,7 +96,7 @@
             return false;
         };
         let customer = &self.customers[&request.customer];
-        let own_part = plan.max_in_flight * customer.own_share(plan.burst);
+        let own_part = plan.max_in_flight * customer.local_share(plan.burst);
         f64::from(customer.in_flight) >= own_part.round().max(1.0)
     }
 }
--- a/src/rules/timers.rs
+++ b/src/rules/timers.rs
@@ -1,53 +1,55 @@
-//! What is due, by time.
+//! Timers, ordered by time.
 
 use std::time::Duration;
 
 use super::Rules;
 use crate::interface::{Action, InvocationId, RejectReason};
 
-/// While work waits in the queue, it is looked through at least this often: blocked backends come free by time.
+/// Interval at which a non-empty queue is searched. Blocked backends become usable without an
+/// event.
 const QUEUE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// The longest time that the front end's timer is set to.
-const LONGEST_TIMER: Duration = Duration::from_secs(60);
-const SHORTEST_TIMER: Duration = Duration::from_nanos(1);
+/// Upper bound for the front end's timer.
+const MAX_TIMER: Duration = Duration::from_secs(60);
+const MIN_TIMER: Duration = Duration::from_nanos(1);
 const TOKEN: &str = "due";
 
-/// What is due at a time; of one time, in this order.
+/// An event due at some time. Timers of the same time run in the order of the variants.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
-    /// The final answer goes out at the latest.
+    /// The latest time for the final answer.
     FinalAnswer(InvocationId),
-    /// One that has waited in the queue since then can't be answered in time any more.
+    /// An invocation queued since the given time can no longer be answered in time.
     QueueTimeout(InvocationId, Duration),
-    /// A second copy may go out.
+    /// A hedge may be sent.
     Hedge(InvocationId),
     /// An attempt takes too long.
     SlowAttempt(InvocationId, usize),
-    /// The queue is looked through.
+    /// The queue is searched.
     QueueCheck,
-    /// The list of backends is asked for.
+    /// The list of backends is requested.
     WatchBackendList,
 }
 
 impl Rules {
-    /// Runs what is due; drops what is over and will never be: left there, each would wake a gateway for nothing.
+    /// Runs the timers that are due, and removes obsolete ones at the front. Obsolete timers would
+    /// wake up the gateway for nothing.
     pub(super) fn run_timers(&mut self) {
         while let Some(&(at, timer)) = self.timers.first() {
-            let is_live = self.is_live(timer, at);
-            if is_live && at > self.now {
+            let applies = self.still_applies(timer, at);
+            if applies && at > self.now {
                 return;
             }
             self.timers.pop_first();
-            if is_live {
+            if applies {
                 self.run_timer(timer);
             }
         }
     }
 
-    fn is_live(&self, timer: Timer, at: Duration) -> bool {
+    fn still_applies(&self, timer: Timer, at: Duration) -> bool {
         match timer {
             Timer::FinalAnswer(id) => self.invocations.get(&id).is_some_and(|invocation| {
-                !invocation.is_streaming && at >= self.last_answer_at(invocation)
+                !invocation.is_streaming && at >= self.answer_deadline(invocation)
             }),
             Timer::QueueTimeout(id, arrived) => self.queue.contains(&(arrived, id)),
             Timer::Hedge(id) => self.invocations.contains_key(&id),
@@ -69,7 +71,7 @@
             Timer::SlowAttempt(id, attempt) => {
                 let invocation = &self.invocations[&id];
                 let backend_id = invocation.attempts[attempt].backend_id;
-                self.note_unanswered(backend_id, invocation.request.operation);
+                self.record_unanswered(backend_id, invocation.request.operation);
             }
             Timer::QueueCheck => {}
             Timer::WatchBackendList => {
@@ -78,7 +80,7 @@
         }
     }
 
-    /// Sets the front end's timer to the next that is due.
+    /// Sets the front end's timer to the next timer that is due.
     pub(super) fn arm_timer(&mut self) {
         let next_check = self.now + QUEUE_CHECK_INTERVAL;
         let first = self.timers.first();
@@ -93,7 +95,7 @@
         if self.armed_until.is_some_and(is_armed) {
             return;
         }
-        let after = at.saturating_sub(now).clamp(SHORTEST_TIMER, LONGEST_TIMER);
+        let after = at.saturating_sub(now).clamp(MIN_TIMER, MAX_TIMER);
         self.armed_until = Some(now + after);
         self.actions.push(Action::SetTimer {
             after,
--- a/src/rules/warm_up.rs
+++ b/src/rules/warm_up.rs
@@ -1,61 +1,66 @@
-//! Backends that warm up: how much of their capacity they have, and how much work they get.
+//! Warm-up of backends: their current capacity, and the work they get.
 
 use std::time::Duration;
 
 use super::EPSILON;
 use super::Rules;
 use super::backend::BackendState;
-use super::use_estimate::MEMORY;
+use super::use_estimate::USAGE_DECAY_TIME;
 use crate::interface::BackendEntry;
 
-/// Part of the budget for a backend that warms up which this gateway's part may use: work sizes vary by chance.
-const BUDGET_PART: f64 = 0.75;
-/// Units that such a backend gets from all gateways in a span of its budget where no warm one tells its flow.
-const MIN_UNITS: f64 = 2.0;
-/// Span over which the flow to warm backends is taken: long against chance, short against load's swing.
-const FLOW_SPAN: Duration = Duration::from_secs(4);
-/// Shortest times to divide by, in seconds.
+/// Fraction of its share of a warming backend's budget that a gateway uses. The rest allows for
+/// random variation of the work.
+const BUDGET_FRACTION: f64 = 0.75;
+/// Units that a warming backend gets from all gateways during `overload_span` where there is no
+/// throughput of a warm backend to derive a budget from.
+const MIN_UNITS_PER_SPAN: f64 = 2.0;
+/// Span over which the throughput of warm backends is measured: long enough to average out random
+/// variation, short enough to follow the load.
+const THROUGHPUT_SPAN: Duration = Duration::from_secs(4);
+/// Lower bounds for divisors, in seconds.
 const MIN_WARM_UP_S: f64 = 1e-9;
 const MIN_OVERLOAD_SPAN_S: f64 = 1e-3;
-/// A plan's quota is idle after so many windows.
+/// Number of windows without use after which the quota of a customer is idle.
 const IDLE_WINDOWS: f64 = 2.0;
 
-/// The units that a warm backend served of late.
-pub(super) struct WarmFlow {
-    /// Since when `units` are counted.
+/// Recent throughput of a warm backend, as the mean over the warm backends.
+pub(super) struct WarmThroughput {
+    /// Start of the current span.
     since: Duration,
     units: f64,
-    /// Those of the span before.
+    /// Units of the previous span, scaled to `THROUGHPUT_SPAN`.
     units_before: f64,
 }
 
-impl WarmFlow {
+impl WarmThroughput {
     pub(super) fn new(now: Duration) -> Self {
-        WarmFlow {
+        WarmThroughput {
             since: now,
             units: 0.0,
             units_before: 0.0,
         }
     }
 
-    /// Each of the warm backends has served so many units more, on the mean.
+    /// Adds the units that the warm backends have served, per backend.
     pub(super) fn add(&mut self, units: f64) {
         self.units += units;
     }
 
-    /// Units a second: what a backend turned away is most of what is sent in a jam, and does not count.
+    /// Returns units a second. Only served units count, because under overload most attempts are
+    /// refused.
     fn per_s(&self, now: Duration) -> f64 {
-        let span = FLOW_SPAN + now.saturating_sub(self.since);
+        let span = THROUGHPUT_SPAN + now.saturating_sub(self.since);
         (self.units + self.units_before) / span.as_secs_f64()
     }
 
-    fn is_over(&self, now: Duration) -> bool {
-        now >= self.since + FLOW_SPAN
+    fn is_span_over(&self, now: Duration) -> bool {
+        now >= self.since + THROUGHPUT_SPAN
     }
 
-    /// Begins a new span. With no warm backend left, what the last ones took is still the best guide.
-    fn turn(&mut self, now: Duration) {
-        let spans = (now - self.since).as_secs_f64() / FLOW_SPAN.as_secs_f64();
+    /// Starts a new span. With no warm backend left, the throughput of the last ones remains the
+    /// best estimate.
+    fn rotate(&mut self, now: Duration) {
+        let spans = (now - self.since).as_secs_f64() / THROUGHPUT_SPAN.as_secs_f64();
         if self.units > 0.0 {
             self.units_before = self.units / spans;
         }
@@ -65,8 +70,8 @@
 }
 
 impl Rules {
-    /// Present part of a backend's full capacity, at least.
-    pub(super) fn warmth(&self, entry: &BackendEntry) -> f64 {
+    /// Returns a lower bound for a backend's current capacity, as a fraction of its full capacity.
+    pub(super) fn warm_up_fraction(&self, entry: &BackendEntry) -> f64 {
         let settings = &self.settings;
         let age_s = self.now.saturating_sub(entry.since).as_secs_f64();
         let part = age_s / settings.warm_up_time.as_secs_f64().max(MIN_WARM_UP_S);
@@ -77,29 +82,30 @@
         }
     }
 
-    /// Units that this gateway may send to a backend that warms up, none above 0 saved up.
-    pub(super) fn warm_up_credit(&self, backend: &BackendState, warmth: f64) -> f64 {
+    /// Returns the units that this gateway may send to a warming backend. The credit never rises
+    /// above 0, so that nothing is saved up.
+    pub(super) fn warm_up_credit(&self, backend: &BackendState, warm_up_fraction: f64) -> f64 {
         let span_s = self.settings.overload_span.as_secs_f64();
-        let least_per_s = MIN_UNITS / self.gateway_count() / span_s.max(MIN_OVERLOAD_SPAN_S);
-        let flow_per_s = self.warm_flow.per_s(self.now);
-        let budget_per_s = BUDGET_PART * self.settings.overload_factor * flow_per_s;
-        let earned_per_s = budget_per_s.max(least_per_s) * warmth;
+        let min_per_s = MIN_UNITS_PER_SPAN / self.gateway_count() / span_s.max(MIN_OVERLOAD_SPAN_S);
+        let throughput_per_s = self.warm_throughput.per_s(self.now);
+        let budget_per_s = BUDGET_FRACTION * self.settings.overload_factor * throughput_per_s;
+        let earned_per_s = budget_per_s.max(min_per_s) * warm_up_fraction;
         let since_s = self.now.saturating_sub(backend.credit_at).as_secs_f64();
         (backend.credit + earned_per_s * since_s).min(0.0)
     }
 
-    /// Now and then: turns the flow's span and forgets idle customers.
-    pub(super) fn sweep(&mut self) {
-        if !self.warm_flow.is_over(self.now) {
+    /// Once per throughput span, starts a new span and removes idle customers.
+    pub(super) fn run_periodic_cleanup(&mut self) {
+        if !self.warm_throughput.is_span_over(self.now) {
             return;
         }
-        self.warm_flow.turn(self.now);
+        self.warm_throughput.rotate(self.now);
         self.customers.retain(|_, customer| {
             let plan = &self.settings.plans[customer.plan.0];
             let window_s = IDLE_WINDOWS * plan.burst / plan.rate.max(EPSILON);
             let ceiling_s = plan.ceiling_burst / plan.ceiling_rate.max(EPSILON);
-            let idle = Duration::from_secs_f64(window_s.max(ceiling_s)).max(MEMORY);
-            customer.open_invocations > 0 || self.now < customer.used_at + idle + FLOW_SPAN
+            let idle = Duration::from_secs_f64(window_s.max(ceiling_s)).max(USAGE_DECAY_TIME);
+            customer.open_invocations > 0 || self.now < customer.used_at + idle + THROUGHPUT_SPAN
         });
     }
 }
