--- a/src/interface/action.rs
+++ b/src/interface/action.rs
@@ -1,112 +1,114 @@
-//! What a gateway is to do.
+//! Actions that the decision module returns.
 
 use std::time::Duration;
 
 use super::{AttemptNumber, BackendId, Carry, GatewayId, InvocationId};
 
-/// What the front end is to carry out at once.
+/// An action that the front end carries out at once.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Sends an invocation to a backend.
+    /// Sends an attempt of an invocation to a backend.
     SendAttempt {
-        /// Which invocation.
+        /// The invocation.
         invocation_id: InvocationId,
-        /// Where to.
+        /// The backend that gets the attempt.
         backend_id: BackendId,
-        /// The attempt has timed out after this, where that is before the client's time is over.
+        /// Time after which the attempt times out; `None` if only the deadline of the invocation
+        /// applies.
         timeout: Option<Duration>,
     },
-    /// Gives an attempt up.
+    /// Cancels an attempt.
     CancelAttempt {
-        /// Whose attempt.
+        /// The invocation of the attempt.
         invocation_id: InvocationId,
-        /// Which one.
+        /// The number of the attempt.
         attempt: AttemptNumber,
     },
-    /// The final answer: it was not done, and may be tried again.
+    /// Sends the final answer that the invocation was throttled: it had no effect and may be
+    /// retried.
     Throttle {
-        /// Whose answer.
+        /// The invocation that is answered.
         invocation_id: InvocationId,
-        /// When to come back.
+        /// The delay after which the client should retry; `None` for no such advice.
         retry_after: Option<Duration>,
-        /// For staff and their figures.
+        /// The reason, for logs and metrics.
         reason: RejectReason,
     },
-    /// The final answer: an error.
+    /// Sends an error as the final answer.
     Fail {
-        /// Whose answer.
+        /// The invocation that is answered.
         invocation_id: InvocationId,
     },
-    /// Asks for an event after some time.
+    /// Requests a timer event.
     SetTimer {
-        /// The time.
+        /// The delay until the event.
         after: Duration,
-        /// Comes back with the event.
+        /// Returned with the event.
         token: String,
     },
-    /// Adds units on the counter, and reads the total.
+    /// Adds units on the shared counter and reads the total.
     AddToCounter {
-        /// The name to count under.
+        /// The counter name.
         name: String,
-        /// Units; 0 only reads.
+        /// Units to add; 0 only reads the total.
         add: f64,
-        /// The counter forgets the name after this.
+        /// Retention of the name by the counter.
         keep: Duration,
     },
     /// Probes a backend.
     Probe {
-        /// Which backend.
+        /// The backend.
         backend_id: BackendId,
     },
     /// Closes the idle connections to a backend.
     CloseIdle {
-        /// Which backend.
+        /// The backend.
         backend_id: BackendId,
     },
-    /// Sends other gateways a message.
+    /// Sends a message to other gateways.
     SendToPeers {
-        /// Which one; `None`: all.
+        /// The receiver; `None` for all other gateways.
         to: Option<GatewayId>,
-        /// What it says.
+        /// The content of the message.
         bytes: Vec<u8>,
     },
-    /// Watches the list of backends, or no longer.
+    /// Starts or stops watching the list of backends.
     WatchBackendList {
-        /// Whether it is to be watched.
+        /// Whether to watch the list.
         on: bool,
     },
-    /// Asks for the whole list of backends.
+    /// Requests the full list of backends.
     FetchBackendList,
     /// Logs a line.
     Log {
-        /// The line.
+        /// The text of the line.
         text: String,
     },
-    /// The state for the process that takes this one's place.
+    /// Hands the state over to the successor process.
     HandOver(Box<Carry>),
 }
 
-/// Why an invocation is turned away, for staff and their figures.
+/// Reason for rejecting an invocation, for logs and metrics.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RejectReason {
-    /// The window's sum is over the quota.
+    /// The units in the window exceed the quota.
     Quota,
-    /// A window that is known to be full: no call was made.
+    /// The window is known to be full, so that the counter was not called.
     Full,
-    /// The queue before it is too long, or answers take too long.
+    /// The queue is too long, or answers take too long.
     Line,
-    /// It stood in the queue until it could not be answered in time.
+    /// The invocation was queued until an answer in time was no longer likely.
     Waited,
-    /// Its client's time is up.
+    /// The client's deadline has been reached.
     Time,
-    /// The hard ceiling's store is empty.
+    /// The budget of the plan's ceiling is used up.
     Ceiling,
-    /// Its attempts failed and no other can be of use.
+    /// The attempts failed and no further one can succeed.
     GaveUp,
 }
 
 impl RejectReason {
-    /// As figures and logs name it.
+    /// Returns the name used in metrics and logs.
     pub fn name(self) -> &'static str {
         match self {
             Self::Quota => "quota",
--- a/src/interface/backend.rs
+++ b/src/interface/backend.rs
@@ -1,49 +1,49 @@
-//! Backends, as discovery lists them.
+//! Entries of the list of backends that discovery provides.
 
 use std::time::Duration;
 
 use super::BackendId;
 
-/// Whether a backend takes work.
+/// Whether a backend accepts work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Health {
-    /// It does.
+    /// The backend accepts work.
     Up,
-    /// It finishes what it has.
+    /// The backend only finishes the work that it has.
     Draining,
-    /// It is there no more.
+    /// The backend no longer exists.
     #[default]
     Gone,
 }
 
-/// A backend in a list.
+/// An entry of the list of backends.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct BackendEntry {
-    /// Its name.
+    /// The backend.
     pub backend_id: BackendId,
-    /// Whether it takes work.
+    /// Whether the backend accepts work.
     pub health: Health,
-    /// When its process last started; zero: long ago.
+    /// Start time of the process; zero for a process started long ago.
     pub since: Duration,
-    /// Its kind of machine.
+    /// The type of the machine.
     pub kind: u32,
-    /// Its zone.
+    /// The zone of the backend.
     pub zone: u32,
-    /// Its cell of the zone.
+    /// The cell within the zone.
     pub cell: u32,
-    /// Its capacity beside others'.
+    /// Capacity relative to other backends.
     pub weight: f64,
 }
 
-/// How a list of backends is to be taken.
+/// How a list of backends is applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListForm {
-    /// Only what changed.
+    /// Only the changed entries.
     Update,
-    /// The whole list.
+    /// The full list.
     Replace,
-    /// The whole list as this gateway last had it; it can be old.
+    /// The full list as last known to this gateway, which may be outdated.
     Restored,
-    /// A call to discovery failed; the old list stays.
+    /// A call to discovery failed. The previous list stays in effect.
     Unavailable,
 }
--- a/src/interface/event.rs
+++ b/src/interface/event.rs
@@ -1,4 +1,4 @@
-//! What happens to a gateway.
+//! Events that the decision module handles.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,111 +8,115 @@
     Outcome, PeersAdmitted, Report, Settings,
 };
 
-/// What happened, as the front end tells it.
+/// An event, as reported by the front end.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// A list of backends.
     BackendList {
-        /// How it is to be taken.
+        /// How the list is applied.
         form: ListForm,
-        /// The backends.
+        /// The entries of the list.
         entries: Arc<[BackendEntry]>,
     },
-    /// A client's try came in.
+    /// An invocation arrived.
     Invocation(Invocation),
-    /// The first byte of an answer that is a stream went to the client.
+    /// The first byte of a streamed answer was sent to the client.
     FirstByte {
-        /// Whose answer.
+        /// The invocation that is answered.
         invocation_id: InvocationId,
-        /// Which attempt.
+        /// The attempt that is answered.
         attempt: AttemptNumber,
-        /// Where it went.
+        /// The backend.
         backend_id: BackendId,
-        /// Since it was sent.
+        /// Time since the attempt was sent.
         latency: Duration,
     },
     /// An attempt ended.
     AttemptEnded {
-        /// Whose attempt.
+        /// The invocation of the attempt.
         invocation_id: InvocationId,
-        /// Which one.
+        /// The number of the attempt.
         attempt: AttemptNumber,
-        /// Where it went.
+        /// The backend.
         backend_id: BackendId,
-        /// How it ended.
+        /// How the attempt ended.
         outcome: Outcome,
-        /// Since it was sent.
+        /// Time since the attempt was sent.
         latency: Duration,
-        /// The invocation is over; otherwise its final answer is still owed.
+        /// Whether the invocation is finished. If not, a final answer is still due.
         closed: bool,
-        /// The customer's use of its rate over all gateways in the last metered period.
+        /// The customer's use over all gateways in the last metered period, as a fraction of its
+        /// rate.
         used: Option<f64>,
-        /// Units that the invocation took, where the settings call those told before a guess.
+        /// Actual units of the invocation, if the settings declare the units at arrival an
+        /// estimate.
         true_units: Option<f64>,
-        /// The backend's load.
+        /// The load report of the backend.
         report: Report,
     },
-    /// Its client waits no more.
+    /// The client has disconnected.
     ClientGone {
-        /// Whose client.
+        /// The invocation of the client.
         invocation_id: InvocationId,
     },
-    /// The last byte of an invocation whose body was coming is here: times run from now on.
+    /// The last byte of a request body arrived. The time limits of the invocation start now.
     BodyComplete {
-        /// Whose body.
+        /// The invocation of the body.
         invocation_id: InvocationId,
-        /// When its client stops waiting.
+        /// Deadline of the client.
         deadline: Duration,
     },
-    /// Part of its body is gone for good: no other attempt can carry it.
+    /// Part of the request body is no longer available, so that no further attempt can send it.
     BodyConsumed {
-        /// Whose body.
+        /// The invocation of the body.
         invocation_id: InvocationId,
     },
-    /// New settings, made by [`Settings::follow`] from those before.
+    /// New settings, derived from the previous ones by [`Settings::follow`].
     Settings(Box<Settings>),
-    /// Another process takes this gateway's place: [`Action::HandOver`](super::Action::HandOver) follows.
+    /// A successor process takes over. [`Action::HandOver`](super::Action::HandOver) follows.
     Yield,
-    /// That process is gone again.
+    /// The successor process has ended, and this process continues.
     Resume,
-    /// The state of the process whose place this one takes; before the first invocation.
+    /// The state of the predecessor process. This event precedes the first
+    /// invocation.
     TakeOver(Box<Carry>),
-    /// The time that an action set is over.
+    /// The timer that an action requested has fired.
     Timer {
-        /// As the action named it.
+        /// The token of the action.
         token: String,
     },
     /// A probe ended.
     Probed {
-        /// Where it went.
+        /// The backend.
         backend_id: BackendId,
-        /// How it ended.
+        /// How the probe ended.
         outcome: Outcome,
-        /// Since it was sent.
+        /// Time since the probe was sent.
         latency: Duration,
-        /// The backend's load.
+        /// The load report of the backend.
         report: Report,
     },
-    /// Another gateway's message.
+    /// A message from another gateway.
     PeerMessage {
-        /// Whose.
+        /// The sender.
         from: GatewayId,
-        /// What it says.
+        /// The content of the message.
         bytes: Vec<u8>,
     },
-    /// The counter's answer.
+    /// The outcome of a counter call.
     CounterTotal {
-        /// The name that was counted under.
+        /// The counter name of the call.
         name: String,
-        /// Whether there is an answer.
+        /// How the call ended.
         outcome: Outcome,
-        /// The total after the call's units were added.
+        /// The total after the units of the call were added.
         total: f64,
-        /// Of it, what the other gateways say they admitted; 0 where they say nothing.
+        /// The part of `total` that other gateways report as admitted; 0 without reports.
         others: f64,
-        /// Since the call.
+        /// Time since the call was sent.
         latency: Duration,
     },
-    /// What the other gateways say they admitted under names that [`crate::Rules::admitted`] gave.
+    /// Units that the other gateways report as admitted, under names returned by
+    /// [`crate::Rules::admitted`].
     PeersAdmitted(Vec<PeersAdmitted>),
 }
--- a/src/interface/ids.rs
+++ b/src/interface/ids.rs
@@ -1,16 +1,16 @@
-//! Names of things.
+//! Identifiers.
 
 use std::sync::Arc;
 
-/// An invocation, as named by the front end; never used twice.
+/// Identifier of an invocation, assigned by the front end and never reused.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct InvocationId(pub u64);
 
-/// A backend; the same at every gateway.
+/// Identifier of a backend, equal at all gateways.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct BackendId(pub u32);
 
-/// A customer's name.
+/// Name of a customer.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CustomerId(pub Arc<str>);
 
@@ -22,10 +22,10 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PlanId(pub usize);
 
-/// Number of an attempt within its invocation, from 0 in the order sent.
+/// Number of an attempt within its invocation, counted from 0 in the order of sending.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptNumber(pub u32);
 
-/// A gateway's number among its siblings.
+/// Number of a gateway within the fleet.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct GatewayId(pub u32);
--- a/src/interface/invocation.rs
+++ b/src/interface/invocation.rs
@@ -1,89 +1,90 @@
-//! Invocations, how their attempts end, and what is admitted of them.
+//! Invocations, the outcomes of their attempts, and admitted units.
 
 use std::time::Duration;
 
 use super::{CustomerId, GatewayId, InvocationId, OperationId, PlanId};
 
-/// A client's try, as it came in.
+/// An invocation by a client. A retry by the client is another invocation.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Invocation {
-    /// Its name.
+    /// Identifier of the invocation.
     pub id: InvocationId,
-    /// When this try's client stops waiting.
+    /// Time at which the client stops waiting for this invocation.
     pub deadline: Duration,
-    /// What it asks for.
+    /// The invoked operation.
     pub operation: OperationId,
-    /// Its customer's plan.
+    /// The plan of the customer.
     pub plan: PlanId,
-    /// Whose it is.
+    /// The customer.
     pub customer: CustomerId,
-    /// Units of the quota that it takes.
+    /// Units of the quota that the invocation uses.
     pub units: f64,
-    /// The first of the gateways at which its customer's invocations come in.
+    /// The first of the gateways that receive the customer's invocations.
     pub first_gateway: GatewayId,
-    /// How many these are; 0: all.
+    /// Number of gateways that receive the customer's invocations; 0 for all.
     pub spread: u32,
-    /// It changes something.
+    /// Whether the invocation changes data.
     pub write: bool,
-    /// Its client has tried before.
+    /// Whether the client has tried before.
     pub repeat: bool,
-    /// Its body still comes: no client's time runs until its event `BodyComplete`.
+    /// Whether the request body is still arriving. The client's deadline applies only after the
+    /// event `BodyComplete`.
     pub body_pending: bool,
 }
 
-/// How an attempt or a call ended.
+/// Outcome of an attempt or call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It was answered.
+    /// The call succeeded.
     Ok,
-    /// It was answered with an error, after it may have run.
+    /// The call was answered with an error and may have run.
     Failed,
-    /// It was refused for want of room.
+    /// The call was refused for lack of capacity and has not run.
     Full,
-    /// No answer came in time.
+    /// No answer arrived in time.
     TimedOut,
-    /// No connection came up.
+    /// No connection could be established.
     ConnectFailed,
-    /// The connection broke.
+    /// The connection was reset.
     Reset,
-    /// It was cancelled by an action.
+    /// The call was canceled by an action.
     Canceled,
-    /// It was not sent.
+    /// The call was not sent.
     Ignored,
 }
 
 impl Outcome {
-    /// The far side proves that nothing was done.
+    /// Returns whether the outcome proves that nothing was executed.
     pub fn never_ran(self) -> bool {
         matches!(self, Self::Full | Self::ConnectFailed | Self::Ignored)
     }
 }
 
-/// Values of a load report, in the order that the front end was told; empty where none came.
+/// Values of a load report, in the order configured at the front end. Empty if there is none.
 pub type Report = Vec<f64>;
 
-/// Units admitted by this gateway under one of the counter's names.
+/// Units that this gateway has admitted under one counter name.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Admitted {
-    /// Whose they are.
+    /// The customer that used the units.
     pub customer: CustomerId,
-    /// The slot in which they were admitted.
+    /// The slot in which the units were admitted.
     pub slot: u64,
-    /// The counter's name for both.
+    /// The counter name for the customer and the slot.
     pub name: String,
-    /// The units.
+    /// The admitted units.
     pub units: f64,
 }
 
-/// Units admitted by all other gateways under one of the counter's names.
+/// Units that all other gateways have admitted under one counter name.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PeersAdmitted {
-    /// Whose they are.
+    /// The customer that used the units.
     pub customer: CustomerId,
-    /// The slot in which they were admitted.
+    /// The slot in which the units were admitted.
     pub slot: u64,
-    /// The units.
+    /// The admitted units.
     pub units: f64,
-    /// Up to when all of them have reported; `None` where one has been silent.
+    /// Time up to which all other gateways have reported; `None` if one of them has not reported.
     pub complete_until: Option<Duration>,
 }
--- a/src/interface/mod.rs
+++ b/src/interface/mod.rs
@@ -1,6 +1,6 @@
-//! What a front end and the decision module say to each other: events, actions and what they are made of. Types only.
+//! Types shared by front ends and the decision module: events, actions and their parts.
 //!
-//! All times are spans since the start of the clock that the events carry; gateways share it.
+//! All times are durations since the start of the clock of the events, which all gateways share.
 
 mod action;
 mod backend;
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -1,23 +1,23 @@
-//! The settings that decisions go by.
+//! Settings of the decision module.
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use super::{GatewayId, OperationId, PlanId};
 
-/// Whether an operation may take effect again.
+/// Whether an operation may run more than once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Repeat {
-    /// Its effect is the same however often it runs.
+    /// Repeated runs have the same effect as one.
     Idempotent,
-    /// Repeats are dropped within `group`, for `window` from the first send that may have run.
+    /// Repeats are dropped within `group`, for `window` after the first attempt that may have run.
     Tokened {
-        /// The backends that know of each other's runs.
+        /// The backends that recognize each other's runs.
         group: Group,
-        /// For how long they do.
+        /// How long a run is remembered.
         window: Duration,
     },
-    /// What is not known to be repeatable is not repeated.
+    /// An invocation that may have run must not be repeated.
     #[default]
     NonIdempotent,
 }
@@ -27,97 +27,97 @@
 pub enum Group {
     /// All backends.
     All,
-    /// Those of one zone.
+    /// The backends of one zone.
     Zone,
-    /// Those of one cell.
+    /// The backends of one cell.
     Cell,
 }
 
 /// An operation of the service.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Operation {
-    /// By which new settings know it again.
+    /// Name that identifies the row when settings change.
     pub name: Arc<str>,
-    /// Whether it may take effect again.
+    /// Whether the operation may run more than once.
     pub repeat: Repeat,
-    /// An answer within this time earns its full billed value.
+    /// Latency up to which an answer earns its full billed value.
     pub latency_objective: Duration,
-    /// What a client waits over all its tries.
+    /// How long a client waits over all its tries.
     pub integration_timeout: Duration,
-    /// What a unit of it earns, beside other operations.
+    /// Value of a unit, relative to other operations.
     pub billed_value: f64,
-    /// Part of the billed value for an answer after the objective.
+    /// Value of an answer after the objective, as a fraction of the billed value.
     pub late_value: f64,
-    /// Its answers are streams.
+    /// Whether the answers are streams.
     pub streamed: bool,
 }
 
-/// A plan's quotas for each customer, over all gateways together. 0: no such limit.
+/// The quotas of a plan for each customer, over all gateways together. 0 means no limit.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Plan {
-    /// By which new settings know it again.
+    /// Name that identifies the row when settings change.
     pub name: Arc<str>,
-    /// Units a second.
+    /// Rate in units a second.
     pub rate: f64,
-    /// Units in a window, which is as long as `rate` takes to earn them.
+    /// Units per window. The length of the window is `burst / rate`.
     pub burst: f64,
-    /// Attempts that are out at once.
+    /// Maximum number of attempts in flight.
     pub max_in_flight: f64,
-    /// What a unit earns, beside other plans.
+    /// Value of a unit, relative to other plans.
     pub price: f64,
-    /// What a unit beyond the quota earns, as a part of the price.
+    /// Value of a unit beyond the quota, as a fraction of the price.
     pub excess_value: f64,
-    /// What a unit beyond the quota costs, as a part of the price.
+    /// Cost of a unit beyond the quota, as a fraction of the price.
     pub excess_cost: f64,
-    /// Units a second that are never passed.
+    /// Rate of the ceiling in units a second. The ceiling is a hard limit.
     pub ceiling_rate: f64,
-    /// Units that the ceiling saves up.
+    /// Burst of the ceiling in units.
     pub ceiling_burst: f64,
-    /// Part by which the ceiling may be passed.
+    /// Fraction by which the ceiling may be exceeded.
     pub ceiling_slack: f64,
 }
 
-/// What the deployment allows.
+/// Limits of the deployment.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Limits {
-    /// Attempts may be cancelled.
+    /// Whether attempts may be canceled.
     pub may_cancel: bool,
-    /// Several attempts of an invocation may be out at once.
+    /// Whether several attempts of an invocation may be in flight at once.
     pub may_hedge: bool,
-    /// Backends may be probed.
+    /// Whether backends may be probed.
     pub may_probe: bool,
-    /// Gateways may send each other messages.
+    /// Whether gateways may send each other messages.
     pub may_message_peers: bool,
-    /// The longest wait a client follows; `None`: no such advice may be given.
+    /// The longest retry delay that clients respect; `None` if no delay may be advised.
     pub retry_after: Option<Duration>,
-    /// Attempts of an invocation at most.
+    /// Maximum number of attempts of an invocation.
     pub max_attempts: u32,
-    /// Invocations that are open at most.
+    /// Maximum number of open invocations.
     pub open: usize,
-    /// A connection to a backend comes up within this.
+    /// Timeout of connecting to a backend.
     pub connect_timeout: Duration,
 }
 
 /// The shared counter.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Counter {
-    /// It answers within this, or not at all.
+    /// Timeout of a call.
     pub timeout: Duration,
-    /// What a call costs.
+    /// Cost of a call.
     pub price: f64,
 }
 
-/// How the list of backends reaches a gateway.
+/// How a gateway receives the list of backends.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Discovery {
-    /// It is sent whenever it changes.
+    /// The list is sent whenever it changes.
     #[default]
     Pushed,
-    /// It is sent to those who ask for it.
+    /// The list is sent to subscribers.
     Subscribed,
 }
 
-/// Rows of the operations and plans that are in force, in their settings' order.
+/// Rows of the operations and plans in force, in the order of their settings.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct InForce {
     /// Rows of [`Settings::operations`].
@@ -129,44 +129,46 @@
 /// The settings of one gateway.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
-    /// Gateways of the fleet.
+    /// Number of gateways in the fleet.
     pub gateways: u32,
-    /// This gateway's number among them.
+    /// Number of this gateway within the fleet.
     pub own_id: GatewayId,
-    /// This gateway's zone.
+    /// Zone of this gateway.
     pub zone: u32,
-    /// Between two batches of events.
+    /// Interval between two batches of events.
     pub tick: Duration,
-    /// Those of earlier settings too, so that what is under way keeps its own ([`Settings::follow`]).
+    /// Operations of the current and of earlier settings, so that open invocations keep theirs
+    /// ([`Settings::follow`]).
     pub operations: Vec<Operation>,
-    /// As the operations.
+    /// Plans of the current and of earlier settings.
     pub plans: Vec<Plan>,
-    /// The rows of both that new invocations name.
+    /// Rows of operations and plans that new invocations use.
     pub in_force: InForce,
-    /// What the deployment allows.
+    /// Limits of the deployment.
     pub limits: Limits,
     /// The shared counter, if there is one.
     pub counter: Option<Counter>,
-    /// Units of an invocation are a guess; the true ones come with the answer.
+    /// Whether the units at arrival are an estimate and the actual ones follow with the answer.
     pub true_units_follow: bool,
-    /// Units of an invocation at most.
+    /// Maximum number of units of an invocation.
     pub max_units: f64,
-    /// The span that answers tell a customer's use of.
+    /// Period covered by the customer's use that answers report.
     pub meter_period: Duration,
-    /// How the list of backends comes.
+    /// How the list of backends is received.
     pub discovery: Discovery,
-    /// How long a list of backends is asked for at most.
+    /// How long a list of backends is requested at most.
     pub ask_within: Duration,
-    /// How long a backend that drains answers on.
+    /// How long a draining backend continues to answer.
     pub drain_grace: Duration,
-    /// How long an answer takes to its client.
+    /// How long an answer takes to reach the client.
     pub answer_slack: Duration,
-    /// Part of its capacity that a backend has at its start.
+    /// Capacity of a backend at its start, as a fraction of the full capacity.
     pub warm_up_share: f64,
-    /// A backend has its full capacity after this.
+    /// Time after which a backend has its full capacity.
     pub warm_up_time: Duration,
-    /// A backend that warms up and gets so many times the usual work of a warm one is overloaded.
+    /// A warming backend is overloaded if it gets more than this multiple of the usual work of a
+    /// warm backend, scaled by its current capacity.
     pub overload_factor: f64,
-    /// The span over which that work is taken.
+    /// Period over which the work of a warming backend is measured.
     pub overload_span: Duration,
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,11 +1,12 @@
-//! damsonbeam: the decisions of a gateway that meters many customers' use of one shared service.
+//! damsonbeam: the decision module of a gateway that meters the use of a shared service by many
+//! customers.
 //!
-//! A front end creates one [`Rules`] for each gateway and hands it every [`interface::Event`] in
-//! order of arrival; what comes back is the list of [`interface::Action`]s to carry out at once.
-//! The library does no I/O, reads no clock and keeps no global state.
+//! A front end creates one [`Rules`] for each gateway and passes every [`interface::Event`] to it
+//! in order of arrival. [`Rules::on`] returns the [`interface::Action`]s to carry out at once. The
+//! library does no I/O, reads no clock and keeps no global state.
 //!
-//! `interface` is what both sides say to each other; `rules` holds every decision, a file for each concern;
-//! `settings_update` keeps the meaning of positions while settings change.
+//! `interface` contains the types shared with the front end, `rules` the decisions with one file
+//! for each concern, and `settings_update` the change of settings with stable positions.
 #![warn(clippy::too_many_lines, unreachable_pub)]
 
 pub mod interface;
--- a/src/rules/admission.rs
+++ b/src/rules/admission.rs
@@ -142,7 +142,7 @@
         !self.counter_sampling.allows_reads() || self.now < answered_at + recheck_after
     }
 
-    /// Decides at random whether to ask the counter. If it can not be asked every time, invocations
+    /// Decides at random whether to ask the counter. If it cannot be asked every time, invocations
     /// near the quota and those with a high value are preferred.
     fn should_ask_counter(&mut self, id: InvocationId) -> bool {
         let invocation = &self.invocations[&id];
@@ -181,7 +181,10 @@
         invocation.is_added = true;
         let (number, units) = (invocation.slot, invocation.quota_units);
         let customer_id = invocation.request.customer.clone();
-        let customer = self.customers.get_mut(&customer_id).expect("registered");
+        let customer = self
+            .customers
+            .get_mut(&customer_id)
+            .expect("customer is registered");
         let slot = customer.slots.entry(number).or_default();
         let add = units + slot.admitted + slot.pending - slot.on_counter;
         slot.pending += units;
@@ -238,7 +241,10 @@
         let unread = self.unread_slots(customer, first);
         let customer_id = customer_id.clone();
         for number in &unread {
-            let customer = self.customers.get_mut(&customer_id).expect("registered");
+            let customer = self
+                .customers
+                .get_mut(&customer_id)
+                .expect("customer is registered");
             customer.awaiting_reads.insert(id);
             let slot = customer.slots.entry(*number).or_default();
             if !std::mem::replace(&mut slot.read_pending, true) {
@@ -249,9 +255,9 @@
     }
 
     fn admit(&mut self, id: InvocationId) {
-        let invocation = self.invocations.get_mut(&id).expect("is open");
+        let invocation = self.invocations.get_mut(&id).expect("invocation is open");
         let customer = self.customers.get_mut(&invocation.request.customer);
-        let customer = customer.expect("registered");
+        let customer = customer.expect("customer is registered");
         let slot = customer.slots.entry(invocation.slot).or_default();
         slot.admitted += invocation.quota_units;
         if invocation.is_added {
@@ -306,7 +312,10 @@
         let difference = units - request.units;
         let customer_id = request.customer.clone();
         let current_slot = self.current_slot(&self.customers[&customer_id]);
-        let customer = self.customers.get_mut(&customer_id).expect("registered");
+        let customer = self
+            .customers
+            .get_mut(&customer_id)
+            .expect("customer is registered");
         customer.slots.entry(current_slot).or_default().admitted += difference;
     }
 }
--- a/src/rules/answers.rs
+++ b/src/rules/answers.rs
@@ -11,8 +11,8 @@
 const MIN_TICK: Duration = Duration::from_millis(1);
 
 impl Rules {
-    /// Returns the latest time for the final answer. It is one batch of events before the deadline,
-    /// as the next batch would be too late.
+    /// Returns the latest time for the final answer: one batch of events before the deadline, as the
+    /// next batch would be too late.
     pub(super) fn answer_deadline(&self, invocation: &PendingInvocation) -> Duration {
         let tick = self.settings.tick.max(MIN_TICK);
         invocation.request.deadline.saturating_sub(tick)
@@ -34,8 +34,8 @@
         self.remove_invocation(invocation_id);
     }
 
-    /// Returns the advised retry delay: until the quota has room, but at least the median latency and
-    /// at most the longest delay that the deployment permits. `None` if it permits none.
+    /// Returns the advised retry delay: until the quota has room, but at least the median latency
+    /// and at most the longest delay that the deployment permits. `None` if it permits none.
     fn retry_after(&self, invocation: &PendingInvocation) -> Option<Duration> {
         let longest = self.settings.limits.retry_after?;
         let request = &invocation.request;
--- a/src/rules/attempts.rs
+++ b/src/rules/attempts.rs
@@ -14,7 +14,7 @@
 /// Weight of a refusal in a backend's refusal rate for a plan. A success multiplies that rate, and
 /// the operation's unanswered rate, by it.
 const REFUSAL_WEIGHT: f64 = 0.5;
-/// Backoff after a failed connection to a backend. It doubles with each further failure, up to
+/// Backoff after a failed connection to a backend, doubled with each further failure up to
 /// `MAX_BACKOFF`.
 const FIRST_BACKOFF: Duration = Duration::from_millis(100);
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
@@ -76,7 +76,7 @@
             return true;
         };
         let customer = self.customers.get_mut(&request.customer);
-        let customer = customer.expect("registered");
+        let customer = customer.expect("customer is registered");
         let since_s = (self.now - customer.ceiling_at).as_secs_f64();
         let earned = plan.ceiling_rate * customer.ceiling_share * since_s;
         let max_units = plan.ceiling_burst * customer.ceiling_share;
@@ -118,8 +118,8 @@
     fn record_sent(&mut self, id: InvocationId, backend_id: BackendId) {
         let backend = &self.backends[&backend_id];
         let credit = self.warm_up_credit(backend, self.warm_up_fraction(&backend.entry));
-        let backend = self.backends.get_mut(&backend_id).expect("seen above");
-        let invocation = self.invocations.get_mut(&id).expect("is open");
+        let backend = self.backends.get_mut(&backend_id).expect("backend exists");
+        let invocation = self.invocations.get_mut(&id).expect("invocation is open");
         backend.credit = credit - invocation.request.units;
         backend.credit_at = self.now;
         backend.in_flight += 1;
--- a/src/rules/counter.rs
+++ b/src/rules/counter.rs
@@ -46,7 +46,7 @@
     sent_at: Duration,
 }
 
-/// The probability that an invocation asks the counter. It follows how promptly the counter
+/// The probability that an invocation asks the counter, adapted to how promptly the counter
 /// answers.
 pub(super) struct CounterSampling {
     pub(super) probability: f64,
@@ -72,8 +72,8 @@
 
     /// Records the outcome of a call made at `called_at`.
     ///
-    /// An overloaded counter works on calls whose callers have given up. The probability therefore follows
-    /// late answers too, not only failures.
+    /// An overloaded counter works on calls whose callers have given up. The probability therefore
+    /// follows late answers too, not only failures.
     fn record(
         &mut self,
         outcome: Outcome,
@@ -116,7 +116,10 @@
         invocation: Option<InvocationId>,
         is_read: bool,
     ) {
-        let customer = self.customers.get_mut(&customer_id).expect("registered");
+        let customer = self
+            .customers
+            .get_mut(&customer_id)
+            .expect("customer is registered");
         let retained_slots = RETAINED_WINDOWS * customer.window_slots + EXTRA_KEPT_SLOTS;
         let keep = Duration::from_secs_f64(customer.slot_s * retained_slots as f64).min(MAX_KEEP);
         let slot = customer.slots.entry(number).or_default();
@@ -168,7 +171,7 @@
         total: f64,
     ) -> Option<(CounterCall, f64)> {
         let queue = self.calls.get_mut(name)?;
-        let call = queue.pop_front().expect("kept only while calls are out");
+        let call = queue.pop_front().expect("names without calls are removed");
         let lost = if outcome == Outcome::Ok {
             // The total is less than this gateway alone has added, so the counter has lost units.
             // They are added again with a later call.
@@ -191,7 +194,10 @@
     fn apply_total(&mut self, call: &CounterCall, is_ok: bool, total: f64, others: f64, lost: f64) {
         let customer = &self.customers[&call.customer];
         let is_final = is_ok && call.is_read && self.is_final(customer, call.slot, call.sent_at);
-        let customer = self.customers.get_mut(&call.customer).expect("seen above");
+        let customer = self
+            .customers
+            .get_mut(&call.customer)
+            .expect("customer exists");
         let Some(slot) = customer.slots.get_mut(&call.slot) else {
             return;
         };
@@ -214,7 +220,10 @@
             }
             return self.decide_admission(id, is_ok);
         }
-        let customer = self.customers.get_mut(&call.customer).expect("seen above");
+        let customer = self
+            .customers
+            .get_mut(&call.customer)
+            .expect("customer exists");
         let mut slots = customer.slots.values();
         if !call.is_read || slots.any(|slot| slot.read_pending) {
             return;
--- a/src/rules/latency_histogram.rs
+++ b/src/rules/latency_histogram.rs
@@ -1,8 +1,8 @@
 //! A histogram of latencies that favors recent samples.
 //!
 //! Bins are half an octave wide. All bins are halved once the histogram holds more samples than the
-//! caller's `max_samples`, so that the histogram follows recent answers of a backend or of the fleet.
-//! `hdrhistogram` keeps exact counts and has no such decay.
+//! caller's `max_samples`, so that the histogram follows recent answers of a backend or of the
+//! fleet. `hdrhistogram` keeps exact counts and has no such decay.
 
 use std::time::Duration;
 
--- a/src/rules/mod.rs
+++ b/src/rules/mod.rs
@@ -1,12 +1,12 @@
 //! All decisions of a gateway. [`Rules::on`] takes events in order and returns the actions to carry
 //! out at once.
 //!
-//! The module reads no clock: time comes with the events and randomness from the seed, so that the same
-//! events always produce the same actions.
+//! The module reads no clock: time comes with the events and randomness from the seed, so that the
+//! same events always produce the same actions.
 //!
-//! Quotas (docs/design.md) use a sliding window that is divided into slots. An invocation adds its units
-//! to its customer's count for the current slot on the shared counter. If the slots inside the window sum
-//! up to more than the burst, the invocation is throttled and its add is undone.
+//! Quotas (docs/design.md) use a sliding window that is divided into slots. An invocation adds its
+//! units to its customer's count for the current slot on the shared counter. If the slots inside
+//! the window sum up to more than the burst, the invocation is throttled and its add is undone.
 //!
 //! Each file covers one concern:
 //!
@@ -15,16 +15,17 @@
 //! | `admission` | whether an invocation is admitted |
 //! | `window` | the units used in a customer's window |
 //! | `use_estimate` | the estimated usage of a customer where the counter was not asked |
-//! | `counter` | the calls to the shared counter, and which are omitted while it is slow or unavailable |
+//! | `counter` | the calls to the shared counter, and which of them are omitted |
 //! | `queue` | which invocations wait for a backend, and for how long |
 //! | `concurrency` | how many attempts the backends take at once |
-//! | `backend_choice`, `warm_up` | which backend gets an attempt, and how much work a new backend gets |
+//! | `backend_choice`, `warm_up` | which backend gets an attempt, and the work of a new one |
 //! | `attempts` | whether a retry or a hedge is sent |
 //! | `unanswered` | which backends leave operations unanswered, as reported between gateways |
 //! | `answers` | the final answers, and the advised retry delay |
-//! | `backend_list`, `reconfigure`, `handover` | the effect of new lists, new settings and a new process |
+//! | `backend_list`, `reconfigure`, `handover` | the effect of new lists, settings and processes |
 //!
-//! `backend`, `customer`, `invocation` and `latency_histogram` hold state; `timers` holds what is due.
+//! `backend`, `customer`, `invocation` and `latency_histogram` hold state; `timers` holds the
+//! timers.
 
 mod admission;
 mod answers;
--- a/src/rules/unanswered.rs
+++ b/src/rules/unanswered.rs
@@ -10,8 +10,8 @@
 
 /// Weight of a slow or failed attempt in the operation's unanswered rate.
 const UNANSWERED_WEIGHT: f64 = 0.5;
-/// Half-life of an unanswered rate in seconds. It decays with time, since a backend that is avoided
-/// yields no new samples.
+/// Half-life of an unanswered rate in seconds. The rate decays with time, since a backend that is
+/// avoided yields no new samples.
 const HALF_LIFE_S: f64 = 5.0;
 /// Mean number of gateways that report a backend if all of them observe it. Each report goes to all
 /// gateways, and each gateway should receive some tens a second at most.
--- a/src/rules/window.rs
+++ b/src/rules/window.rs
@@ -100,7 +100,10 @@
         let plan = &self.settings.plans[customer.plan.0];
         let (burst, refill) = (plan.burst, plan.rate * customer.slot_s);
         let caps_in_flight = self.caps_in_flight(customer.plan);
-        let customer = self.customers.get_mut(customer_id).expect("seen above");
+        let customer = self
+            .customers
+            .get_mut(customer_id)
+            .expect("customer exists");
         if caps_in_flight {
             customer
                 .slots
--- a/src/settings_update.rs
+++ b/src/settings_update.rs
@@ -1,11 +1,12 @@
-//! New settings follow those in force without changing what positions given out before mean.
+//! Derives new settings from those in force, so that positions assigned before stay valid.
 
 use crate::interface::{InForce, Operation, OperationId, Plan, PlanId, Settings};
 
 impl Settings {
-    /// `new` in force after these. Positions given out before keep their meaning, for what is under way uses
-    /// them: an operation that is new, or that changed in anything, gets a row of its own; a plan keeps its
-    /// row by its name, with the new figures, for a quota is what holds now. Both go by name, not by position.
+    /// Returns `new` as the settings that follow `self`. Positions assigned before stay valid,
+    /// because open invocations use them. A new or changed operation gets its own row. A plan keeps
+    /// the row of its name and gets the new values, because a quota applies as it is now. Rows are
+    /// matched by name, not by position.
     pub fn follow(&self, mut new: Settings) -> Settings {
         let mut operations = self.operations.clone();
         let mut plans = self.plans.clone();
@@ -26,7 +27,8 @@
         new
     }
 
-    /// An operation's number in the settings in force, the same at all gateways that have them.
+    /// Returns an operation's position in the settings in force, which is the same at all gateways
+    /// with these settings.
     pub(crate) fn position_in_force(&self, operation: OperationId) -> Option<u16> {
         let in_force = &self.in_force.operations;
         let position = in_force.iter().position(|known| *known == operation)?;
@@ -34,7 +36,7 @@
     }
 }
 
-/// The row that is the same in everything; a new one where there is none.
+/// Returns the row equal to `operation`, adding one if there is none.
 fn operation_row(rows: &mut Vec<Operation>, operation: &Operation) -> OperationId {
     let known = rows.iter().position(|row| row == operation);
     OperationId(known.unwrap_or_else(|| {
@@ -43,7 +45,7 @@
     }))
 }
 
-/// The row of that name, with the new figures; a new one where there is none.
+/// Returns the row with the name of `plan`, updated to its values, adding one if there is none.
 fn plan_row(rows: &mut Vec<Plan>, plan: &Plan) -> PlanId {
     match rows.iter().position(|row| row.name == plan.name) {
         Some(known) => {
@@ -62,13 +64,13 @@
     use super::*;
     use crate::interface::Repeat;
 
-    fn named(names: &[&str]) -> Settings {
-        let operation = |n: &&str| Operation {
-            name: (**n).into(),
+    fn settings_with_names(names: &[&str]) -> Settings {
+        let operation = |name: &&str| Operation {
+            name: (**name).into(),
             ..Operation::default()
         };
-        let plan = |n: &&str| Plan {
-            name: (**n).into(),
+        let plan = |name: &&str| Plan {
+            name: (**name).into(),
             rate: 1.0,
             ..Plan::default()
         };
@@ -80,21 +82,21 @@
     }
 
     #[test]
-    fn positions_keep_their_meaning_while_operations_come_and_go() {
-        let first = named(&["a", "b"]);
-        let mut next = named(&["c", "b"]);
+    fn positions_stay_valid_when_operations_change() {
+        let first = settings_with_names(&["a", "b"]);
+        let mut next = settings_with_names(&["c", "b"]);
         next.operations[1].repeat = Repeat::Idempotent;
         next.plans[1].rate = 9.0;
         let second = first.follow(next);
         assert_eq!(
             second.operations[..2],
             first.operations[..],
-            "what is under way keeps its rows"
+            "existing rows stay unchanged"
         );
         assert_eq!(
             second.in_force.operations,
             [OperationId(2), OperationId(3)],
-            "changed, it is another"
+            "new and changed operations get new rows"
         );
         assert_eq!(
             (second.in_force.plans.as_slice(), second.plans[1].rate),
@@ -104,7 +106,7 @@
         assert_eq!(
             third.in_force.operations,
             [OperationId(0), OperationId(1)],
-            "back as they were, in their old rows"
+            "restored operations use their old rows"
         );
         assert_eq!(
             (
