--- a/src/rules/admission.rs
+++ b/src/rules/admission.rs
@@ -226,10 +226,10 @@
         // An in-flight cap also counts the previous slot. Attempts that were in flight at its end
         // have usually ended after the mean attempt duration, so that a read tells nothing.
         let slot_start_s = invocation.slot as f64 * customer.slot_s;
-        let is_over = self.caps_in_flight(invocation.request.plan)
+        let previous_has_ended = self.caps_in_flight(invocation.request.plan)
             && self.now.as_secs_f64() - slot_start_s > self.mean_attempt_s;
-        let matters = sum > MAX_UNREAD_BURST_FRACTION * burst;
-        if is_over || !self.counter_sampling.allows_reads() || !matters {
+        let affects_decision = sum > MAX_UNREAD_BURST_FRACTION * burst;
+        if previous_has_ended || !self.counter_sampling.allows_reads() || !affects_decision {
             return false;
         }
         let first = if sum > burst {
--- a/src/rules/attempts.rs
+++ b/src/rules/attempts.rs
@@ -155,7 +155,7 @@
     }
 
     /// Handles the end of an attempt and updates the statistics of the backend and of the fleet.
-    pub(super) fn attempt_ended(
+    pub(super) fn record_attempt_end(
         &mut self,
         id: InvocationId,
         number: AttemptNumber,
--- a/src/rules/backend_list.rs
+++ b/src/rules/backend_list.rs
@@ -19,7 +19,7 @@
         let has_failed = form == ListForm::Unavailable;
         let is_subscribed = self.settings.discovery == Discovery::Subscribed;
         if has_failed || form == ListForm::Restored && is_subscribed {
-            self.ask_for_list(has_failed, !entries.is_empty());
+            self.schedule_list_request(has_failed, !entries.is_empty());
         }
         if form != ListForm::Update && !has_failed {
             // A backend that is missing from a full list is gone.
@@ -37,13 +37,13 @@
             .retain(|_, backend| backend.entry.health != Health::Gone || is_used(backend));
     }
 
-    /// Schedules a request for the list after a random delay, or at once if
-    /// the restored list is empty.
-    fn ask_for_list(&mut self, has_failed: bool, has_backends: bool) {
+    /// Schedules a request for the list after a random delay, or at once if the restored list
+    /// is empty.
+    fn schedule_list_request(&mut self, has_failed: bool, has_backends: bool) {
         let waits = has_failed || has_backends;
-        let longest = WATCH_DELAY_PER_GATEWAY * self.settings.gateways * u32::from(waits);
-        let part = self.rng.random::<f64>() + f64::from(has_failed) / 2.0;
-        let at = self.now + longest.mul_f64(part);
+        let max_delay = WATCH_DELAY_PER_GATEWAY * self.settings.gateways * u32::from(waits);
+        let fraction = self.rng.random::<f64>() + f64::from(has_failed) / 2.0;
+        let at = self.now + max_delay.mul_f64(fraction);
         self.timers.insert((at, Timer::WatchBackendList));
     }
 
--- a/src/rules/counter.rs
+++ b/src/rules/counter.rs
@@ -8,9 +8,9 @@
 use crate::interface::{Action, CustomerId, InvocationId, Outcome};
 
 /// Slots by which a counter name outlives the retained windows.
-const EXTRA_KEPT_SLOTS: u64 = 3;
+const EXTRA_RETAINED_SLOTS: u64 = 3;
 /// Longest time for which the counter keeps a name.
-const MAX_KEEP: Duration = Duration::from_secs(60);
+const MAX_RETENTION: Duration = Duration::from_secs(60);
 /// Probability of asking an unavailable counter. A few calls a second detect its recovery, and few
 /// invocations wait for a timeout.
 const MIN_PROBABILITY: f64 = 0.05;
@@ -51,7 +51,7 @@
 pub(super) struct CounterSampling {
     pub(super) probability: f64,
     /// When the probability was last reduced for a failed call.
-    fell_at: Duration,
+    reduced_at: Duration,
     /// Number of consecutive prompt answers.
     prompt_answers: f64,
 }
@@ -60,7 +60,7 @@
     pub(super) fn new(now: Duration) -> Self {
         CounterSampling {
             probability: 1.0,
-            fell_at: now,
+            reduced_at: now,
             prompt_answers: 0.0,
         }
     }
@@ -91,9 +91,9 @@
         };
         // Calls that were in flight together and fail count as one failure, since one broken
         // connection fails them all. `Failed` (an unreadable total) does not count.
-        let falls = !is_ok && called_at >= self.fell_at && outcome != Outcome::Failed;
-        let factor = if falls {
-            self.fell_at = now;
+        let is_new_failure = !is_ok && called_at >= self.reduced_at && outcome != Outcome::Failed;
+        let factor = if is_new_failure {
+            self.reduced_at = now;
             FAILURE_FACTOR
         } else if is_prompt {
             (1.0 + GROWTH_PER_PROMPT_CALL * self.prompt_answers).min(MAX_GROWTH_FACTOR)
@@ -120,8 +120,9 @@
             .customers
             .get_mut(&customer_id)
             .expect("customer is registered");
-        let retained_slots = RETAINED_WINDOWS * customer.window_slots + EXTRA_KEPT_SLOTS;
-        let keep = Duration::from_secs_f64(customer.slot_s * retained_slots as f64).min(MAX_KEEP);
+        let retained_slots = RETAINED_WINDOWS * customer.window_slots + EXTRA_RETAINED_SLOTS;
+        let keep =
+            Duration::from_secs_f64(customer.slot_s * retained_slots as f64).min(MAX_RETENTION);
         let slot = customer.slots.entry(number).or_default();
         slot.on_counter += add;
         let name = counter_name(&customer_id, number);
@@ -213,8 +214,8 @@
     }
 
     fn decide_pending(&mut self, call: &CounterCall, is_ok: bool, total: f64) {
-        let asking = call.invocation;
-        if let Some(id) = asking.filter(|id| self.invocations.contains_key(id)) {
+        let waiting = call.invocation;
+        if let Some(id) = waiting.filter(|id| self.invocations.contains_key(id)) {
             if is_ok {
                 self.record_plan_usage(id, total);
             }
--- a/src/rules/handover.rs
+++ b/src/rules/handover.rs
@@ -36,6 +36,7 @@
     backends: Vec<CarriedBackend>,
 }
 
+/// The part of the state that concerns one backend.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 struct CarriedBackend {
     #[serde(rename = "tgt")]
--- a/src/rules/mod.rs
+++ b/src/rules/mod.rs
@@ -227,7 +227,7 @@
         if let Some(used) = used {
             self.record_metered_usage(invocation_id, used);
         }
-        self.attempt_ended(invocation_id, attempt, backend_id, outcome, latency);
+        self.record_attempt_end(invocation_id, attempt, backend_id, outcome, latency);
         if let Some(units) = true_units.filter(|_| self.settings.true_units_follow) {
             self.apply_true_units(invocation_id, units);
         }
--- a/src/rules/queue.rs
+++ b/src/rules/queue.rs
@@ -40,9 +40,9 @@
     fn first_try_remaining_s(&self, invocation: &PendingInvocation) -> f64 {
         let request = &invocation.request;
         let operation = &self.settings.operations[request.operation.0];
-        let own_time = request.deadline.saturating_sub(invocation.arrived);
-        let spent = operation.integration_timeout.saturating_sub(own_time);
-        let left = operation.latency_objective.saturating_sub(spent);
+        let client_wait = request.deadline.saturating_sub(invocation.arrived);
+        let spent_before = operation.integration_timeout.saturating_sub(client_wait);
+        let left = operation.latency_objective.saturating_sub(spent_before);
         left.as_secs_f64()
     }
 
@@ -96,7 +96,7 @@
             return false;
         };
         let customer = &self.customers[&request.customer];
-        let own_part = plan.max_in_flight * customer.local_share(plan.burst);
-        f64::from(customer.in_flight) >= own_part.round().max(1.0)
+        let in_flight_share = plan.max_in_flight * customer.local_share(plan.burst);
+        f64::from(customer.in_flight) >= in_flight_share.round().max(1.0)
     }
 }
--- a/src/rules/timers.rs
+++ b/src/rules/timers.rs
@@ -8,9 +8,10 @@
 /// Interval at which a non-empty queue is searched. Blocked backends become usable without an
 /// event.
 const QUEUE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// Upper bound for the front end's timer.
+/// Upper and lower bounds for the front end's timer.
 const MAX_TIMER: Duration = Duration::from_secs(60);
 const MIN_TIMER: Duration = Duration::from_nanos(1);
+/// Token of every timer; the module needs none to tell timers apart.
 const TOKEN: &str = "due";
 
 /// An event due at some time. Timers of the same time run in the order of the variants.
--- a/src/rules/warm_up.rs
+++ b/src/rules/warm_up.rs
@@ -74,11 +74,11 @@
     pub(super) fn warm_up_fraction(&self, entry: &BackendEntry) -> f64 {
         let settings = &self.settings;
         let age_s = self.now.saturating_sub(entry.since).as_secs_f64();
-        let part = age_s / settings.warm_up_time.as_secs_f64().max(MIN_WARM_UP_S);
-        if entry.since.is_zero() || part >= 1.0 {
+        let progress = age_s / settings.warm_up_time.as_secs_f64().max(MIN_WARM_UP_S);
+        if entry.since.is_zero() || progress >= 1.0 {
             1.0
         } else {
-            settings.warm_up_share + (1.0 - settings.warm_up_share) * part
+            settings.warm_up_share + (1.0 - settings.warm_up_share) * progress
         }
     }
 
--- a/tests/rules/decisions.rs
+++ b/tests/rules/decisions.rs
@@ -261,7 +261,7 @@
     );
     for n in 0..3 {
         let sent = sent_to(&rules.on(ms(1200 + n), arrival(n, ms(1200 + n), "a", 1.0)));
-        assert!(sent.iter().all(|t| *t == BackendId(1)));
+        assert!(sent.iter().all(|backend_id| *backend_id == BackendId(1)));
     }
     rules.on(ms(1300), backend_list(ListForm::Replace, vec![]));
     assert!(sent_to(&rules.on(ms(1301), arrival(9, ms(1301), "a", 1.0))).is_empty());
@@ -293,7 +293,7 @@
         settings.gateways = 100;
         let mut rules = damsonbeam::Rules::new(seed, settings, ms(1000));
         let mut entries: Vec<BackendEntry> = (0..20)
-            .map(|t| backend_entry(t, Health::Up, Duration::ZERO))
+            .map(|backend_id| backend_entry(backend_id, Health::Up, Duration::ZERO))
             .collect();
         entries
             .iter_mut()
@@ -560,10 +560,15 @@
                     ..new
                 }),
             ));
-            sent.iter().for_each(|t| {
-                drop(peer.on(now + ms(5), attempt_ended(id, 0, *t, Outcome::Ok, true)))
+            sent.iter().for_each(|backend_id| {
+                drop(peer.on(
+                    now + ms(5),
+                    attempt_ended(id, 0, *backend_id, Outcome::Ok, true),
+                ))
             });
-            sent.iter().filter(|t| **t == BackendId(0)).count()
+            sent.iter()
+                .filter(|backend_id| **backend_id == BackendId(0))
+                .count()
         });
         chosen.sum::<usize>()
     };
@@ -1018,7 +1023,7 @@
     );
     let mut successor = Rules::new(9, settings, ms(5001));
     let entries = (0..4)
-        .map(|t| backend_entry(t, Health::Up, Duration::ZERO))
+        .map(|backend_id| backend_entry(backend_id, Health::Up, Duration::ZERO))
         .collect();
     successor.on(ms(5002), backend_list(ListForm::Restored, entries));
     successor.on(ms(5003), Event::TakeOver(carry));
--- a/tests/rules/fleet.rs
+++ b/tests/rules/fleet.rs
@@ -64,7 +64,7 @@
     let mut gateways: Vec<_> = (0..100)
         .map(|seed| Rules::new(seed, settings.clone(), start))
         .collect();
-    let warm = (0..8).map(|t| backend_entry(t, Health::Up, Duration::ZERO));
+    let warm = (0..8).map(|backend_id| backend_entry(backend_id, Health::Up, Duration::ZERO));
     let all: Vec<_> = warm
         .chain([backend_entry(8, Health::Up, start + ms(5000))])
         .collect();
@@ -79,7 +79,10 @@
         );
     }
     let received = run_load(&mut gateways, start + ms(5000), start + ms(8000), ms(200));
-    let warm_units = (0..8).map(|t| received[&BackendId(t)]).sum::<f64>() / 8.0;
+    let warm_units = (0..8)
+        .map(|backend_id| received[&BackendId(backend_id)])
+        .sum::<f64>()
+        / 8.0;
     // The capacity of the cold backend rises from 0.2 to below 0.5 of a warm one in these 3 s. The
     // overload factor of 2 would permit twice that.
     let cold = received.get(&BackendId(8)).copied().unwrap_or_default() / warm_units;
--- a/tests/rules/model.rs
+++ b/tests/rules/model.rs
@@ -409,7 +409,7 @@
         sent_units: Vec::new(),
     };
     let entries: Vec<BackendEntry> = (0..6)
-        .map(|t| backend_entry(t, Health::Up, Duration::ZERO))
+        .map(|backend_id| backend_entry(backend_id, Health::Up, Duration::ZERO))
         .collect();
     model.listed = entries
         .iter()
