--- a/crates/proxy/src/quota/mod.rs
+++ b/crates/proxy/src/quota/mod.rs
@@ -1,19 +1,22 @@
-//! The shared counts as seen from one proxy: what it added itself, what the coordinator reports of the others, and what
-//! the others may have added since.
+//! Shared quota counts as seen by one proxy: its own units, the units of the other proxies as the
+//! coordinator reported them, and an estimate of what the other proxies admitted since.
 //!
-//! The decision module adds to a count and gets a total at once: waiting for the coordinator would take a round trip to
-//! another region, more than a refusal may take. What this proxy has admitted under a name goes to the coordinator every
-//! few milliseconds, as a whole and not as a difference: a report that comes twice changes nothing, and a new coordinator
-//! has everything as soon as each proxy has reported once.
+//! The decision module adds units to a count and receives the total synchronously. A round trip to
+//! a coordinator in another region would take longer than a refusal may take. Every few
+//! milliseconds the proxy reports the units admitted under each name to the coordinator, as an
+//! absolute value and not as a difference: a duplicated report changes nothing, and a new
+//! coordinator has complete counts once each proxy has reported once.
 //!
-//! Between two reports of the coordinator the others are taken to go on as they did of late; near the quota, to use at
-//! least their shares of it. Proxies out of contact with the coordinator keep their shares: totals are scaled up by them.
-//! Where the coordinator does not answer, this proxy keeps to its share: an equal part, and what it was allotted
-//! (`damsonbeam_control::allotment`).
+//! Between two reports of the coordinator, the other proxies are assumed to continue at their
+//! recent rate and, near the quota, to use at least their shares of it. Proxies that are out of
+//! contact with the coordinator keep their shares, so totals are scaled up accordingly. When the
+//! coordinator does not answer, this proxy limits itself to its own share: an equal part plus its
+//! allotment (`damsonbeam_control::allotment`).
 //!
-//! `reports` is what goes to the coordinator and comes back, `share` this proxy's share of each quota, `token_bucket` the
-//! bucket that it admits by without the coordinator; `count` is one count and one tenant, `rate` units over time,
-//! `slot_naming` the names of slots, `proxy_number` how many proxies there are.
+//! Modules: `reports` exchanges counts with the coordinator, `share` computes this proxy's share of
+//! each quota, `token_bucket` limits admissions while the coordinator is out of contact, `count`
+//! holds the state of a count and of a tenant, `rate` computes rates, `slot_naming` names slots,
+//! and `proxy_number` tracks the number of proxies.
 
 mod count;
 mod proxy_number;
@@ -37,63 +40,71 @@
 use slot_naming::SlotNaming;
 pub use token_bucket::QuotaTolerance;
 
-/// The coordinator is unresponsive once a report to it has had no answer for this long: several round trips.
+/// The coordinator counts as unresponsive once a report has been unanswered for this long: several
+/// round trips.
 const COORDINATOR_TIMEOUT: Duration = Duration::from_millis(600);
-/// A tenant whose rate is above this part of its quota is near it: by what is known of the others, or by what is
-/// requested here if as much is requested everywhere, for a surge shows here before anybody reports it.
-const NEAR_QUOTA: f64 = 0.75;
-/// The part of the requests here that is taken to be requested at every other proxy: a small tenant's few requests come
-/// unevenly.
-const EVENNESS: f64 = 0.7;
-/// A tenant stays near its quota for this long: what the module refuses without a call is requested unseen here.
-const NEAR_QUOTA_TIME: Duration = Duration::from_millis(2000);
-/// A tenant of which a proxy's share is fewer units than this in the time until others hear of it is requested seldom
-/// here: what is admitted here shows nothing of what all admit.
-const SELDOM_UNITS: f64 = 3.0;
-/// The part of the quota that is admitted at random then: chance admits more now and then.
-const RANDOM_ADMISSION: f64 = 0.95;
-/// Added to a total so that no quota admits it.
+/// A tenant is near its quota if its rate exceeds this fraction of the quota. The rate is estimated
+/// from the other proxies' reported admissions, or from the local demand assuming similar demand at
+/// every proxy, because a local surge is visible here before any proxy reports it.
+const NEAR_QUOTA_FRACTION: f64 = 0.75;
+/// Fraction of the local demand that is assumed at every other proxy. It is below 1 because the few
+/// requests of a small tenant are spread unevenly.
+const PEER_DEMAND_FRACTION: f64 = 0.7;
+/// How long a tenant remains marked as near its quota. The decision module refuses some requests
+/// without a call to the counter, so demand can continue unseen.
+const NEAR_QUOTA_HOLD: Duration = Duration::from_millis(2000);
+/// A tenant has low traffic per proxy if a proxy's share of its quota is fewer units than this
+/// during the time until the other proxies learn of an admission. Local admissions then say nothing
+/// about the admissions of all proxies.
+const LOW_TRAFFIC_UNITS: f64 = 3.0;
+/// Fraction of the quota admitted by random admission. It is below 1 because random variation
+/// sometimes admits more than the average.
+const RANDOM_ADMISSION_FRACTION: f64 = 0.95;
+/// Added to a total to make it exceed every quota.
 const OVER_ANY_QUOTA: f64 = 1e9;
-/// Units admitted here since the others were heard of, above which each of them is taken to have admitted as many.
-const SPARE_UNITS: f64 = 1.0;
-/// The number of proxies taken as given before anybody reports one: a fresh proxy among others must not use the quota
-/// alone.
+/// Units admitted here since the last totals that are not extrapolated to the other proxies; each
+/// of them is assumed to have admitted the units above this number.
+const EXTRAPOLATION_THRESHOLD_UNITS: f64 = 1.0;
+/// The number of proxies assumed before any is reported, so that a proxy that has just started
+/// among others does not use the whole quota.
 pub const ASSUMED_PROXIES: u32 = 24;
-/// Names are kept longer than any window.
-const RETENTION: Duration = Duration::from_secs(16);
-/// Between two searches for names to forget.
+/// How long a count is kept after its last use: longer than any quota window.
+const COUNT_RETENTION: Duration = Duration::from_secs(16);
+/// Interval between two removals of expired counts.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(4);
 
-/// The shared counts as seen from one proxy.
+/// Shared quota counts as seen by one proxy.
 #[derive(Debug)]
 pub struct QuotaCounter {
-    /// Proxies that share the quotas, and those of them in contact with the coordinator.
-    proxies: f64,
-    attached: f64,
+    /// Number of proxies that share the quotas, and how many of them are in contact with the
+    /// coordinator.
+    known_proxies: f64,
+    attached_proxies: f64,
     proxy_number: ProxyNumber,
     tolerance: QuotaTolerance,
     holding: AllotmentHolding,
-    /// The coordinator that is connected has not been told what is held here.
-    owes_holding_report: bool,
-    /// What proxies out of contact hold, by tenant; `None`: the coordinator has not said.
+    /// Whether the connected coordinator has not yet been told which allotments this proxy holds.
+    needs_holding_report: bool,
+    /// Parts of quotas that out-of-contact proxies hold, by tenant; `None` until the coordinator
+    /// reports them.
     absent: Option<AbsentParts>,
-    /// How many times the coordinator was out of contact, and whether it is now.
+    /// Number of coordinator outages so far, and whether an outage is in progress.
     outages: u64,
-    is_out_of_contact: bool,
+    is_in_outage: bool,
     is_connected: bool,
-    /// The highest term of a coordinator that is known.
+    /// The highest known coordinator term.
     term: u64,
-    /// The term of the coordinator that was connected last.
+    /// The term of the most recently connected coordinator.
     connected_term: u64,
-    /// Since when a report has had no answer.
+    /// When the oldest unanswered report was sent.
     unanswered_since: Option<Duration>,
     counts: BTreeMap<String, Count>,
     tenants: HashMap<String, Tenant>,
     naming: SlotNaming,
     last_sweep: Duration,
-    /// When everything was reported last.
-    last_calm_report: Option<Duration>,
-    random: SmallRng,
+    /// When the last report that included tenants far from their quotas was taken.
+    last_full_report: Option<Duration>,
+    rng: SmallRng,
 }
 
 impl Default for QuotaCounter {
@@ -102,36 +113,38 @@
     }
 }
 
-/// Whether the number of proxies that a registry reports counts where no coordinator has reported one. A registry that is
-/// cut off has met few, and there may be many: its number counts only above the one that is assumed anyway.
+/// Returns whether the number of proxies in a registry's heartbeat can be used while no coordinator
+/// has reported one. A registry that is out of contact may know only a few of the proxies, so its
+/// number is used only if it exceeds [`ASSUMED_PROXIES`].
 pub fn is_proxy_count_usable(heartbeat: &Heartbeat) -> bool {
-    let least = if heartbeat.in_contact {
+    let required_above = if heartbeat.in_contact {
         0
     } else {
         ASSUMED_PROXIES
     };
-    heartbeat.known_proxies > least
+    heartbeat.known_proxies > required_above
 }
 
-/// The slot and the tenant of a name.
+/// Splits a count name into its slot and its tenant.
 fn split_name(name: &str) -> Option<(u64, &str)> {
     let (slot, tenant) = name.split_once('/')?;
     Some((slot.parse().ok()?, tenant))
 }
 
 impl QuotaCounter {
-    /// Counts of a proxy that has just started. What is refused at random differs by the seed, and nothing else does.
+    /// Creates the counts of a proxy that has just started. `seed` determines random refusals and
+    /// nothing else.
     pub fn new(seed: u64) -> Self {
         QuotaCounter {
-            proxies: f64::from(ASSUMED_PROXIES),
-            attached: f64::from(ASSUMED_PROXIES),
+            known_proxies: f64::from(ASSUMED_PROXIES),
+            attached_proxies: f64::from(ASSUMED_PROXIES),
             proxy_number: ProxyNumber::default(),
             tolerance: QuotaTolerance::default(),
             holding: AllotmentHolding::default(),
-            owes_holding_report: true,
+            needs_holding_report: true,
             absent: None,
             outages: 0,
-            is_out_of_contact: false,
+            is_in_outage: false,
             is_connected: false,
             term: 0,
             connected_term: 0,
@@ -140,25 +153,27 @@
             tenants: HashMap::new(),
             naming: SlotNaming::default(),
             last_sweep: Duration::ZERO,
-            last_calm_report: None,
-            random: SmallRng::seed_from_u64(seed),
+            last_full_report: None,
+            rng: SmallRng::seed_from_u64(seed),
         }
     }
 
-    /// Sets how far the operators tolerate that quotas are exceeded; not at all where nothing is set.
+    /// Sets by how much the operators tolerate quotas to be exceeded; the default is not at all.
     pub fn set_tolerance(&mut self, tolerance: QuotaTolerance) {
         self.tolerance = tolerance;
     }
 
-    /// Takes the number of proxies as the coordinator reports it; returns the number that the quotas are shared among.
+    /// Records the number of proxies reported by the coordinator; returns the number that the
+    /// quotas are shared among.
     pub fn set_proxies(&mut self, proxies: u32, attached: u32, now: Duration) -> u32 {
         let proxies = self.proxy_number.set_known(proxies, now);
-        self.proxies = f64::from(proxies.max(1));
-        self.attached = f64::from(attached.clamp(1, proxies.max(1)));
+        self.known_proxies = f64::from(proxies.max(1));
+        self.attached_proxies = f64::from(attached.clamp(1, proxies.max(1)));
         proxies
     }
 
-    /// The coordinator of a term is connected, or not. A new one must get everything.
+    /// Records whether the coordinator of `term` is connected. A new coordinator is sent all counts
+    /// again.
     pub fn set_coordinator(&mut self, term: u64, is_connected: bool) {
         let is_new = term != self.connected_term;
         self.connected_term = term;
@@ -171,7 +186,7 @@
         self.set_connected(is_connected, is_new);
     }
 
-    /// The connection to the coordinator is lost.
+    /// Records that the connection to the coordinator was lost.
     pub fn disconnect(&mut self) {
         self.set_connected(false, false);
     }
@@ -182,18 +197,19 @@
                 .values_mut()
                 .for_each(|count| count.reported = None);
             self.unanswered_since = None;
-            self.last_calm_report = None;
-            self.owes_holding_report = true;
+            self.last_full_report = None;
+            self.needs_holding_report = true;
         }
         self.is_connected = is_connected;
     }
 
-    /// Sets the common time less the module's, in seconds: slots are named by the common time.
+    /// Sets the offset of the common time from the module's time (`common - module`), in seconds.
+    /// Slots are named by the common time, which is the coordinator's clock.
     pub fn set_time_offset(&mut self, offset_s: f64, now: Duration) {
         self.naming.set_offset(offset_s, now);
     }
 
-    /// Sets a tenant's quota in units a second, and the length of its slots in seconds.
+    /// Sets a tenant's quota in units per second and the length of its slots in seconds.
     pub fn set_rate(&mut self, tenant: &str, rate: f64, slot_s: f64) {
         let tenant = self.tenants.entry(tenant.to_owned()).or_default();
         tenant.rate = rate;
@@ -204,7 +220,8 @@
         self.tenants.get(tenant).map_or(0.0, |tenant| tenant.slot_s)
     }
 
-    /// The names by which all proxies know what the module here calls so. What is admitted here is counted under the last.
+    /// Returns the names that all proxies use for the count that the module here calls `name`.
+    /// Units admitted here are counted under the last of them.
     fn common_names(&mut self, name: &str) -> Vec<String> {
         let Some((slot, tenant)) = split_name(name) else {
             return vec![name.to_owned()];
@@ -213,7 +230,7 @@
         slots.map(|slot| format!("{slot}/{tenant}")).collect()
     }
 
-    /// When a common name's slot ends, by the module's time.
+    /// Returns when the slot of a common name ends, by the module's time.
     fn slot_end(&mut self, common_name: &str) -> Duration {
         let Some((slot, tenant)) = split_name(common_name) else {
             return Duration::ZERO;
@@ -222,61 +239,67 @@
         self.naming.end(slot, slot_s)
     }
 
-    /// Whether nothing is known of the others: the coordinator is not connected, or does not answer.
+    /// Returns whether the coordinator is disconnected or has left a report unanswered for too
+    /// long.
     fn is_coordinator_unresponsive(&self, now: Duration) -> bool {
         let is_overdue = |since: Duration| now >= since + COORDINATOR_TIMEOUT;
         !self.is_connected || self.unanswered_since.is_some_and(is_overdue)
     }
 
-    /// Until when the others were heard of. While a report waits for its answer they are taken to go on as they did when it
-    /// was sent: a coordinator that is gone must not look like others that have ceased.
-    fn heard_until(&self, now: Duration) -> Duration {
+    /// Returns until when information about the other proxies is available. While a report is
+    /// unanswered, the other proxies are assumed to continue at the rate seen when it was sent: a
+    /// coordinator outage must not look as if the other proxies had stopped.
+    fn others_known_until(&self, now: Duration) -> Duration {
         self.unanswered_since.map_or(now, |since| since.min(now))
     }
 
-    /// Adds units under a name of the module's, and returns the total as far as it can be known.
+    /// Adds units to the count that the module calls `name` and returns the best estimate of the
+    /// total.
     pub fn add(&mut self, name: &str, units: f64, now: Duration) -> f64 {
         self.sweep_when_due(now);
         let names = self.common_names(name);
-        let Some((name, left_out)) = names.split_last() else {
+        let Some((name, earlier_names)) = names.split_last() else {
             return 0.0;
         };
         let tenant = split_name(name).map_or("", |(_, tenant)| tenant).to_owned();
         let slot_end = self.slot_end(name);
-        let known_tenant = self.tenants.entry(tenant.clone()).or_default();
+        let tenant_state = self.tenants.entry(tenant.clone()).or_default();
         if units > 0.0 {
-            known_tenant.requested.add(units, now);
+            tenant_state.requested.add(units, now);
         }
-        known_tenant.admitted.add(units, now);
+        tenant_state.admitted.add(units, now);
         let count = self.counts.entry(name.clone()).or_insert_with(|| Count {
             tenant: tenant.clone(),
-            first_use: now,
+            first_used_at: now,
             slot_end,
             ..Count::default()
         });
         count.own.admitted = (count.own.admitted + units).max(0.0);
         count.own.requested += units.max(0.0);
-        count.last_use = now;
-        // After a step back of the common time, a name stands for a later slot once more.
+        count.last_used_at = now;
+        // After a step back of the common time, the same name covers a later slot as well.
         count.slot_end = count.slot_end.max(slot_end);
-        self.note_nearness(&tenant, now);
-        let left_out = left_out.iter().filter_map(|name| self.counts.get(name));
-        let left_out: f64 = left_out.map(|count| self.total(count, now)).sum();
-        let total = self.total(&self.counts[name], now) + left_out;
-        // The module undoes what it refuses, and gets the true total with that.
-        total + self.refusal(&tenant, units, now)
+        self.update_near_quota(&tenant, now);
+        let earlier_counts = earlier_names
+            .iter()
+            .filter_map(|name| self.counts.get(name));
+        let earlier_total: f64 = earlier_counts.map(|count| self.total(count, now)).sum();
+        let total = self.total(&self.counts[name], now) + earlier_total;
+        // The module undoes units that it refuses, and the call that undoes them returns the
+        // estimate without the surcharge.
+        total + self.refusal_surcharge(&tenant, units, now)
     }
 
     fn sweep_when_due(&mut self, now: Duration) {
         if now >= self.last_sweep + SWEEP_INTERVAL {
             self.last_sweep = now;
             self.counts
-                .retain(|_, count| now < count.last_use + RETENTION);
+                .retain(|_, count| now < count.last_used_at + COUNT_RETENTION);
         }
     }
 
-    /// Notes whether a tenant is near its quota.
-    fn note_nearness(&mut self, tenant: &str, now: Duration) {
+    /// Marks a tenant as near its quota if its estimated rate is.
+    fn update_near_quota(&mut self, tenant: &str, now: Duration) {
         let Some(tenant) = self
             .tenants
             .get_mut(tenant)
@@ -286,34 +309,37 @@
         };
         let others = tenant.others.rate(now);
         let requested = tenant.requested.rate(now);
-        let if_even = EVENNESS * requested * self.proxies;
-        if (others + requested).max(if_even) > NEAR_QUOTA * tenant.rate {
-            tenant.near_quota_until = now + NEAR_QUOTA_TIME;
+        let uniform_demand = PEER_DEMAND_FRACTION * requested * self.known_proxies;
+        if (others + requested).max(uniform_demand) > NEAR_QUOTA_FRACTION * tenant.rate {
+            tenant.near_quota_until = now + NEAR_QUOTA_HOLD;
         }
     }
 
-    /// Whether a request is refused at random. Of many proxies each is asked for a small tenant too seldom to recognise a
-    /// surge by what it admits itself, and all at once would admit whatever comes until they hear of each other: so each
-    /// admits the part that the quota is of what all are asked for.
-    fn is_refused_at_random(&mut self, tenant: &str, now: Duration) -> bool {
-        let is_out_of_contact = self.is_coordinator_unresponsive(now);
+    /// Returns whether a request is refused at random. With many proxies, each receives too few
+    /// requests of a small tenant to detect a surge from its own admissions, and together they
+    /// would admit everything until they learn of each other. Each proxy therefore admits requests
+    /// with probability `quota / total demand`.
+    fn refuses_at_random(&mut self, tenant: &str, now: Duration) -> bool {
+        let is_in_outage = self.is_coordinator_unresponsive(now);
         let Some(tenant) = self.tenants.get(tenant) else {
             return false;
         };
         let is_near_quota = tenant.rate > 0.0 && now < tenant.near_quota_until;
-        if !is_near_quota || is_out_of_contact {
+        if !is_near_quota || is_in_outage {
             return false;
         }
-        let is_seldom = tenant.rate * REPORT_AGE.as_secs_f64() * 2.0 < SELDOM_UNITS * self.proxies;
-        let heard_until = self.heard_until(now);
-        let demand = tenant.others_requested.rate(heard_until) + tenant.requested.rate(now);
-        is_seldom
+        let has_low_traffic =
+            tenant.rate * REPORT_AGE.as_secs_f64() * 2.0 < LOW_TRAFFIC_UNITS * self.known_proxies;
+        let others_known_until = self.others_known_until(now);
+        let demand = tenant.others_requested.rate(others_known_until) + tenant.requested.rate(now);
+        has_low_traffic
             && demand > tenant.rate
-            && self.random.random::<f64>() * demand > RANDOM_ADMISSION * tenant.rate
+            && self.rng.random::<f64>() * demand > RANDOM_ADMISSION_FRACTION * tenant.rate
     }
 
+    /// Returns the estimated total of a count over all proxies.
     fn total(&self, count: &Count, now: Duration) -> f64 {
-        let others = self.proxies.max(1.0) - 1.0;
+        let peers = self.known_proxies.max(1.0) - 1.0;
         let known = count.own.admitted + count.others.admitted;
         let tenant = self.tenants.get(&count.tenant);
         if self.is_coordinator_unresponsive(now) {
@@ -321,27 +347,39 @@
             return if has_quota {
                 known
             } else {
-                count.own.admitted + count.others.admitted.max(count.own.admitted * others)
+                count.own.admitted + count.others.admitted.max(count.own.admitted * peers)
             };
         }
-        let scale = 1.0 / self.present_part(&count.tenant);
+        let scale = 1.0 / self.attached_fraction(&count.tenant);
         let Some(tenant) = tenant else {
             return known * scale;
         };
-        let shares = if now < tenant.near_quota_until {
-            tenant.rate * others / self.proxies
+        let others_share = if now < tenant.near_quota_until {
+            tenant.rate * peers / self.known_proxies
         } else {
             0.0
         };
-        // A slot that is over gains nothing any more.
-        let reported = count.last_totals.map(|at| at.saturating_sub(REPORT_AGE));
-        let from = reported.map_or(count.first_use, |at| at.max(count.first_use));
-        let until = now.min(count.slot_end.max(count.first_use));
-        let unknown_s = until.saturating_sub(from).as_secs_f64();
-        // Each other proxy may do what this one does: a surge that all admit at once is seen by none in time.
-        let alike = (tenant.admitted.since(from) - SPARE_UNITS).max(0.0) * others;
-        let alike = if unknown_s > 0.0 { alike } else { 0.0 };
-        let expected = tenant.others.rate(self.heard_until(now)).max(shares) * unknown_s;
-        (known + expected.max(alike)) * scale
+        // A slot that has ended receives no further units.
+        let reported = count
+            .totals_received_at
+            .map(|at| at.saturating_sub(REPORT_AGE));
+        let from = reported.map_or(count.first_used_at, |at| at.max(count.first_used_at));
+        let until = now.min(count.slot_end.max(count.first_used_at));
+        let unreported_s = until.saturating_sub(from).as_secs_f64();
+        // Each other proxy may have admitted as much as this one: a surge at all proxies at once
+        // would otherwise be noticed too late.
+        let extrapolated =
+            (tenant.admitted.since(from) - EXTRAPOLATION_THRESHOLD_UNITS).max(0.0) * peers;
+        let extrapolated = if unreported_s > 0.0 {
+            extrapolated
+        } else {
+            0.0
+        };
+        let expected = tenant
+            .others
+            .rate(self.others_known_until(now))
+            .max(others_share)
+            * unreported_s;
+        (known + expected.max(extrapolated)) * scale
     }
 }
--- a/crates/proxy/src/quota/share.rs
+++ b/crates/proxy/src/quota/share.rs
@@ -1,5 +1,5 @@
-//! This proxy's share of each quota: what it holds, what it admits by it without the coordinator, and what is left to
-//! the proxies in contact.
+//! This proxy's share of each quota: the allotments it holds, the units it admits under the share
+//! while the coordinator is out of contact, and the part of a quota left to the proxies in contact.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -11,33 +11,35 @@
 use super::token_bucket::{QuotaShare, TokenBucket};
 use super::{OVER_ANY_QUOTA, QuotaCounter};
 
-/// What the proxies in contact may use together is taken to be at least this part of a quota.
-const LEAST_PRESENT_PART: f64 = 0.05;
-/// A client that is refused by a share and not by the quota comes back after this, to another proxy most likely.
-const NEXT_PROXY_AFTER_S: f64 = 0.05;
-/// Requests this many times what a share admits are a surge, if they are more than chance brings in the time of a rate.
+/// Lower bound for the part of a quota that the proxies in contact may use together.
+const MIN_ATTACHED_FRACTION: f64 = 0.05;
+/// Retry delay, in seconds, of a client that is refused by a share and not by the quota. Its retry
+/// most likely reaches another proxy.
+const NEXT_PROXY_RETRY_S: f64 = 0.05;
+/// Demand is a surge if it exceeds this multiple of what the share admits and also
+/// `SURGE_MIN_RATE_PER_S`, the rate that random variation reaches within the rate window.
 const SURGE_FACTOR: f64 = 2.0;
-const SURGE_LEAST_RATE_PER_S: f64 = 6.0;
+const SURGE_MIN_RATE_PER_S: f64 = 6.0;
 
-/// What proxies out of contact may hold.
+/// Parts of quotas that out-of-contact proxies may hold.
 #[derive(Debug)]
 pub(super) struct AbsentParts {
     by_tenant: HashMap<String, u32>,
-    of_unlisted: u32,
+    default_parts: u32,
 }
 
 impl QuotaCounter {
-    /// What the coordinator that has been connected is to be told of what is held here, and its term; `None` where it was
-    /// told.
+    /// Returns the allotments held here and the coordinator's term if the connected coordinator has
+    /// not been told yet; `None` otherwise.
     pub fn take_holding_report(&mut self, now: Duration) -> Option<(u64, Vec<Allotment>)> {
-        let is_owed = self.is_connected && self.connected_term == self.term;
-        if !is_owed || !std::mem::take(&mut self.owes_holding_report) {
+        let is_connected_to_latest_term = self.is_connected && self.connected_term == self.term;
+        if !is_connected_to_latest_term || !std::mem::take(&mut self.needs_holding_report) {
             return None;
         }
         Some((self.term, self.holding.report(now)))
     }
 
-    /// Takes a change of what is held here; returns whether it is to be acknowledged.
+    /// Applies a change of the allotments held here; returns whether to acknowledge it.
     pub fn change_allotments(
         &mut self,
         term: u64,
@@ -48,8 +50,8 @@
         self.holding.change(term, revision, allotments, now)
     }
 
-    /// Takes the coordinator's word that it has this proxy's report, how many proxies have left by plan in its term, and what
-    /// those out of contact hold.
+    /// Records the coordinator's confirmation of this proxy's report, the number of proxies that
+    /// departed as planned in its term, and what out-of-contact proxies hold.
     pub fn receive_allotment_status(
         &mut self,
         term: u64,
@@ -66,47 +68,48 @@
         let by_tenant = by_tenant.map(|allotment| (allotment.tenant.clone(), allotment.parts));
         self.absent = Some(AbsentParts {
             by_tenant: by_tenant.collect(),
-            of_unlisted: absent.of_unlisted,
+            default_parts: absent.of_unlisted,
         });
     }
 
-    /// This proxy's share of a tenant's quota while it hears nothing of the others.
+    /// Returns this proxy's share of a tenant's quota while the coordinator is out of contact.
     fn own_share(&self, tenant: &str, now: Duration) -> f64 {
         let allotted = f64::from(self.holding.parts(tenant, now)) / f64::from(PARTS);
-        EQUAL_PART / self.proxies + (1.0 - EQUAL_PART) * allotted
+        EQUAL_PART / self.known_proxies + (1.0 - EQUAL_PART) * allotted
     }
 
-    /// The part of a tenant's quota that is left to the proxies in contact with the coordinator.
-    pub(super) fn present_part(&self, tenant: &str) -> f64 {
-        let out_of_contact = 1.0 - (self.attached / self.proxies).min(1.0);
+    /// Returns the part of a tenant's quota that is left to the proxies in contact with the
+    /// coordinator.
+    pub(super) fn attached_fraction(&self, tenant: &str) -> f64 {
+        let unattached_fraction = 1.0 - (self.attached_proxies / self.known_proxies).min(1.0);
         let absent = match &self.absent {
             Some(absent) => {
                 let parts = absent.by_tenant.get(tenant);
-                let parts = parts.copied().unwrap_or(absent.of_unlisted);
+                let parts = parts.copied().unwrap_or(absent.default_parts);
                 let allotted = f64::from(parts.min(PARTS)) / f64::from(PARTS);
-                EQUAL_PART * out_of_contact + (1.0 - EQUAL_PART) * allotted
+                EQUAL_PART * unattached_fraction + (1.0 - EQUAL_PART) * allotted
             }
-            None => out_of_contact,
+            None => unattached_fraction,
         };
-        (1.0 - absent).max(LEAST_PRESENT_PART)
+        (1.0 - absent).max(MIN_ATTACHED_FRACTION)
     }
 
-    /// Whether the coordinator is out of contact now; counts the outages.
-    fn note_contact(&mut self, now: Duration) -> bool {
-        let is_out_of_contact = self.is_coordinator_unresponsive(now);
-        if is_out_of_contact && !self.is_out_of_contact {
+    /// Returns whether the coordinator is out of contact, and counts the outages.
+    fn update_outage_state(&mut self, now: Duration) -> bool {
+        let is_in_outage = self.is_coordinator_unresponsive(now);
+        if is_in_outage && !self.is_in_outage {
             self.outages += 1;
         }
-        self.is_out_of_contact = is_out_of_contact;
-        is_out_of_contact
+        self.is_in_outage = is_in_outage;
+        is_in_outage
     }
 
-    /// Whether units of a tenant are within this proxy's share, where nothing is heard of the others.
+    /// Takes units from this proxy's share of a tenant's quota; returns whether they are admitted.
     fn admit_by_share(&mut self, tenant: &str, units: f64, now: Duration) -> bool {
         let share = self.own_share(tenant, now);
         let outages = self.outages;
         let tolerance = self.tolerance;
-        let random = self.random.random();
+        let random = self.rng.random();
         let Some(tenant) = self.tenants.get_mut(tenant) else {
             return true;
         };
@@ -119,17 +122,17 @@
             share,
             tolerance,
         };
-        let (last_outage, bucket) = tenant
+        let (outage, bucket) = tenant
             .bucket
-            .get_or_insert_with(|| (outages, TokenBucket::begin(quota, now)));
-        if *last_outage != outages {
-            *last_outage = outages;
+            .get_or_insert_with(|| (outages, TokenBucket::new(quota, now)));
+        if *outage != outages {
+            *outage = outages;
             bucket.resume(quota, now);
         }
         bucket.take(units, quota, random, now)
     }
 
-    /// The module takes back what it has not admitted after all.
+    /// Returns units to the tenant's bucket that the module did not admit after all.
     fn return_to_bucket(&mut self, tenant: &str, units: f64) {
         let tenant = self.tenants.get_mut(tenant);
         if let Some((_, bucket)) = tenant.and_then(|tenant| tenant.bucket.as_mut()) {
@@ -137,35 +140,37 @@
         }
     }
 
-    /// What is added to a total so that units are refused, whatever it is; 0 where they are not. Negative units undo.
-    pub(super) fn refusal(&mut self, tenant: &str, units: f64, now: Duration) -> f64 {
-        if self.note_contact(now) {
+    /// Returns the amount to add to a total so that the module refuses the units, or 0 if it may
+    /// admit them. Negative units undo an earlier addition.
+    pub(super) fn refusal_surcharge(&mut self, tenant: &str, units: f64, now: Duration) -> f64 {
+        if self.update_outage_state(now) {
             if units < 0.0 {
                 self.return_to_bucket(tenant, -units);
             }
             if units > 0.0 && !self.admit_by_share(tenant, units, now) {
-                return self.refusal_by_share(tenant, now);
+                return self.share_refusal_surcharge(tenant, now);
             }
-        } else if units > 0.0 && self.is_refused_at_random(tenant, now) {
+        } else if units > 0.0 && self.refuses_at_random(tenant, now) {
             return OVER_ANY_QUOTA;
         }
         0.0
     }
 
-    /// What is added to a total for a refusal without the coordinator. The module advises clients to come back once
-    /// what exceeds the quota has gone by. Other proxies have shares of their own: where no more is requested than this one
-    /// may admit, a client is sent on to the next one soon.
-    fn refusal_by_share(&self, tenant: &str, now: Duration) -> f64 {
+    /// Returns the amount to add to a total for a refusal while the coordinator is out of contact.
+    /// From the total, the module computes how long the client is to wait until the excess over the
+    /// quota has passed. Other proxies have shares of their own: unless demand here is a surge, the
+    /// amount is kept small so that the client soon retries at another proxy.
+    fn share_refusal_surcharge(&self, tenant: &str, now: Duration) -> f64 {
         let share = self.own_share(tenant, now);
         let Some(tenant) = self.tenants.get(tenant) else {
             return OVER_ANY_QUOTA;
         };
         let requested = tenant.requested.rate(now);
         let is_surge =
-            requested > SURGE_FACTOR * share * tenant.rate && requested > SURGE_LEAST_RATE_PER_S;
+            requested > SURGE_FACTOR * share * tenant.rate && requested > SURGE_MIN_RATE_PER_S;
         if is_surge {
             return OVER_ANY_QUOTA;
         }
-        tenant.burst() + tenant.rate * NEXT_PROXY_AFTER_S
+        tenant.burst() + tenant.rate * NEXT_PROXY_RETRY_S
     }
 }
--- a/crates/proxy/src/quota/slot_naming.rs
+++ b/crates/proxy/src/quota/slot_naming.rs
@@ -1,28 +1,32 @@
-//! Which of the common slots each slot of the decision module is, and when it ends by the module's time: the one place
-//! that maps the one to the other, so that names and ends can't differ.
+//! Maps each slot of the decision module to the common slots it stands for, and each common slot to
+//! its end by the module's time. Both mappings are kept here so that names and ends stay
+//! consistent.
 //!
-//! The module numbers its slots by its own time; the shared counts are named by the common time. Both run alike, so a slot
-//! of the module is a common slot shifted by a whole number: the offset between the times, rounded. What rounding leaves
-//! is in the name alone: a slot ends when the module's slot ends, whatever its name.
+//! The module numbers slots by its own time, while the shared counts are named by the common time
+//! (the coordinator's clock). Both clocks run at the same rate, so a module slot corresponds to a
+//! common slot shifted by an integer: the rounded offset between the clocks. The rounding error
+//! affects only the name: a slot ends when the module's slot ends, whatever its name.
 //!
-//! When the common time steps, slots that the module has begun keep their names, for what was admitted in them is counted
-//! there. Later slots take new names. A step ahead leaves names out: the first slot after it stands for these as well, as
-//! others may have used them. A step back gives a name to two slots: both see all of it, which lets in too little for a
-//! moment and never too much.
+//! When the common time steps, slots that the module has already begun keep their names, because
+//! their admissions are counted there; later slots get new names. A forward step skips names: the
+//! first slot after it also covers the skipped ones, which other proxies may have used. A backward
+//! step gives one name to two slots: both see the whole count, which admits too little for a moment
+//! but never too much.
 
 use std::collections::HashMap;
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
-/// A name is kept until it is off by more than this part of a slot: by half a slot it is off anyway, and the offset differs
-/// by a few round trips whenever another coordinator reports the common time.
-const KEPT_WITHIN_SLOTS: f64 = 0.75;
-/// Names that one slot stands for at most: what lies farther back was not used lately.
-const MAX_NAMES: u64 = 4;
-/// Steps of the common time that are remembered.
-const KEPT_STEPS: usize = 4;
+/// A shift is kept until it differs from the exact offset by more than this many slots. Rounding
+/// alone accounts for half a slot, and the offset changes by a few round trips whenever another
+/// coordinator reports the common time.
+const MAX_SHIFT_ERROR_SLOTS: f64 = 0.75;
+/// Maximum number of names that one slot covers; earlier names were not used recently.
+const MAX_NAMES_PER_SLOT: u64 = 4;
+/// Number of shifts that are kept per slot length, one for each step of the common time.
+const MAX_SHIFTS: usize = 4;
 
-/// From a slot of the module's on, names are shifted by so many slots.
+/// Shift of names that applies from a given module slot on.
 #[derive(Clone, Copy, Debug)]
 struct Shift {
     first_slot: u64,
@@ -30,42 +34,43 @@
 }
 
 impl Shift {
-    /// The module's slot that a common slot is by this shift.
+    /// Returns the module slot that corresponds to a common slot under this shift.
     fn module_slot(&self, common_slot: u64) -> u64 {
         common_slot.saturating_add_signed(-self.slots)
     }
 }
 
-/// The names of the module's slots, by the length of slots.
+/// The common names of the module's slots, by slot length.
 #[derive(Debug, Default)]
 pub(super) struct SlotNaming {
-    /// The common time less the module's, in seconds; `None`: there is none yet.
+    /// Offset of the common time from the module's time (`common - module`), in seconds; `None`
+    /// until the common time is known.
     offset_s: Option<f64>,
-    /// The shifts of slots of a length, which is the key by its bits; the latest last.
+    /// Shifts by slot length, keyed by the bits of the length in seconds; the latest is last.
     shifts: HashMap<u64, Vec<Shift>>,
 }
 
 impl SlotNaming {
-    /// Sets the common time less the module's, in seconds.
+    /// Sets the offset of the common time from the module's time, in seconds.
     pub(super) fn set_offset(&mut self, offset_s: f64, now: Duration) {
-        let is_first = self.offset_s.replace(offset_s).is_none();
-        if is_first {
-            // Before there was a common time, names meant nothing to anybody else.
+        let had_no_offset = self.offset_s.replace(offset_s).is_none();
+        if had_no_offset {
+            // Until the common time was known, the names had no meaning to other proxies.
             self.shifts.clear();
             return;
         }
         for (length, shifts) in &mut self.shifts {
             let slot_s = f64::from_bits(*length);
-            let exact = offset_s / slot_s;
-            let known = shifts.last().map_or(0, |shift| shift.slots);
-            if (exact - known as f64).abs() <= KEPT_WITHIN_SLOTS {
+            let exact_slots = offset_s / slot_s;
+            let current_slots = shifts.last().map_or(0, |shift| shift.slots);
+            if (exact_slots - current_slots as f64).abs() <= MAX_SHIFT_ERROR_SLOTS {
                 continue;
             }
             shifts.push(Shift {
                 first_slot: (now.as_secs_f64() / slot_s) as u64 + 1,
-                slots: exact.round() as i64,
+                slots: exact_slots.round() as i64,
             });
-            if shifts.len() > KEPT_STEPS {
+            if shifts.len() > MAX_SHIFTS {
                 shifts.remove(0);
             }
         }
@@ -83,7 +88,8 @@
         })
     }
 
-    /// The common slots that a slot of the module's stands for. What is admitted in it is counted under the last.
+    /// Returns the common slots that a module slot covers. Units admitted in it are counted under
+    /// the last.
     pub(super) fn common_slots(&mut self, slot: u64, slot_s: f64) -> RangeInclusive<u64> {
         if slot_s <= 0.0 {
             return slot..=slot;
@@ -98,17 +104,17 @@
             return last..=last;
         }
         let first = slot.saturating_add_signed(shifts[index - 1].slots);
-        first.clamp(last.saturating_sub(MAX_NAMES - 1), last)..=last
+        first.clamp(last.saturating_sub(MAX_NAMES_PER_SLOT - 1), last)..=last
     }
 
-    /// When a common slot is over here, by the module's time.
+    /// Returns when a common slot ends, by the module's time.
     pub(super) fn end(&mut self, common_slot: u64, slot_s: f64) -> Duration {
         if slot_s <= 0.0 {
             return Duration::ZERO;
         }
         let shifts = self.shifts(slot_s);
-        let is_in_force = |shift: &&Shift| shift.module_slot(common_slot) >= shift.first_slot;
-        let shift = shifts.iter().rev().find(is_in_force).or(shifts.first());
+        let applies = |shift: &&Shift| shift.module_slot(common_slot) >= shift.first_slot;
+        let shift = shifts.iter().rev().find(applies).or(shifts.first());
         let slot = shift.map_or(common_slot, |shift| shift.module_slot(common_slot));
         Duration::from_secs_f64((slot + 1) as f64 * slot_s)
     }
--- a/crates/proxy/src/quota/token_bucket.rs
+++ b/crates/proxy/src/quota/token_bucket.rs
@@ -1,48 +1,52 @@
-//! What this proxy admits of a tenant without the coordinator: a token bucket of its share of the quota.
+//! Token bucket that limits what this proxy admits of a tenant while the coordinator is out of
+//! contact.
 //!
-//! In contact the shared count lets in a quota's rate and its burst once. When an outage begins, the burst may have been used:
-//! the buckets of all proxies together begin with a part of what the operators tolerate beyond a quota, and fill at the
-//! quota's rate. At most they hold the burst and another part of what is tolerated. Where a share of that is less than one
-//! unit, a unit is admitted at random with the probability that has been saved up: the sum is right on the average, and
-//! every proxy lets some in.
+//! While the coordinator is in contact, the shared count admits the rate of a quota and its burst
+//! once. When an outage begins, the burst may already have been used, so the buckets of all proxies
+//! together start with a fraction of the excess that operators tolerate and fill at the rate of the
+//! quota. Together they hold at most the burst plus another fraction of the tolerated excess. If a
+//! proxy's share of that capacity is less than one unit, the proxy admits a unit at random with a
+//! probability equal to the tokens it has accumulated: the total is right on average, and every
+//! proxy admits some requests.
 
 use std::time::Duration;
 
-/// What the buckets of all proxies begin with, as a part of what is tolerated.
-const INITIAL_PART: f64 = 0.1;
-/// What the buckets of all proxies hold beyond the burst, as a part of what is tolerated: the rest is for chance.
-const SAVED_PART: f64 = 0.6;
+/// Initial content of the buckets of all proxies, as a fraction of the tolerated excess.
+const INITIAL_FRACTION: f64 = 0.1;
+/// Capacity of the buckets of all proxies beyond the burst, as a fraction of the tolerated excess.
+/// The remainder allows for random variation.
+const CAPACITY_FRACTION: f64 = 0.6;
 
-/// A bucket begins to fill this late: a coordinator that is still there, and only out of reach of this proxy, leaves its
-/// share to the others until it misses it.
+/// Delay before a bucket starts to fill. A coordinator that still runs, but is unreachable for this
+/// proxy, leaves the proxy's share to the others until it detects the loss.
 const FILL_DELAY: Duration = Duration::from_millis(350);
 
-/// How far the operators tolerate that quotas are exceeded.
+/// By how much the operators tolerate quotas to be exceeded.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct QuotaTolerance {
-    /// The window over which use is measured, in seconds.
+    /// Length of the window over which usage is measured, in seconds.
     pub window_s: f64,
-    /// The part of what is allowed in a window that may come on top.
+    /// Tolerated excess as a fraction of what is allowed in a window.
     pub overage: f64,
-    /// Units in a window that may come on top.
+    /// Tolerated excess per window in units, in addition to `overage`.
     pub slack: f64,
 }
 
 /// A tenant's quota and this proxy's share of it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct QuotaShare {
-    /// Units a second that all proxies together may admit.
+    /// Units per second that all proxies together may admit.
     pub(super) rate: f64,
-    /// Units at once that all proxies together may admit.
+    /// Burst in units that all proxies together may admit.
     pub(super) burst: f64,
-    /// This proxy's share, from 0 to 1.
+    /// This proxy's share of the quota, from 0 to 1.
     pub(super) share: f64,
     pub(super) tolerance: QuotaTolerance,
 }
 
 impl QuotaShare {
-    /// Units in a window that all proxies together may admit beyond the quota.
-    fn tolerated(&self) -> f64 {
+    /// Returns the units per window that all proxies together may admit beyond the quota.
+    fn tolerated_excess(&self) -> f64 {
         let QuotaTolerance {
             window_s,
             overage,
@@ -51,31 +55,31 @@
         overage * (self.rate * window_s + self.burst) + slack
     }
 
-    /// What this proxy's bucket begins with.
+    /// Returns the initial content of this proxy's bucket.
     fn initial(&self) -> f64 {
-        self.share * INITIAL_PART * self.tolerated()
+        self.share * INITIAL_FRACTION * self.tolerated_excess()
     }
 
-    /// What this proxy's bucket holds at most.
-    fn most(&self) -> f64 {
-        self.share * (self.burst + SAVED_PART * self.tolerated())
+    /// Returns the capacity of this proxy's bucket.
+    fn capacity(&self) -> f64 {
+        self.share * (self.burst + CAPACITY_FRACTION * self.tolerated_excess())
     }
 }
 
-/// A tenant's bucket.
+/// Token bucket of a tenant.
 #[derive(Debug, Default)]
 pub(super) struct TokenBucket {
     tokens: f64,
     filled_at: Duration,
-    /// Units refused that the module has not undone yet: nothing was taken for them.
+    /// Refused units that the module has not undone yet; no tokens were taken for them.
     refused: f64,
-    /// What was taken for a unit that was admitted last: less than one where chance admitted it.
+    /// Tokens taken per unit at the last admission; less than 1 if it was a random admission.
     last_cost: f64,
 }
 
 impl TokenBucket {
-    /// An outage begins.
-    pub(super) fn begin(quota: QuotaShare, now: Duration) -> Self {
+    /// Creates the bucket at the beginning of an outage.
+    pub(super) fn new(quota: QuotaShare, now: Duration) -> Self {
         TokenBucket {
             tokens: quota.initial(),
             filled_at: now + FILL_DELAY,
@@ -84,7 +88,8 @@
         }
     }
 
-    /// Another outage begins: what is left of it is not filled up for the time in between.
+    /// Begins another outage with the remaining tokens. The bucket is not filled for the time in
+    /// between.
     pub(super) fn resume(&mut self, quota: QuotaShare, now: Duration) {
         self.tokens = self.tokens.min(quota.initial());
         self.filled_at = now + FILL_DELAY;
@@ -94,10 +99,11 @@
         let elapsed_s = now.saturating_sub(self.filled_at).as_secs_f64();
         self.filled_at = self.filled_at.max(now);
         let filled = self.tokens + quota.share * quota.rate * elapsed_s;
-        self.tokens = filled.min(quota.most());
+        self.tokens = filled.min(quota.capacity());
     }
 
-    /// Takes units; returns whether they are admitted. `random`: from 0 to 1.
+    /// Takes units from the bucket; returns whether they are admitted. `random` is in the range
+    /// from 0 to 1.
     pub(super) fn take(
         &mut self,
         units: f64,
@@ -106,8 +112,8 @@
         now: Duration,
     ) -> bool {
         self.fill(quota, now);
-        let holds_a_unit = quota.most() >= units;
-        let is_admitted = if holds_a_unit {
+        let can_hold_units = quota.capacity() >= units;
+        let is_admitted = if can_hold_units {
             self.tokens >= units
         } else {
             random * units < self.tokens
@@ -118,17 +124,17 @@
             self.last_cost = cost / units;
         } else {
             self.refused += units;
-            if !holds_a_unit {
+            if !can_hold_units {
                 self.tokens = 0.0;
             }
         }
         is_admitted
     }
 
-    /// The module takes units back that it has not admitted after all.
+    /// Returns the tokens of units that the module did not admit after all.
     pub(super) fn undo(&mut self, units: f64) {
-        let of_refused = units.min(self.refused);
-        self.refused -= of_refused;
-        self.tokens += (units - of_refused) * self.last_cost;
+        let from_refused = units.min(self.refused);
+        self.refused -= from_refused;
+        self.tokens += (units - from_refused) * self.last_cost;
     }
 }
--- a/crates/proxy/tests/quota_support/mod.rs
+++ b/crates/proxy/tests/quota_support/mod.rs
@@ -1,4 +1,5 @@
-//! One proxy's decision module and shared counts, with a backend that answers at once: what tests of quotas have in common.
+//! Support for quota tests: the decision module and shared counts of one proxy with a backend that
+//! answers immediately.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -7,26 +8,29 @@
 use damsonbeam::interface::*;
 use damsonbeam_proxy::quota::{QuotaCounter, QuotaTolerance};
 
-/// The one tenant of these tests.
+/// The tenant of all these tests.
 pub const TENANT: &str = "x";
-/// Slots of the tenant, in seconds: its burst is a second's worth, and a window is cut in two.
+/// Length of the tenant's slots in seconds. Its burst is worth one second, and the module divides
+/// that window into two slots.
 pub const SLOT_S: f64 = 0.5;
 
-/// What the operators allow: the window, and what may come on top of a quota in it.
+/// Tolerance of the quota: the window in seconds, and the excess allowed in it as a fraction and in
+/// units.
 const WINDOW_S: f64 = 5.0;
 const OVERAGE: f64 = 0.1;
 const SLACK: f64 = 20.0;
 
-/// A proxy that meters one tenant.
+/// A proxy that enforces the quota of one tenant.
 pub struct MeteredProxy {
-    /// The shared counts as this proxy sees them.
+    /// The shared counts as seen by this proxy.
     pub quota: QuotaCounter,
     rules: Rules,
     next_id: u64,
 }
 
 impl MeteredProxy {
-    /// A proxy that has just started, at a time of its own clock. The tenant's quota and burst are `rate`.
+    /// Creates a proxy that starts at `now` by its own clock. The tenant's quota and burst are
+    /// `rate`.
     pub fn start(rate: f64, seed: u64, now: Duration) -> Self {
         let mut quota = QuotaCounter::new(seed);
         quota.set_rate(TENANT, rate, SLOT_S);
@@ -54,7 +58,7 @@
         }
     }
 
-    /// Whether a request of the tenant's is admitted.
+    /// Processes one request of the tenant; returns whether it is admitted.
     pub fn request(&mut self, now: Duration) -> bool {
         self.next_id += 1;
         let invocation = Invocation {
@@ -70,13 +74,13 @@
         while let Some(event) = events.pop_front() {
             for action in self.rules.on(now, event) {
                 is_admitted |= matches!(action, Action::SendAttempt { .. });
-                events.extend(self.carry_out(action, now));
+                events.extend(self.perform(action, now));
             }
         }
         is_admitted
     }
 
-    fn carry_out(&mut self, action: Action, now: Duration) -> Option<Event> {
+    fn perform(&mut self, action: Action, now: Duration) -> Option<Event> {
         match action {
             Action::AddToCounter { name, add, .. } => {
                 let total = self.quota.add(&name, add, now);
@@ -148,12 +152,13 @@
     }
 }
 
-/// What the operators allow within five seconds, for a quota and burst of `rate`.
+/// Returns the most admissions tolerated within five seconds for a quota and burst of `rate`.
 pub fn most_in_five_seconds(rate: f64) -> f64 {
     (rate * WINDOW_S + rate) * (1.0 + OVERAGE) + SLACK
 }
 
-/// The most admissions within any five seconds, of times in milliseconds in their order.
+/// Returns the most admissions within any five seconds; `admitted_ms` are ascending times in
+/// milliseconds.
 pub fn most_admitted(admitted_ms: &[u64]) -> usize {
     let mut first = 0;
     let mut most = 0;
--- a/crates/proxy/tests/quota_worlds/scenario.rs
+++ b/crates/proxy/tests/quota_worlds/scenario.rs
@@ -1,9 +1,10 @@
-//! What a world is made of: its proxies, its coordinators and its faults, drawn by a seed or given.
+//! Scenarios of the quota simulation: proxies, coordinators and faults, generated from a seed or
+//! built explicitly.
 
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// A span of time in milliseconds.
+/// A half-open span of time in milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Span {
     pub start: u64,
@@ -20,132 +21,145 @@
     }
 }
 
-/// What a world is made of.
+/// A scenario of the simulation.
 #[derive(Clone, Debug)]
 pub struct Scenario {
     pub seed: u64,
     pub rate: f64,
-    /// The tenant sends this many times its quota from the surge on.
+    /// Demand from the surge on, as a multiple of the quota.
     pub load: f64,
-    pub length_ms: u64,
-    /// By proxy: the way to the coordinators, and its clock ahead of the common one, both in milliseconds.
-    pub ways_ms: Vec<u64>,
-    pub clocks_ms: Vec<u64>,
-    /// When each coordinator acts; terms count from 1.
+    pub duration_ms: u64,
+    /// By proxy: the one-way latency to the coordinators, and by how much its clock is ahead of the
+    /// simulated time, both in milliseconds.
+    pub latencies_ms: Vec<u64>,
+    pub clock_offsets_ms: Vec<u64>,
+    /// When each coordinator is active; the first has term 1.
     pub coordinators: Vec<Span>,
-    /// The common time of each coordinator less that of the first.
-    pub steps_ms: Vec<i64>,
-    /// Which proxy has no way to the coordinators, and when.
-    pub cuts: Vec<(usize, Span)>,
-    /// Which proxy is killed, when, and when it is back with a new incarnation.
+    /// Offset of each coordinator's clock from the first one's, in milliseconds.
+    pub coordinator_offsets_ms: Vec<i64>,
+    /// Proxies that are disconnected from the coordinators, and when.
+    pub disconnections: Vec<(usize, Span)>,
+    /// Proxies that are killed, when, and when they are back as a new incarnation.
     pub restarts: Vec<(usize, Span)>,
-    /// The part of reports that come twice, the second time late.
-    pub doubled: f64,
+    /// Probability that a report is duplicated; the duplicate arrives late.
+    pub duplicate_probability: f64,
 }
 
 impl Scenario {
-    /// A world without faults.
-    pub fn calm(proxies: usize, rate: f64, load: f64) -> Self {
-        let length_ms = 14_000;
+    /// Returns a scenario without faults.
+    pub fn without_faults(proxies: usize, rate: f64, load: f64) -> Self {
+        let duration_ms = 14_000;
         Scenario {
             seed: 3,
             rate,
             load,
-            length_ms,
-            ways_ms: vec![55; proxies],
-            clocks_ms: vec![0; proxies],
-            coordinators: vec![Span::new(0, length_ms)],
-            steps_ms: vec![0],
-            cuts: vec![],
+            duration_ms,
+            latencies_ms: vec![55; proxies],
+            clock_offsets_ms: vec![0; proxies],
+            coordinators: vec![Span::new(0, duration_ms)],
+            coordinator_offsets_ms: vec![0],
+            disconnections: vec![],
             restarts: vec![],
-            doubled: 0.0,
+            duplicate_probability: 0.0,
         }
     }
 
-    /// A world with faults of all kinds, by its seed.
-    pub fn drawn(seed: u64) -> Self {
-        let mut random = SmallRng::seed_from_u64(seed);
-        let proxies = random.random_range(2..=12);
-        let rate = [30.0, 100.0, 300.0, 490.0][random.random_range(0..4)];
-        let load = random.random_range(1.2..8.0);
-        let mut world = Scenario::calm(proxies, rate, load);
-        world.seed = seed;
-        let spread = [0, 400, 3000][random.random_range(0..3)];
-        world.ways_ms = (0..proxies).map(|_| random.random_range(1..=58)).collect();
-        world.clocks_ms = (0..proxies)
-            .map(|_| random.random_range(0..=spread))
+    /// Returns a scenario with random faults, determined by the seed.
+    pub fn random(seed: u64) -> Self {
+        let mut rng = SmallRng::seed_from_u64(seed);
+        let proxies = rng.random_range(2..=12);
+        let rate = [30.0, 100.0, 300.0, 490.0][rng.random_range(0..4)];
+        let load = rng.random_range(1.2..8.0);
+        let mut scenario = Scenario::without_faults(proxies, rate, load);
+        scenario.seed = seed;
+        let max_clock_offset_ms = [0, 400, 3000][rng.random_range(0..3)];
+        scenario.latencies_ms = (0..proxies).map(|_| rng.random_range(1..=58)).collect();
+        scenario.clock_offsets_ms = (0..proxies)
+            .map(|_| rng.random_range(0..=max_clock_offset_ms))
             .collect();
-        let first_ends = random.random_range(3500..8000);
-        let second_begins = first_ends + random.random_range(300..3500);
-        let second_ends = second_begins + random.random_range(200..6000);
-        let third_begins = second_ends + random.random_range(300..2000);
-        world.coordinators = vec![
-            Span::new(0, first_ends),
-            Span::new(second_begins, second_ends),
-            Span::new(third_begins, world.length_ms),
+        let first_end = rng.random_range(3500..8000);
+        let second_start = first_end + rng.random_range(300..3500);
+        let second_end = second_start + rng.random_range(200..6000);
+        let third_start = second_end + rng.random_range(300..2000);
+        scenario.coordinators = vec![
+            Span::new(0, first_end),
+            Span::new(second_start, second_end),
+            Span::new(third_start, scenario.duration_ms),
         ];
-        let most_ms = [60, 250, 5000][random.random_range(0..3)];
-        let steps = (0..3).map(|_| random.random_range(-most_ms..=most_ms));
-        world.steps_ms = steps.collect();
-        if random.random_bool(0.5) {
-            let begins = random.random_range(3000..9000);
-            let ends = begins + random.random_range(300..4000);
-            world.cuts = vec![(random.random_range(0..proxies), Span::new(begins, ends))];
+        let max_offset_ms = [60, 250, 5000][rng.random_range(0..3)];
+        let offsets = (0..3).map(|_| rng.random_range(-max_offset_ms..=max_offset_ms));
+        scenario.coordinator_offsets_ms = offsets.collect();
+        if rng.random_bool(0.5) {
+            let start = rng.random_range(3000..9000);
+            let end = start + rng.random_range(300..4000);
+            scenario.disconnections = vec![(rng.random_range(0..proxies), Span::new(start, end))];
         }
-        if random.random_bool(0.5) {
-            let begins = random.random_range(3000..9000);
-            let ends = begins + random.random_range(200..3000);
-            world.restarts = vec![(random.random_range(0..proxies), Span::new(begins, ends))];
+        if rng.random_bool(0.5) {
+            let start = rng.random_range(3000..9000);
+            let end = start + rng.random_range(200..3000);
+            scenario.restarts = vec![(rng.random_range(0..proxies), Span::new(start, end))];
         }
-        world.doubled = [0.0, 0.2][random.random_range(0..2)];
-        world
+        scenario.duplicate_probability = [0.0, 0.2][rng.random_range(0..2)];
+        scenario
     }
 }
 
-/// A fault of a small world.
+/// A fault of a small scenario.
 #[derive(Clone, Copy, Debug)]
 pub enum Fault {
-    /// No coordinator acts for a time; then another one does, whose common time has stepped.
-    CoordinatorLost { for_ms: u64, step_ms: i64 },
-    /// The first proxy has no way to the coordinators for a time.
-    Cut { for_ms: u64 },
-    /// The first proxy is killed, and is back after a time.
-    Killed { for_ms: u64 },
-    /// All reports come twice from the beginning, the second time late.
-    Doubled,
+    /// No coordinator is active for a time; then another one is, whose clock differs by `step_ms`.
+    CoordinatorLost { duration_ms: u64, step_ms: i64 },
+    /// The first proxy is disconnected from the coordinators for a time.
+    Disconnected { duration_ms: u64 },
+    /// The first proxy is killed and restarts after a time.
+    Killed { duration_ms: u64 },
+    /// All reports are duplicated from the beginning, and the duplicates arrive late.
+    ReportsDuplicated,
 }
 
 impl Fault {
-    /// All faults of small worlds.
+    /// Returns all faults of small scenarios.
     pub fn all() -> Vec<Fault> {
-        let mut faults = vec![Fault::Doubled];
-        for for_ms in [400, 1900] {
-            faults.push(Fault::Cut { for_ms });
-            faults.push(Fault::Killed { for_ms });
+        let mut faults = vec![Fault::ReportsDuplicated];
+        for duration_ms in [400, 1900] {
+            faults.push(Fault::Disconnected { duration_ms });
+            faults.push(Fault::Killed { duration_ms });
             for step_ms in [0, 250] {
-                faults.push(Fault::CoordinatorLost { for_ms, step_ms });
+                faults.push(Fault::CoordinatorLost {
+                    duration_ms,
+                    step_ms,
+                });
             }
         }
         faults
     }
 
-    /// Adds the fault to a world; `false` where an earlier coordinator is not back yet.
-    pub fn add_to(self, world: &mut Scenario, at_ms: u64) -> bool {
+    /// Adds the fault to a scenario; returns `false` if an earlier coordinator has not started yet.
+    pub fn add_to(self, scenario: &mut Scenario, at_ms: u64) -> bool {
         match self {
-            Fault::CoordinatorLost { for_ms, step_ms } => {
-                let last = world.coordinators.len() - 1;
-                if at_ms <= world.coordinators[last].start {
+            Fault::CoordinatorLost {
+                duration_ms,
+                step_ms,
+            } => {
+                let last = scenario.coordinators.len() - 1;
+                if at_ms <= scenario.coordinators[last].start {
                     return false;
                 }
-                world.coordinators[last].end = at_ms;
-                world
+                scenario.coordinators[last].end = at_ms;
+                scenario
                     .coordinators
-                    .push(Span::new(at_ms + for_ms, world.length_ms));
-                world.steps_ms.push(world.steps_ms[last] + step_ms);
+                    .push(Span::new(at_ms + duration_ms, scenario.duration_ms));
+                scenario
+                    .coordinator_offsets_ms
+                    .push(scenario.coordinator_offsets_ms[last] + step_ms);
             }
-            Fault::Cut { for_ms } => world.cuts.push((0, Span::new(at_ms, at_ms + for_ms))),
-            Fault::Killed { for_ms } => world.restarts.push((0, Span::new(at_ms, at_ms + for_ms))),
-            Fault::Doubled => world.doubled = 1.0,
+            Fault::Disconnected { duration_ms } => scenario
+                .disconnections
+                .push((0, Span::new(at_ms, at_ms + duration_ms))),
+            Fault::Killed { duration_ms } => scenario
+                .restarts
+                .push((0, Span::new(at_ms, at_ms + duration_ms))),
+            Fault::ReportsDuplicated => scenario.duplicate_probability = 1.0,
         }
         true
     }
--- a/crates/proxy/tests/quota_worlds/world.rs
+++ b/crates/proxy/tests/quota_worlds/simulation.rs
@@ -1,4 +1,5 @@
-//! Proxies that meter one tenant, coordinators that come and go, and messages that are lost, late or doubled.
+//! Simulation of proxies that enforce the quota of one tenant, with failing coordinators and
+//! messages that are lost, delayed or duplicated.
 
 use std::time::Duration;
 
@@ -11,23 +12,23 @@
 use crate::quota_support::{MeteredProxy, TENANT};
 use crate::scenario::{Scenario, Span};
 
-/// Between two reports of a proxy, as in service.
+/// Interval between two reports of a proxy, as in production.
 const REPORT_INTERVAL_MS: u64 = 25;
-/// Between two broadcasts of totals, as in service.
+/// Interval between two broadcasts of totals, as in production.
 const BROADCAST_INTERVAL_MS: u64 = 50;
-/// Between two heartbeats of the coordinator, as in service.
+/// Interval between two heartbeats of the coordinator, as in production.
 const HEARTBEAT_INTERVAL_MS: u64 = 400;
-/// Between two divisions of the quota, as in service.
+/// Interval between two divisions of the quota, as in production.
 const DIVISION_INTERVAL_MS: u64 = 1000;
-/// A proxy that sent nothing for this long is not attached any more, as in service.
+/// A proxy that has sent nothing for this long is no longer attached, as in production.
 const ATTACHED_TIMEOUT_MS: u64 = 1300;
-/// A connection on which nothing comes ends, as in service.
+/// A connection without incoming messages is closed after this time, as in production.
 const SILENCE_TIMEOUT_MS: u64 = 2000;
-/// The tenant sends its usual before the surge begins.
+/// When the surge begins. Until then, demand is `DEMAND_BEFORE_SURGE` times the quota.
 const SURGE_AT_MS: u64 = 3000;
-const USUAL: f64 = 0.6;
+const DEMAND_BEFORE_SURGE: f64 = 0.6;
 
-/// A message on its way.
+/// A message in transit.
 #[derive(Clone, Debug)]
 struct InFlight {
     due_ms: u64,
@@ -39,69 +40,69 @@
 
 #[derive(Clone, Debug)]
 enum Body {
-    /// To the coordinator.
+    /// To the coordinator: counts of a proxy.
     Report(Vec<NamedCount>),
-    /// To a proxy.
+    /// To a proxy: totals of counts.
     Totals(Vec<NamedCount>),
-    /// To a proxy: the common time when it was sent, and how many proxies are known and attached.
+    /// To a proxy: the common time at sending, and the numbers of known and attached proxies.
     Heartbeat {
         time_ms: i64,
         known: u32,
         attached: u32,
     },
-    /// To the coordinator: what a proxy holds.
-    Held(Vec<Allotment>),
-    /// To a proxy: what it holds from now on.
+    /// To the coordinator: the allotments a proxy holds.
+    HoldingReport(Vec<Allotment>),
+    /// To a proxy: a change's revision, and the allotments it holds from now on.
     SetAllotments(u64, Vec<Allotment>),
-    /// To the coordinator: a change was taken.
+    /// To the coordinator: the revision of a change that was applied.
     AllotmentsSet(u64),
-    /// To a proxy: its report is known; what those out of contact hold.
+    /// To a proxy: confirmation of its report, and the allotments that out-of-contact proxies hold.
     AllotmentStatus(AbsentAllotments),
 }
 
 struct Node {
-    metered: MeteredProxy,
+    metered_proxy: MeteredProxy,
     incarnation: u64,
-    /// The term of the coordinator that it reports to.
+    /// Term of the coordinator that the proxy reports to.
     term: u64,
     last_heard_ms: u64,
-    /// When the coordinator last had a report or status of it.
+    /// When the coordinator last received a report or status of the proxy.
     last_seen_ms: u64,
 }
 
-/// A world as it goes on.
-pub struct World<'a> {
+/// State of a running simulation.
+pub struct Simulation<'a> {
     scenario: &'a Scenario,
-    random: SmallRng,
+    rng: SmallRng,
     nodes: Vec<Node>,
     counts: SharedCounts,
     ledger: AllotmentLedger,
-    /// The term of the coordinator that keeps the counts.
+    /// Term of the coordinator whose counts these are.
     counts_term: u64,
     in_flight: Vec<InFlight>,
     next_incarnation: u64,
 }
 
-impl<'a> World<'a> {
-    /// Plays a world; returns when each request was admitted, in milliseconds.
-    pub fn play(scenario: &'a Scenario) -> Vec<u64> {
-        let mut world = World::new(scenario);
+impl<'a> Simulation<'a> {
+    /// Runs a scenario; returns the time of each admission in milliseconds.
+    pub fn run(scenario: &'a Scenario) -> Vec<u64> {
+        let mut simulation = Simulation::new(scenario);
         let mut admitted_ms = Vec::new();
-        let mut due = 0.0;
-        for ms in 0..scenario.length_ms {
-            world.restart(ms);
-            world.deliver(ms);
-            world.act_as_coordinator(ms);
-            world.report(ms);
+        let mut pending_requests = 0.0;
+        for ms in 0..scenario.duration_ms {
+            simulation.restart_proxies(ms);
+            simulation.deliver(ms);
+            simulation.step_coordinator(ms);
+            simulation.send_reports(ms);
             let load = if ms < SURGE_AT_MS {
-                USUAL
+                DEMAND_BEFORE_SURGE
             } else {
                 scenario.load
             };
-            due += scenario.rate * load / 1000.0;
-            while due >= 1.0 {
-                due -= 1.0;
-                if world.request(ms) {
+            pending_requests += scenario.rate * load / 1000.0;
+            while pending_requests >= 1.0 {
+                pending_requests -= 1.0;
+                if simulation.request(ms) {
                     admitted_ms.push(ms);
                 }
             }
@@ -110,10 +111,10 @@
     }
 
     fn new(scenario: &'a Scenario) -> Self {
-        let proxies = scenario.ways_ms.len();
-        let mut world = World {
+        let proxies = scenario.latencies_ms.len();
+        let mut simulation = Simulation {
             scenario,
-            random: SmallRng::seed_from_u64(scenario.seed),
+            rng: SmallRng::seed_from_u64(scenario.seed),
             nodes: vec![],
             counts: SharedCounts::default(),
             ledger: AllotmentLedger::default(),
@@ -121,16 +122,18 @@
             in_flight: vec![],
             next_incarnation: 0,
         };
-        world.nodes = (0..proxies).map(|proxy| world.start(proxy, 0)).collect();
-        world
+        simulation.nodes = (0..proxies)
+            .map(|proxy| simulation.start_proxy(proxy, 0))
+            .collect();
+        simulation
     }
 
-    fn start(&mut self, proxy: usize, ms: u64) -> Node {
+    fn start_proxy(&mut self, proxy: usize, ms: u64) -> Node {
         self.next_incarnation += 1;
         let seed = self.scenario.seed ^ self.next_incarnation;
-        let now = self.clock(proxy, ms);
+        let now = self.local_time(proxy, ms);
         Node {
-            metered: MeteredProxy::start(self.scenario.rate, seed, now),
+            metered_proxy: MeteredProxy::start(self.scenario.rate, seed, now),
             incarnation: self.next_incarnation,
             term: 0,
             last_heard_ms: ms,
@@ -138,14 +141,14 @@
         }
     }
 
-    /// The time by a proxy's own clock.
-    fn clock(&self, proxy: usize, ms: u64) -> Duration {
-        Duration::from_millis(ms + self.scenario.clocks_ms[proxy])
+    /// Returns the time by a proxy's own clock.
+    fn local_time(&self, proxy: usize, ms: u64) -> Duration {
+        Duration::from_millis(ms + self.scenario.clock_offsets_ms[proxy])
     }
 
     fn term(&self, ms: u64) -> Option<u64> {
-        let acting = |span: &Span| span.contains(ms);
-        let index = self.scenario.coordinators.iter().position(acting)?;
+        let is_active = |span: &Span| span.contains(ms);
+        let index = self.scenario.coordinators.iter().position(is_active)?;
         Some(index as u64 + 1)
     }
 
@@ -156,29 +159,30 @@
             .any(|(restarted, span)| *restarted == proxy && span.contains(ms))
     }
 
-    fn is_cut(&self, proxy: usize, ms: u64) -> bool {
-        let cuts = &self.scenario.cuts;
-        cuts.iter()
-            .any(|(cut, span)| *cut == proxy && span.contains(ms))
+    fn is_disconnected(&self, proxy: usize, ms: u64) -> bool {
+        let disconnections = &self.scenario.disconnections;
+        disconnections
+            .iter()
+            .any(|(disconnected, span)| *disconnected == proxy && span.contains(ms))
     }
 
-    fn restart(&mut self, ms: u64) {
+    fn restart_proxies(&mut self, ms: u64) {
         let scenario = self.scenario;
         for (proxy, span) in &scenario.restarts {
             if span.end == ms {
-                // Its connections ended with it, and another incarnation reports.
+                // The connections of the old process have ended, and a new incarnation reports.
                 self.ledger.release(self.nodes[*proxy].incarnation);
-                self.nodes[*proxy] = self.start(*proxy, ms);
+                self.nodes[*proxy] = self.start_proxy(*proxy, ms);
             }
         }
     }
 
     fn send(&mut self, ms: u64, proxy: usize, term: u64, body: Body) {
-        if self.is_cut(proxy, ms) || self.is_down(proxy, ms) {
+        if self.is_disconnected(proxy, ms) || self.is_down(proxy, ms) {
             return;
         }
         self.in_flight.push(InFlight {
-            due_ms: ms + self.scenario.ways_ms[proxy],
+            due_ms: ms + self.scenario.latencies_ms[proxy],
             proxy,
             incarnation: self.nodes[proxy].incarnation,
             term,
@@ -187,23 +191,23 @@
     }
 
     fn deliver(&mut self, ms: u64) {
-        let (due, later) = std::mem::take(&mut self.in_flight)
+        let (due, remaining) = std::mem::take(&mut self.in_flight)
             .into_iter()
             .partition(|message| message.due_ms <= ms);
-        self.in_flight = later;
+        self.in_flight = remaining;
         let due: Vec<InFlight> = due;
         for message in due {
             let proxy = message.proxy;
-            if self.is_cut(proxy, ms) {
+            if self.is_disconnected(proxy, ms) {
                 continue;
             }
             let is_from_proxy = matches!(
                 message.body,
-                Body::Report(_) | Body::Held(_) | Body::AllotmentsSet(_)
+                Body::Report(_) | Body::HoldingReport(_) | Body::AllotmentsSet(_)
             );
             if is_from_proxy {
                 self.receive_as_coordinator(ms, &message);
-            } else if self.is_for(&message, ms) {
+            } else if self.is_receiver_running(&message, ms) {
                 self.receive_as_proxy(ms, &message);
             }
         }
@@ -221,7 +225,7 @@
         self.ledger.see(incarnation, now);
         match &message.body {
             Body::Report(reports) => self.receive_report(ms, message, reports),
-            Body::Held(held) => self.ledger.report(incarnation, held, now),
+            Body::HoldingReport(holdings) => self.ledger.report(incarnation, holdings, now),
             Body::AllotmentsSet(revision) => self.ledger.acknowledge(incarnation, *revision),
             _ => {}
         }
@@ -230,10 +234,10 @@
     fn receive_as_proxy(&mut self, ms: u64, message: &InFlight) {
         let proxy = message.proxy;
         let term = message.term;
-        let now = self.clock(proxy, ms);
+        let now = self.local_time(proxy, ms);
         let node = &mut self.nodes[proxy];
         node.last_heard_ms = ms;
-        let quota = &mut node.metered.quota;
+        let quota = &mut node.metered_proxy.quota;
         match &message.body {
             Body::Totals(totals) => quota.receive_totals(term, totals, now),
             Body::Heartbeat {
@@ -242,8 +246,8 @@
                 attached,
             } => self.receive_heartbeat(ms, message, *time_ms, (*known, *attached)),
             Body::SetAllotments(revision, allotments) => {
-                let is_taken = quota.change_allotments(term, *revision, allotments, now);
-                let answer = is_taken.then_some(Body::AllotmentsSet(*revision));
+                let is_applied = quota.change_allotments(term, *revision, allotments, now);
+                let answer = is_applied.then_some(Body::AllotmentsSet(*revision));
                 answer
                     .into_iter()
                     .for_each(|body| self.send(ms, proxy, term, body));
@@ -253,8 +257,8 @@
         }
     }
 
-    /// Whether the process that a message is for still runs.
-    fn is_for(&self, message: &InFlight, ms: u64) -> bool {
+    /// Returns whether the process that the message was sent to is still running.
+    fn is_receiver_running(&self, message: &InFlight, ms: u64) -> bool {
         let is_same = self.nodes[message.proxy].incarnation == message.incarnation;
         is_same && !self.is_down(message.proxy, ms)
     }
@@ -277,11 +281,11 @@
         time_ms: i64,
         (known, attached): (u32, u32),
     ) {
-        let now = self.clock(message.proxy, ms);
+        let now = self.local_time(message.proxy, ms);
         let node = &mut self.nodes[message.proxy];
-        let quota = &mut node.metered.quota;
+        let quota = &mut node.metered_proxy.quota;
         quota.set_proxies(known, attached, now);
-        // As in service: the first heartbeat of a term sets the common time.
+        // As in production, the first heartbeat of a term sets the common time.
         if message.term > node.term {
             node.term = message.term;
             let offset_s = time_ms as f64 / 1000.0 - now.as_secs_f64();
@@ -290,7 +294,7 @@
         quota.set_coordinator(node.term, true);
     }
 
-    fn act_as_coordinator(&mut self, ms: u64) {
+    fn step_coordinator(&mut self, ms: u64) {
         let Some(term) = self.term(ms) else {
             return;
         };
@@ -334,17 +338,19 @@
         let now = Duration::from_millis(ms);
         let known = self.nodes.len() as u32;
         for proxy in 0..self.nodes.len() {
-            // Statuses come all the time.
-            if !self.is_cut(proxy, ms) && !self.is_down(proxy, ms) {
+            // Reachable proxies send statuses continually.
+            if !self.is_disconnected(proxy, ms) && !self.is_down(proxy, ms) {
                 self.nodes[proxy].last_seen_ms = ms;
                 self.ledger.see(self.nodes[proxy].incarnation, now);
             }
         }
         let is_attached = |node: &&Node| ms < node.last_seen_ms + ATTACHED_TIMEOUT_MS;
         let attached = self.nodes.iter().filter(is_attached).count() as u32;
-        // Far from zero, so that a step back leaves it above the modules' times.
-        const COMMON_TIME_MS: i64 = 1_000_000;
-        let time_ms = COMMON_TIME_MS + ms as i64 + self.scenario.steps_ms[term as usize - 1];
+        // The base is far from zero, so that a step back leaves the common time above the modules'
+        // times.
+        const BASE_TIME_MS: i64 = 1_000_000;
+        let time_ms =
+            BASE_TIME_MS + ms as i64 + self.scenario.coordinator_offsets_ms[term as usize - 1];
         for proxy in 0..self.nodes.len() {
             let body = Body::Heartbeat {
                 time_ms,
@@ -360,51 +366,51 @@
         }
     }
 
-    fn report(&mut self, ms: u64) {
+    fn send_reports(&mut self, ms: u64) {
         for proxy in 0..self.nodes.len() {
             if self.is_down(proxy, ms) {
                 continue;
             }
-            let now = self.clock(proxy, ms);
+            let now = self.local_time(proxy, ms);
             let node = &mut self.nodes[proxy];
             if ms >= node.last_heard_ms + SILENCE_TIMEOUT_MS {
-                node.metered.quota.disconnect();
+                node.metered_proxy.quota.disconnect();
             }
             if !ms.is_multiple_of(REPORT_INTERVAL_MS) {
                 continue;
             }
-            let held = node.metered.quota.take_holding_report(now);
-            let reports = node.metered.quota.take_reports(now);
-            if let Some((term, held)) = held {
-                self.send(ms, proxy, term, Body::Held(held));
+            let holdings = node.metered_proxy.quota.take_holding_report(now);
+            let reports = node.metered_proxy.quota.take_reports(now);
+            if let Some((term, holdings)) = holdings {
+                self.send(ms, proxy, term, Body::HoldingReport(holdings));
             }
             let node = &self.nodes[proxy];
             if reports.is_empty() {
                 continue;
             }
             let term = node.term;
-            if self.random.random_bool(self.scenario.doubled) {
-                self.send_again_late(ms, proxy, term, reports.clone());
+            if self.rng.random_bool(self.scenario.duplicate_probability) {
+                self.send_late_duplicate(ms, proxy, term, reports.clone());
             }
             self.send(ms, proxy, term, Body::Report(reports));
         }
     }
 
-    fn send_again_late(&mut self, ms: u64, proxy: usize, term: u64, reports: Vec<NamedCount>) {
+    fn send_late_duplicate(&mut self, ms: u64, proxy: usize, term: u64, reports: Vec<NamedCount>) {
         let before = self.in_flight.len();
         self.send(ms, proxy, term, Body::Report(reports));
-        let late_by = self.random.random_range(50..1500);
+        let delay_ms = self.rng.random_range(50..1500);
         for message in &mut self.in_flight[before..] {
-            message.due_ms += late_by;
+            message.due_ms += delay_ms;
         }
     }
 
     fn request(&mut self, ms: u64) -> bool {
-        let proxy = self.random.random_range(0..self.nodes.len());
+        let proxy = self.rng.random_range(0..self.nodes.len());
         if self.is_down(proxy, ms) {
             return false;
         }
-        let now = self.clock(proxy, ms);
-        self.nodes[proxy].metered.request(now)
+        let now = self.local_time(proxy, ms);
+        self.nodes[proxy].metered_proxy.request(now)
     }
 }
