--- a/crates/proxy/src/quota/share.rs
+++ b/crates/proxy/src/quota/share.rs
@@ -132,7 +132,7 @@
         bucket.take(units, quota, random, now)
     }
 
-    /// Returns units to the tenant's bucket that the module did not admit after all.
+    /// Puts units back into the tenant's bucket that the module did not admit after all.
     fn return_to_bucket(&mut self, tenant: &str, units: f64) {
         let tenant = self.tenants.get_mut(tenant);
         if let Some((_, bucket)) = tenant.and_then(|tenant| tenant.bucket.as_mut()) {
--- a/crates/proxy/src/quota/token_bucket.rs
+++ b/crates/proxy/src/quota/token_bucket.rs
@@ -17,8 +17,9 @@
 /// The remainder allows for random variation.
 const CAPACITY_FRACTION: f64 = 0.6;
 
-/// Delay before a bucket starts to fill. A coordinator that still runs, but is unreachable for this
-/// proxy, leaves the proxy's share to the others until it detects the loss.
+/// Delay before a bucket starts to fill. If the coordinator still runs and only this proxy cannot
+/// reach it, the other proxies use this proxy's share until the coordinator detects that the proxy
+/// is missing.
 const FILL_DELAY: Duration = Duration::from_millis(350);
 
 /// By how much the operators tolerate quotas to be exceeded.
@@ -131,7 +132,7 @@
         is_admitted
     }
 
-    /// Returns the tokens of units that the module did not admit after all.
+    /// Puts back the tokens of units that the module did not admit after all.
     pub(super) fn undo(&mut self, units: f64) {
         let from_refused = units.min(self.refused);
         self.refused -= from_refused;
--- a/crates/proxy/tests/quota_worlds/main.rs
+++ b/crates/proxy/tests/quota_worlds/main.rs
@@ -21,7 +21,7 @@
 
 /// Returns a scenario with ten proxies, one-way latencies of 1 and 55 ms and demand of eight times
 /// a quota of 490. After 1.1 s without a coordinator another one takes over; `offset_ms` is the
-/// offset between its clock and the modules' slots.
+/// offset of the coordinators' clocks from the modules' slots.
 fn coordinator_change(seed: u64, offset_ms: i64) -> Scenario {
     let mut scenario = Scenario::without_faults(10, 490.0, 8.0);
     scenario.seed = seed;
