--- a/crates/proxy/src/backend_pool.rs
+++ b/crates/proxy/src/backend_pool.rs
@@ -1,4 +1,4 @@
-//! The platform's list as the decision module takes it: what each backend is to this proxy.
+//! The backends known to this proxy, and how each is presented to the decision module.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -13,61 +13,66 @@
 use crate::routing_table::{HomeRegions, RoutingTable};
 use crate::slow_start::{SlowStart, WarmUp};
 
-/// A backend's weight by where it is: a round trip between regions takes longer than most work and is paid for; another
-/// zone costs a little; of many in the region this proxy keeps to its subset, so that its connections are used.
+/// Weight of a backend by its location. A round trip between regions takes longer than most
+/// requests and costs money; one between zones costs little. Within the region, the proxy prefers
+/// its subset of the backends so that its connections are reused.
 const SAME_ZONE_WEIGHT: f64 = 10.0;
 const SAME_REGION_WEIGHT: f64 = 8.0;
 const OUTSIDE_SUBSET_WEIGHT: f64 = 1.0;
 const OTHER_REGION_WEIGHT: f64 = 0.1;
-/// A proxy's subset of its region's backends has so many times the slots that are its share by number, and at least so
-/// many backends: enough for its surges and for the loss of some.
+/// A proxy's subset of the backends in its region has at least `SUBSET_HEADROOM` times the slots of
+/// an equal share and at least `MIN_SUBSET_BACKENDS` backends: enough for its surges and for the
+/// loss of some backends.
 const SUBSET_HEADROOM: f64 = 1.5;
-const LEAST_SUBSET: usize = 8;
-/// Requests that the module reckons with at a backend at least, from all gateways, and how many a slot is to have: some
-/// wait in the backend's queue, so that no slot is idle for a round trip.
-const LEAST_REQUESTS: f64 = 5.0;
+const MIN_SUBSET_BACKENDS: usize = 8;
+/// The module assumes at least `MIN_REQUESTS_PER_BACKEND` requests at a backend from all gateways.
+/// `REQUESTS_PER_SLOT` is the targeted number of requests per slot; some requests wait in the
+/// backend's queue so that no slot is idle for a round trip.
+const MIN_REQUESTS_PER_BACKEND: f64 = 5.0;
 const REQUESTS_PER_SLOT: f64 = 1.5;
-/// A zone that was evacuated may have begun to warm up just before it was taken back: the list reports it this late.
-const EVACUATION_WARM_UP: Duration = Duration::from_millis(2200);
+/// Delay until the platform's list reports the warm-up of backends in a zone that was returned to
+/// service. They may have begun to warm up just before.
+const REJOIN_WARM_UP: Duration = Duration::from_millis(2200);
 
-/// This proxy's position among the ready ones of its region.
+/// Position of this proxy among the ready proxies of its region.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RegionPosition {
-    /// From 0, in the order of their names.
+    /// Zero-based position in the order of the proxies' names.
     pub position: u32,
-    /// How many they are.
+    /// Number of ready proxies in the region.
     pub proxies: u32,
 }
 
-/// The backends that this proxy knows.
+/// The backends known to this proxy.
 #[derive(Debug, Default)]
 pub struct BackendPool {
     zone: String,
     region: String,
     regions: BTreeMap<String, String>,
     backends: Vec<Backend>,
-    /// The module's numbers for the backends.
+    /// The module's ids of the backends, by platform id.
     ids: HashMap<String, BackendId>,
     last_id: u32,
     slow_start: SlowStart,
     evacuated_zones: Vec<String>,
     region_position: RegionPosition,
-    /// What all proxies report to each other of the backends, where they do.
+    /// Load reports exchanged among the proxies; `None` if disabled.
     load_reports: Option<LoadReports>,
 }
 
-/// A backend, and what the module is told of it.
+/// A backend and its entry in the module's backend list.
 pub struct PooledBackend {
-    /// What the module is told.
+    /// Entry in the module's backend list.
     pub entry: BackendEntry,
-    /// Where it takes requests.
+    /// Address on which the backend receives requests.
     pub address: SocketAddr,
-    /// Its id in the platform's list.
+    /// Id in the platform's list.
     pub name: Arc<str>,
 }
 
 impl BackendPool {
-    /// An empty pool of a proxy in that zone and region; `regions`: the region of each zone.
+    /// Creates an empty pool for a proxy in the given zone and region. `regions` maps each zone to
+    /// its region.
     pub fn new(zone: &str, region: &str, regions: BTreeMap<String, String>) -> Self {
         BackendPool {
             zone: zone.into(),
@@ -77,8 +82,8 @@
         }
     }
 
-    /// Takes a new list: a backend that was restarted is another one, at whatever address. `random` gives numbers from 0
-    /// to 1.
+    /// Replaces the list of backends. A restarted backend is a different backend, whatever its
+    /// address. `random` returns numbers from 0 to 1.
     pub fn update(
         &mut self,
         backends: Vec<Backend>,
@@ -98,18 +103,19 @@
                 BackendId(self.last_id)
             });
             let warm_up = WarmUp {
-                left: Duration::from_millis(backend.warm_up_left_ms),
+                remaining: Duration::from_millis(backend.warm_up_left_ms),
                 rate_per_s: routing_table.warm_up_rate(&backend.service),
             };
-            self.slow_start.learn(id, warm_up, random(), now);
+            self.slow_start.record_warm_up(id, warm_up, random(), now);
         }
-        self.slow_start.forget_warm(now);
+        self.slow_start.remove_warm(now);
         if let Some(load_reports) = &mut self.load_reports {
             load_reports.update_backends(&self.backends, &self.ids);
         }
     }
 
-    /// Takes the zones that are evacuated; one that is taken back warms up until the list has had time to report it.
+    /// Sets the evacuated zones. Backends of a zone that is returned to service are treated as
+    /// warming up until the platform's list has had time to report their warm-up.
     pub fn evacuate(
         &mut self,
         routing_table: &RoutingTable,
@@ -117,50 +123,50 @@
         random: &mut dyn FnMut() -> f64,
     ) {
         let before = std::mem::take(&mut self.evacuated_zones);
-        let is_taken_back =
+        let is_rejoining =
             |zone: &String| before.contains(zone) && !routing_table.evacuated.contains(zone);
         for backend in self
             .backends
             .iter()
-            .filter(|backend| is_taken_back(&backend.zone))
+            .filter(|backend| is_rejoining(&backend.zone))
         {
             let warm_up = WarmUp {
-                left: EVACUATION_WARM_UP,
+                remaining: REJOIN_WARM_UP,
                 rate_per_s: routing_table.warm_up_rate(&backend.service),
             };
             self.slow_start
-                .learn(self.ids[&backend.id], warm_up, random(), now);
+                .record_warm_up(self.ids[&backend.id], warm_up, random(), now);
         }
         self.evacuated_zones = routing_table.evacuated.iter().cloned().collect();
     }
 
-    /// Backends that warm up share their rates among so many proxies.
+    /// Sets the number of proxies that share the request rates of backends that warm up.
     pub fn set_proxies(&mut self, proxies: u32) {
         self.slow_start.set_proxies(proxies);
     }
 
-    /// The backends that warm up, by the rules of the slow start.
+    /// Returns the slow start of backends that warm up.
     pub fn slow_start(&mut self) -> &mut SlowStart {
         &mut self.slow_start
     }
 
-    /// What proxies report to each other of the backends; `None` where they do not.
+    /// Returns the load reports exchanged among the proxies, or `None` if disabled.
     pub fn load_reports(&mut self) -> Option<&mut LoadReports> {
         self.load_reports.as_mut()
     }
 
-    /// Has load reports change the weights from now on.
+    /// Enables load reports, which adjust the weights from now on.
     pub fn enable_load_reports(&mut self, load_reports: LoadReports) {
         self.load_reports = Some(load_reports);
     }
 
-    /// Sets this proxy's position in its region, by which it has its subset of the backends.
+    /// Sets this proxy's position in its region, which determines its subset of the backends.
     pub fn set_region_position(&mut self, region_position: RegionPosition) {
         self.region_position = region_position;
     }
 
-    /// Whether a real backend has that address now.
-    pub fn is_real(&self, address: SocketAddr) -> bool {
+    /// Returns whether a backend in the current list has this address.
+    pub fn has_address(&self, address: SocketAddr) -> bool {
         self.backends
             .iter()
             .any(|backend| SocketAddr::from(backend.address) == address)
@@ -170,19 +176,19 @@
         self.regions.get(zone).map_or("", |region| region)
     }
 
-    /// Whether a backend may serve what has these home regions.
+    /// Returns whether a backend may serve requests with these home regions.
     fn is_allowed(&self, backend: &Backend, homes: &HomeRegions) -> bool {
         let homes = homes.as_ref();
         homes.is_none_or(|homes| homes.contains(self.region_of(&backend.zone)))
     }
 
-    /// Whether any backend of a service may serve what has these home regions.
-    pub fn has(&self, service: &str, homes: &HomeRegions) -> bool {
+    /// Returns whether any backend of a service may serve requests with these home regions.
+    pub fn has_backends(&self, service: &str, homes: &HomeRegions) -> bool {
         let mut backends = self.backends.iter();
         backends.any(|backend| backend.service == service && self.is_allowed(backend, homes))
     }
 
-    /// The backends of a service that may serve what has these home regions.
+    /// Returns the backends of a service that may serve requests with these home regions.
     pub fn backends(
         &self,
         service: &str,
@@ -200,8 +206,9 @@
             .collect()
     }
 
-    /// This proxy's subset of a service's backends in its region: in an order by hash, so that zones and speeds mix, each
-    /// proxy takes its backends from where the one before it ended. All are covered as evenly as can be.
+    /// Returns this proxy's subset of a service's backends in its region. Backends are ordered by
+    /// hash, which mixes zones and speeds. Each proxy's subset starts where the subset of the proxy
+    /// before it ends, so the backends are covered as evenly as possible.
     pub fn subset(&self, service: &str) -> HashSet<&str> {
         let is_in_region = |backend: &&Backend| {
             backend.service == service && self.region_of(&backend.zone) == self.region
@@ -217,7 +224,9 @@
             .sum();
         let RegionPosition { position, proxies } = self.region_position;
         let share = SUBSET_HEADROOM * slots / f64::from(proxies.max(1));
-        let size = (share.ceil() as usize).max(LEAST_SUBSET).min(ring.len());
+        let size = (share.ceil() as usize)
+            .max(MIN_SUBSET_BACKENDS)
+            .min(ring.len());
         let first = position as usize * size;
         let indices = (first..first + size).map(|index| index % ring.len());
         indices.map(|index| ring[index].1.id.as_str()).collect()
@@ -226,11 +235,11 @@
     fn pooled(&self, backend: &Backend, subset: &HashSet<&str>, now: Duration) -> PooledBackend {
         let id = self.ids[&backend.id];
         let is_evacuated = self.evacuated_zones.contains(&backend.zone);
-        let is_closed = backend.draining || is_evacuated || !self.slow_start.is_open(id, now);
+        let is_unavailable = backend.draining || is_evacuated || !self.slow_start.is_open(id, now);
         let zone = self.regions.keys().position(|zone| *zone == backend.zone);
         let entry = BackendEntry {
             backend_id: id,
-            health: if is_closed {
+            health: if is_unavailable {
                 Health::Draining
             } else {
                 Health::Up
@@ -249,7 +258,7 @@
     }
 
     fn weight(&self, backend: &Backend, subset: &HashSet<&str>) -> f64 {
-        let by_place = if self.region_of(&backend.zone) != self.region {
+        let location_weight = if self.region_of(&backend.zone) != self.region {
             OTHER_REGION_WEIGHT
         } else if !subset.contains(backend.id.as_str()) {
             OUTSIDE_SUBSET_WEIGHT
@@ -259,13 +268,14 @@
             SAME_REGION_WEIGHT
         };
         let load_reports = self.load_reports.as_ref();
-        let by_load =
+        let load_factor =
             load_reports.map_or(1.0, |reports| reports.factor(&backend.service, &backend.id));
-        by_place * by_load
+        location_weight * load_factor
     }
 
-    /// How many gateways the module is to reckon with: it divides a backend's requests among them. Those that matter are
-    /// the `nearby` ones, for all prefer their own region's backends.
+    /// Returns the number of gateways for the module's settings; the module divides a backend's
+    /// requests among that many. Only the `nearby` proxies are counted, because every proxy prefers
+    /// the backends of its own region.
     pub fn gateways(&self, service: &str, nearby: u32) -> u32 {
         let backends = self
             .backends
@@ -277,12 +287,13 @@
         } else {
             slots.iter().sum::<f64>() / slots.len() as f64
         };
-        let gateways = LEAST_REQUESTS * f64::from(nearby.max(1)) / (mean * REQUESTS_PER_SLOT);
+        let gateways =
+            MIN_REQUESTS_PER_BACKEND * f64::from(nearby.max(1)) / (mean * REQUESTS_PER_SLOT);
         (gateways as u32).max(1)
     }
 
-    /// A backend's entry once its turn is used while it warms up.
-    pub fn closed_entry(&self, id: BackendId, now: Duration) -> Option<BackendEntry> {
+    /// Returns the entry of a backend that warms up after its turn has been used.
+    pub fn unavailable_entry(&self, id: BackendId, now: Duration) -> Option<BackendEntry> {
         let mut backends = self.backends.iter();
         let backend = backends.find(|backend| self.ids.get(&backend.id) == Some(&id))?;
         let subset = self.subset(&backend.service);
@@ -292,7 +303,7 @@
         })
     }
 
-    /// Whether no backend is known.
+    /// Returns whether no backends are known.
     pub fn is_empty(&self) -> bool {
         self.backends.is_empty()
     }
--- a/crates/proxy/src/coordinator.rs
+++ b/crates/proxy/src/coordinator.rs
@@ -1,31 +1,33 @@
-//! Who the coordinator is, and the common time by its clock, as the heartbeats of all registries report. Free of I/O.
+//! Tracks the coordinator and the common time (its clock) from the heartbeats of all registries.
+//! Free of I/O.
 //!
-//! Terms only rise: what a registry reports under an earlier term than the highest known comes from one that has lost the
-//! lease and does not know it, or from one that has not heard of the change. It changes nothing.
+//! Terms only increase. A report of a term lower than the highest known one comes from a registry
+//! that has lost the lease without noticing, or that has not learned of the new coordinator. Such
+//! reports are ignored.
 
 use damsonbeam_control::address::Ip;
 use damsonbeam_control::messages::{Heartbeat, LeaseHolder};
 use tokio::time::Instant;
 
-/// The common time as a coordinator reported it.
+/// The common time as reported by a coordinator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CommonTime {
-    /// When the report came.
+    /// When the report was received.
     pub received_at: Instant,
-    /// The common time then, in milliseconds.
+    /// Common time at receipt, in milliseconds.
     pub time_ms: u64,
-    /// The coordinator's term.
+    /// Term of the coordinator.
     pub term: u64,
 }
 
 impl CommonTime {
-    /// The common time now, in milliseconds.
+    /// Returns the current common time in milliseconds.
     pub fn now_ms(&self) -> u64 {
         self.time_ms + self.received_at.elapsed().as_millis() as u64
     }
 }
 
-/// The coordinator of the highest term known.
+/// The coordinator with the highest known term.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Coordinator {
     holder: Option<LeaseHolder>,
@@ -33,22 +35,22 @@
 }
 
 impl Coordinator {
-    /// Its machine; `None`: no coordinator is known.
+    /// Returns the coordinator's IP address, or `None` if no coordinator is known.
     pub fn ip(&self) -> Option<Ip> {
         self.holder.map(|holder| holder.ip)
     }
 
-    /// The highest term known; 0: none.
+    /// Returns the highest known term; 0 if none is known.
     pub fn term(&self) -> u64 {
         self.holder.map_or(0, |holder| holder.term)
     }
 
-    /// The common time; `None`: no coordinator has reported it.
+    /// Returns the common time, or `None` if no coordinator has reported it.
     pub fn time(&self) -> Option<CommonTime> {
         self.time
     }
 
-    /// Takes a heartbeat of a registry; returns whether it is the coordinator's own.
+    /// Records a registry's heartbeat; returns whether the registry is the coordinator itself.
     pub fn observe(&mut self, from: Ip, heartbeat: &Heartbeat, now: Instant) -> bool {
         let Some(holder) = heartbeat.coordinator else {
             return false;
--- a/crates/proxy/src/dispatch/limits.rs
+++ b/crates/proxy/src/dispatch/limits.rs
@@ -1,4 +1,5 @@
-//! What a service's attempts use up that all proxies share: the retry budget, and the turns of backends that warm up.
+//! Limits on a service's attempts that all proxies share: the retry budget and the slow start of
+//! backends.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -11,7 +12,7 @@
 use crate::backend_pool::BackendPool;
 use crate::retry_budget::RetryBudget;
 
-/// What the attempts of one service use up that all proxies share.
+/// Applies the shared limits to the attempts of one service.
 pub(super) struct SharedLimits {
     pub(super) service: String,
     pub(super) backend_pool: Rc<RefCell<BackendPool>>,
@@ -21,18 +22,18 @@
 
 impl AttemptPolicy for SharedLimits {
     fn may_retry(&mut self, _: Duration) -> bool {
-        self.retry_budget.borrow_mut().spend(&self.service)
+        self.retry_budget.borrow_mut().try_spend(&self.service)
     }
 
     fn before_attempt(&mut self, backend: BackendId, now: Duration) -> AttemptDecision {
         let mut pool = self.backend_pool.borrow_mut();
-        let was_warming = pool.slow_start().is_warming(backend, now);
+        let was_warming_up = pool.slow_start().is_warming_up(backend, now);
         let allowed = pool.slow_start().take_turn(backend, now);
         if let Some(load_reports) = pool.load_reports().filter(|_| allowed) {
             load_reports.attempt_sent(backend, now);
         }
-        let health_change = if was_warming {
-            pool.closed_entry(backend, now)
+        let health_change = if was_warming_up {
+            pool.unavailable_entry(backend, now)
         } else {
             None
         };
@@ -54,7 +55,8 @@
         }
     }
 
-    /// Told to end, a proxy waits for what its backends work on: the budget may allow no second attempt.
+    /// Returns whether attempts may be cancelled. During shutdown, the proxy waits for running
+    /// attempts because the retry budget may not allow a second one.
     fn may_cancel(&self) -> bool {
         !self.phase.get().closes_connections()
     }
--- a/crates/proxy/src/dispatch/mod.rs
+++ b/crates/proxy/src/dispatch/mod.rs
@@ -1,5 +1,6 @@
-//! The decision module as the system runs it: one instance for each service, home regions and number of attempts, each
-//! with the backends that may serve what comes to it. Operations are distinguished by what the module reads of a route.
+//! Manages instances of the decision module, one for each combination of service, home regions and
+//! maximum number of attempts. Each instance has the backends that may serve its requests. Its
+//! operations correspond to the distinct route properties that the module reads.
 
 mod limits;
 mod module_settings;
@@ -26,23 +27,23 @@
 pub use module_settings::repeat;
 use module_settings::{TICK, module_settings, operation_settings};
 
-/// Events that wait for a module at most.
+/// Capacity of a module's event queue.
 const EVENT_QUEUE_CAPACITY: usize = 4096;
-/// Slots of a window and the longest in seconds, as the module cuts them.
+/// Number of slots into which the module divides a window, and the maximum slot length in seconds.
 const SLOTS_PER_WINDOW: f64 = 2.0;
-const LONGEST_SLOT_S: f64 = 8.0;
-/// The plan of a request without a tenant.
+const MAX_SLOT_S: f64 = 8.0;
+/// Plan of a request without a tenant.
 pub const NO_PLAN: PlanId = PlanId(usize::MAX);
 
-/// A module's call to the shared counts, and where its answer goes.
+/// A module's call to the shared counts, with the recipient of the answer.
 pub struct CountCall {
-    /// The call.
+    /// The call to the counts.
     pub call: ToCounter,
-    /// The module that made it.
+    /// The module that made the call.
     pub answer_to: mpsc::Sender<ToDispatcher>,
 }
 
-/// What distinguishes module instances.
+/// Key of a module instance.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct DispatcherKey {
     service: String,
@@ -50,7 +51,7 @@
     max_attempts: u32,
 }
 
-/// What the module reads of a route.
+/// The route properties that the module reads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct OperationKey {
     kind: RouteKind,
@@ -58,7 +59,7 @@
     timeout_ms: u64,
 }
 
-/// A module instance.
+/// A running module instance.
 struct DispatcherHandle {
     service: String,
     homes: HomeRegions,
@@ -74,7 +75,7 @@
         self.events.try_send(ToDispatcher::Settings(settings)).ok();
     }
 
-    /// The operation of a route; a new one is added to the settings.
+    /// Returns the operation of a route, adding it to the settings if necessary.
     fn operation(&mut self, route: &Route) -> OperationId {
         let key = OperationKey {
             kind: route.kind,
@@ -93,33 +94,33 @@
     }
 }
 
-/// The module that takes a request, and the request's operation there.
+/// The module instance and operation for a request.
 pub struct DispatchTarget {
-    /// The module.
+    /// Event queue of the module.
     pub events: mpsc::Sender<ToDispatcher>,
-    /// The operation.
+    /// Operation of the request in that module.
     pub operation: OperationId,
 }
 
-/// What all module instances share.
+/// State shared by all module instances.
 pub struct SharedParts {
-    /// The backends.
+    /// Known backends.
     pub backend_pool: Rc<RefCell<BackendPool>>,
-    /// The budget of retries.
+    /// Retry budget of this proxy.
     pub retry_budget: Rc<RefCell<RetryBudget>>,
-    /// The connections to backends.
+    /// Connections to the backends.
     pub connection_pools: Rc<ConnectionPools>,
-    /// The modules' clock.
+    /// Clock of the modules.
     pub clock: Clock,
-    /// What is counted for operators.
+    /// Counters for operators.
     pub figures: Figures,
-    /// Where calls to the shared counts go.
+    /// Sender for calls to the shared counts.
     pub counts: mpsc::Sender<CountCall>,
-    /// The phase of the process.
+    /// Phase of the process.
     pub phase: CurrentPhase,
 }
 
-/// All module instances.
+/// All module instances of this proxy.
 pub struct Dispatchers {
     shared: SharedParts,
     nearby_proxies: u32,
@@ -128,7 +129,7 @@
 }
 
 impl Dispatchers {
-    /// No module instances yet; they are made as requests need them.
+    /// Creates an empty set; module instances are started when requests need them.
     pub fn new(shared: SharedParts) -> Self {
         Dispatchers {
             shared,
@@ -138,22 +139,31 @@
         }
     }
 
-    /// Whether a real backend has that address now.
+    /// Returns whether a backend in the current list has this address.
     pub fn is_real(&self, address: std::net::SocketAddr) -> bool {
-        self.shared.backend_pool.borrow().is_real(address)
+        self.shared.backend_pool.borrow().has_address(address)
     }
 
-    /// The module for a request on a route to a service; `None` where there is no backend that may serve it.
+    /// Returns the module instance for a request on a route to a service, or `None` if no backend
+    /// may serve it. Each request earns a part of a retry.
     pub fn dispatch(
         &mut self,
         route: &Route,
         service: String,
         homes: &HomeRegions,
     ) -> Option<DispatchTarget> {
-        if !self.shared.backend_pool.borrow().has(&service, homes) {
+        if !self
+            .shared
+            .backend_pool
+            .borrow()
+            .has_backends(&service, homes)
+        {
             return None;
         }
-        self.shared.retry_budget.borrow_mut().earn(&service);
+        self.shared
+            .retry_budget
+            .borrow_mut()
+            .record_request(&service);
         let key = DispatcherKey {
             service,
             homes: homes.as_ref().map(|homes| homes.iter().cloned().collect()),
@@ -197,7 +207,7 @@
             }),
             own_mailbox: module.clone(),
             attempt_policy: Some(Box::new(limits)),
-            counter: Some(self.start_count_calls(module.clone())),
+            counter: Some(self.forward_count_calls(module.clone())),
             list_watcher: mpsc::channel(1).0,
             peers: None,
             peer_admissions: None,
@@ -217,7 +227,7 @@
         };
         let backends = self.send_backends_to(&dispatcher);
         log::info!(
-            "dispatcher: {} for homes {:?}, {} attempts, {backends} backends.",
+            "dispatcher: started for service {}, home regions {:?}, {} attempts, {backends} backends.",
             key.service,
             key.homes,
             key.max_attempts
@@ -225,8 +235,8 @@
         dispatcher
     }
 
-    /// Marks a module's calls to the counts with where their answers go.
-    fn start_count_calls(&self, module: mpsc::Sender<ToDispatcher>) -> mpsc::Sender<ToCounter> {
+    /// Starts a task that adds the answer's recipient to a module's calls to the counts.
+    fn forward_count_calls(&self, module: mpsc::Sender<ToDispatcher>) -> mpsc::Sender<ToCounter> {
         let (sender, mut calls) = mpsc::channel(EVENT_QUEUE_CAPACITY);
         let counts = self.shared.counts.clone();
         tokio::task::spawn_local(async move {
@@ -240,7 +250,7 @@
         sender
     }
 
-    /// Sends a module its backends as they are now; returns how many.
+    /// Sends a module its current backends; returns their number.
     fn send_backends_to(&self, dispatcher: &DispatcherHandle) -> usize {
         let pool = self.shared.backend_pool.borrow();
         let now = self.shared.clock.now();
@@ -260,19 +270,20 @@
             .try_send(ToDispatcher::BackendList(listed))
             .is_err()
         {
-            log::warn!("dispatcher: no room for a new list.");
+            log::warn!("dispatcher: event queue is full; backend list not sent.");
         }
         count
     }
 
-    /// Sends all modules their backends as they are now.
+    /// Sends all modules their current backends.
     pub fn send_backends(&self) {
         for dispatcher in self.dispatchers.values() {
             self.send_backends_to(dispatcher);
         }
     }
 
-    /// Sends all modules a message that the process ends; what they had unanswered comes back.
+    /// Sends all modules a message about the end of the process; returns receivers for their
+    /// unanswered requests.
     pub fn send_end(
         &self,
         message: impl Fn(oneshot::Sender<Unanswered>) -> ToDispatcher,
@@ -285,20 +296,21 @@
         self.dispatchers.values().filter_map(send).collect()
     }
 
-    /// The plan of a tenant.
+    /// Returns the plan of a tenant, or [`NO_PLAN`] if the tenant is unknown.
     pub fn plan(&self, tenant: &str) -> PlanId {
         let position = self.plans.iter().position(|plan| &*plan.name == tenant);
         position.map_or(NO_PLAN, PlanId)
     }
 
-    /// Takes a new configuration. Plans stay at their positions, by which requests under way name them.
+    /// Applies a new configuration. Plans keep their positions because requests in progress refer
+    /// to plans by position.
     pub fn follow(&mut self, table: &RoutingTable) {
         for tenant in &table.tenants {
             let is_limited = tenant.rate_per_s > 0.0;
             let burst = if tenant.burst > 0.0 {
                 tenant.burst
             } else {
-                // A burst of 0 is a second's worth: some must be admitted at once.
+                // A burst of 0 means one second's worth, as a burst is needed to admit any request.
                 tenant.rate_per_s
             };
             let plan = Plan {
@@ -317,12 +329,13 @@
         self.update_settings();
     }
 
-    /// Tenants with a quota: their rates, and the lengths in seconds of the slots in which the module counts them.
+    /// Returns the tenants with quotas, each with its rate and the length in seconds of the slots
+    /// in which the module counts it.
     pub fn slots(&self) -> Vec<(String, f64, f64)> {
         let limited = self.plans.iter().filter(|plan| plan.rate > 0.0);
         let slot_s = |plan: &Plan| {
             let window_s = plan.burst / plan.rate;
-            (window_s / SLOTS_PER_WINDOW).clamp(TICK.as_secs_f64(), LONGEST_SLOT_S)
+            (window_s / SLOTS_PER_WINDOW).clamp(TICK.as_secs_f64(), MAX_SLOT_S)
         };
         limited
             .map(|plan| (plan.name.to_string(), plan.rate, slot_s(plan)))
@@ -337,7 +350,7 @@
         }
     }
 
-    /// Sends new settings to the modules whose settings have changed.
+    /// Sends new settings to modules whose settings have changed.
     pub fn update_settings(&mut self) {
         let pool = self.shared.backend_pool.borrow();
         for dispatcher in self.dispatchers.values_mut() {
--- a/crates/proxy/src/dispatch/module_settings.rs
+++ b/crates/proxy/src/dispatch/module_settings.rs
@@ -1,20 +1,22 @@
-//! The settings of a decision module, from the configuration.
+//! Builds the settings of a decision module from the configuration.
 
 use std::time::Duration;
 
 use damsonbeam::interface::{Counter, InForce, Limits, Operation, Plan, PlanId, Repeat, Settings};
 use damsonbeam_control::config::{Route, RouteKind};
 
-/// The module takes events that come within this for simultaneous.
+/// The module treats events within this interval as simultaneous.
 pub(super) const TICK: Duration = Duration::from_millis(1);
-/// The counts are answered at once: the module's timeout for one only has to be longer than its queue.
+/// Timeout of a call to the counts. The counts answer immediately, so the timeout only has to
+/// exceed the queueing delay.
 const COUNT_TIMEOUT: Duration = Duration::from_millis(100);
-/// Clients are advised to come back after this at most.
+/// Maximum retry delay that clients are advised to wait.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(1);
-/// The part of a request's value that a late answer keeps, where nobody says: some, so that late ones are still tried.
+/// Default fraction of a request's value that a late answer keeps. It is above 0 so that late
+/// requests are still attempted.
 const LATE_VALUE: f64 = 0.5;
 
-/// Whether a request on a route of that kind may run more than once.
+/// Returns whether a request on a route of this kind may run more than once.
 pub fn repeat(kind: RouteKind) -> Repeat {
     match kind {
         RouteKind::ReadOnly => Repeat::Idempotent,
--- a/crates/proxy/src/freshness.rs
+++ b/crates/proxy/src/freshness.rs
@@ -1,52 +1,56 @@
-//! Whether a proxy that has just started may serve with what the registries have sent it. Free of I/O.
+//! Decides whether a proxy that has just started may serve with the state it received from
+//! registries. Free of I/O.
 //!
-//! A registry that is out of contact with a majority of the voters may send an old configuration and an old list of
-//! backends. A proxy that has served goes on with what it has, merged by version. A fresh one waits for a registry in
-//! contact that has nothing beyond what it was sent; only where none is found in [`FALLBACK_AFTER`] it serves with what
-//! there is.
+//! A registry that is out of contact with the majority of the voters may send an old configuration
+//! and an old list of backends. A proxy that is already serving continues with its own state,
+//! merged by version. A new proxy waits for a registry in contact whose state it has received
+//! completely. If it finds none within [`FALLBACK_AFTER`], it serves with the state it has.
 //!
-//! How the rules hold then: each route, key and home region that it follows was in force once (ROUTE, HOME); the quotas
-//! are shared among [`crate::quota::ASSUMED_PROXIES`] proxies at least, whatever the registry has met (QUOTA); requests
-//! name the backend's start, so an address used again runs nothing; and a machine whose only registries are cut off from
-//! most of the core is not in touch (CONFIG, EVAC, DRAIN). Once a registry in contact is met, its newer items prevail, and
-//! nothing goes back.
+//! The guarantees hold in this case as well. Each route, key and home region in use was in force at
+//! some time (ROUTE, HOME). Quotas are shared among at least [`crate::quota::ASSUMED_PROXIES`]
+//! proxies, however many the registry knows (QUOTA). Requests name the start of the target backend,
+//! so a reused address executes nothing. A machine whose registries are all cut off from most of
+//! the core counts as out of contact for CONFIG, EVAC and DRAIN. Once a registry in contact is
+//! found, its newer items take precedence, and no item returns to an older version.
 
 use std::time::Duration;
 
-/// A proxy that could serve looks for a registry in contact for this long.
+/// How long a proxy that could serve waits for a registry in contact.
 pub const FALLBACK_AFTER: Duration = Duration::from_millis(2500);
 
-/// What a proxy begins to serve with.
+/// The state with which a proxy begins to serve.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Basis {
-    /// What a registry in contact had.
+    /// State confirmed by a registry in contact.
     Current,
-    /// What registries out of contact had.
+    /// State from registries out of contact only.
     PossiblyOld,
 }
 
-/// What is known of the registries' state.
+/// What is known about the state of the registries.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Freshness {
     has_current_items: bool,
     has_current_list: bool,
-    /// Since when there has been something to serve.
+    /// When a servable state was first complete.
     complete_since: Option<Duration>,
 }
 
 impl Freshness {
-    /// Takes a registry's heartbeat: whether it is in contact, and whether the proxy has all of its items and its list.
+    /// Records a registry's heartbeat: whether the registry is in contact, and whether the proxy
+    /// has all its items and its list of backends.
     pub fn observe(&mut self, in_contact: bool, has_its_items: bool, has_its_list: bool) {
         self.has_current_items |= in_contact && has_its_items;
         self.has_current_list |= in_contact && has_its_list;
     }
 
-    /// Whether a registry in contact had nothing beyond what the proxy was sent.
+    /// Returns whether the proxy has the complete state of a registry in contact.
     pub fn is_current(&self) -> bool {
         self.has_current_items && self.has_current_list
     }
 
-    /// Whether to begin to serve, and with what; `is_complete`: there are routes and backends.
+    /// Returns whether to begin to serve, and with which state. `is_complete` says whether routes
+    /// and backends are known.
     pub fn may_serve(&mut self, is_complete: bool, now: Duration) -> Option<Basis> {
         if !is_complete {
             return None;
--- a/crates/proxy/src/retry_budget.rs
+++ b/crates/proxy/src/retry_budget.rs
@@ -1,11 +1,13 @@
-//! The retry budget that all proxies share, by service: this one's share of it. Each request earns a part of a retry;
-//! what is saved up is this proxy's share of the slack, so the sum over all proxies stays within the bound in any window:
-//! at most all slacks at once, and the ratio of the window's requests.
+//! This proxy's share of the retry budgets, which all proxies share and which exist for each
+//! service. Each request earns a fraction of a retry. Accumulated retries are capped at this
+//! proxy's share of the slack, so the retries of all proxies in any window stay within
+//! `slack + ratio * requests`.
 
 use std::collections::HashMap;
 
-/// The part of the budget that is used: a proxy that starts while another is still counted adds its share.
-const USED_PART: f64 = 0.7;
+/// Fraction of the budget that is used. The margin covers a proxy that starts and adds its share
+/// while a departed proxy is still counted.
+const USED_FRACTION: f64 = 0.7;
 
 /// This proxy's share of the retry budget.
 #[derive(Debug)]
@@ -13,17 +15,17 @@
     ratio: f64,
     slack: f64,
     proxies: f64,
-    saved: HashMap<String, f64>,
+    available: HashMap<String, f64>,
 }
 
 impl RetryBudget {
-    /// A budget of `ratio` retries a request, and `slack` retries beyond.
+    /// Creates a budget of `ratio` retries per request plus `slack` retries.
     pub fn new(ratio: f64, slack: f64) -> Self {
         RetryBudget {
-            ratio: ratio * USED_PART,
-            slack: slack * USED_PART,
+            ratio: ratio * USED_FRACTION,
+            slack: slack * USED_FRACTION,
             proxies: 1.0,
-            saved: HashMap::new(),
+            available: HashMap::new(),
         }
     }
 
@@ -34,30 +36,34 @@
     /// Sets the number of proxies that share the slack.
     pub fn set_proxies(&mut self, proxies: u32) {
         self.proxies = f64::from(proxies.max(1));
-        let most = self.own_slack();
-        self.saved
+        let max_available = self.own_slack();
+        self.available
             .values_mut()
-            .for_each(|saved| *saved = saved.min(most));
+            .for_each(|available| *available = available.min(max_available));
     }
 
-    /// A request for a service has come.
-    pub fn earn(&mut self, service: &str) {
-        let most = self.own_slack().max(1.0);
-        if let Some(saved) = self.saved.get_mut(service) {
-            *saved = (*saved + self.ratio).min(most);
+    /// Records a request for a service, which earns a fraction of a retry.
+    pub fn record_request(&mut self, service: &str) {
+        let max_available = self.own_slack().max(1.0);
+        if let Some(available) = self.available.get_mut(service) {
+            *available = (*available + self.ratio).min(max_available);
             return;
         }
-        // A proxy that has just started has none of the slack: it may have used it just before its restart.
-        self.saved.insert(service.to_owned(), self.ratio);
+        // A proxy that has just started gets none of the slack, since it may have used its share
+        // just before a restart.
+        self.available.insert(service.to_owned(), self.ratio);
     }
 
-    /// Spends a retry for a service; returns whether it is within this proxy's share.
-    pub fn spend(&mut self, service: &str) -> bool {
-        let saved = self.saved.get_mut(service).filter(|saved| **saved >= 1.0);
-        let Some(saved) = saved else {
+    /// Spends a retry for a service; returns whether this proxy's share allows it.
+    pub fn try_spend(&mut self, service: &str) -> bool {
+        let available = self
+            .available
+            .get_mut(service)
+            .filter(|available| **available >= 1.0);
+        let Some(available) = available else {
             return false;
         };
-        *saved -= 1.0;
+        *available -= 1.0;
         true
     }
 }
--- a/crates/proxy/src/routing_table.rs
+++ b/crates/proxy/src/routing_table.rs
@@ -1,4 +1,5 @@
-//! The configuration in force as requests are read by it: routes by host and prefix, tenants by key.
+//! Index of the configuration in force for routing requests: routes by host and path prefix,
+//! tenants by API key.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, HashMap};
@@ -9,48 +10,49 @@
     Tenant,
 };
 
-/// Regions in which something may be served; `None`: anywhere.
+/// Regions that may serve a request; `None` if there is no restriction.
 pub type HomeRegions = Option<BTreeSet<String>>;
 
-/// The configuration in force.
+/// The configuration in force, indexed for routing.
 #[derive(Clone, Debug, Default)]
 pub struct RoutingTable {
-    /// By host, the longest prefix first.
+    /// Routes by host, longest prefix first.
     routes: HashMap<String, Vec<Rc<Route>>>,
     tenants_by_key: HashMap<String, Rc<Tenant>>,
     /// All tenants.
     pub tenants: Vec<Rc<Tenant>>,
     services: HashMap<String, Service>,
-    /// Zones that get no requests.
+    /// Zones that receive no requests.
     pub evacuated: BTreeSet<String>,
-    /// Timeouts of client connections, where they are configured.
+    /// Limits and timeouts of client connections, if configured.
     pub limits: Option<ConnectionLimits>,
-    /// Mirror rules whose trial services are none of the real ones.
+    /// Mirror rules whose trial service is not a real service.
     pub mirror_rules: Vec<MirrorRule>,
 }
 
-/// Why a request is not routed.
+/// Reason why a request is not routed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RoutingError {
-    /// No route has its host and a prefix of its path.
+    /// No route has the request's host and a prefix of its path.
     #[error("no route")]
     NoRoute,
-    /// The route needs a tenant's key, and the request has none.
+    /// The route requires a tenant's API key, and the request has no valid one.
     #[error("no tenant has this key")]
     NoTenant,
 }
 
-/// A request's route, and its tenant: `None` where the route is public or there are no tenants.
+/// The route and tenant of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouteMatch<'a> {
-    /// The route.
+    /// The route of the request.
     pub route: &'a Rc<Route>,
-    /// The tenant.
+    /// The tenant; `None` if the route is public or no tenants are configured.
     pub tenant: Option<&'a Rc<Tenant>>,
 }
 
-/// The items of a kind as their type. Items that can't be read are left out: what is committed has been validated.
-fn read_all<'a, T: TryFrom<&'a Item, Error = InvalidConfig>>(
+/// Returns the items of a kind converted to their type. Unreadable items are skipped, since
+/// committed items have been validated.
+fn read_items<'a, T: TryFrom<&'a Item, Error = InvalidConfig>>(
     snapshot: &'a ConfigSnapshot,
     kind: ItemKind,
 ) -> impl Iterator<Item = T> {
@@ -60,10 +62,10 @@
 }
 
 impl RoutingTable {
-    /// The table of a snapshot.
+    /// Builds the table from a configuration snapshot.
     pub fn from_snapshot(snapshot: &ConfigSnapshot) -> Self {
         let mut table = RoutingTable::default();
-        for route in read_all::<Route>(snapshot, ItemKind::Route) {
+        for route in read_items::<Route>(snapshot, ItemKind::Route) {
             table
                 .routes
                 .entry(route.host.clone())
@@ -73,42 +75,44 @@
         for routes in table.routes.values_mut() {
             routes.sort_by_key(|route| Reverse(route.prefix.len()));
         }
-        for tenant in read_all::<Tenant>(snapshot, ItemKind::Tenant) {
+        for tenant in read_items::<Tenant>(snapshot, ItemKind::Tenant) {
             let tenant = Rc::new(tenant);
             for key in &tenant.api_keys {
                 table.tenants_by_key.insert(key.clone(), tenant.clone());
             }
             table.tenants.push(tenant);
         }
-        let services = read_all::<Service>(snapshot, ItemKind::Service);
+        let services = read_items::<Service>(snapshot, ItemKind::Service);
         table.services = services
             .map(|service| (service.name.clone(), service))
             .collect();
         let evacuations = snapshot.present_items(ItemKind::Evacuation);
         table.evacuated = evacuations.map(|item| item.key.name.clone()).collect();
-        table.limits = read_all(snapshot, ItemKind::Limits).next();
-        let rules = read_all::<MirrorRule>(snapshot, ItemKind::MirrorRule);
-        let is_trial = |rule: &MirrorRule| !table.services.contains_key(&rule.trial_service);
-        table.mirror_rules = rules.filter(is_trial).collect();
+        table.limits = read_items(snapshot, ItemKind::Limits).next();
+        let rules = read_items::<MirrorRule>(snapshot, ItemKind::MirrorRule);
+        let is_trial_separate =
+            |rule: &MirrorRule| !table.services.contains_key(&rule.trial_service);
+        table.mirror_rules = rules.filter(is_trial_separate).collect();
         table
     }
 
-    /// Whether there are no routes: no configuration is known yet.
+    /// Returns whether there are no routes, that is, no configuration is known yet.
     pub fn is_empty(&self) -> bool {
         self.routes.is_empty()
     }
 
-    /// Requests a second that a backend of a service takes while it warms up; 0: not known.
+    /// Returns the requests per second that a backend of a service accepts while it warms up; 0 if
+    /// unknown.
     pub fn warm_up_rate(&self, service: &str) -> f64 {
         self.services
             .get(service)
             .map_or(0.0, |service| service.warm_up_rate_per_s)
     }
 
-    /// The route and tenant of a request.
+    /// Returns the route and tenant of a request.
     ///
     /// # Errors
-    /// Where it has no route, or its key is no tenant's.
+    /// Returns an error if no route matches or the key does not belong to any tenant.
     pub fn find(
         &self,
         host: &str,
@@ -132,10 +136,11 @@
         Ok(RouteMatch { route, tenant })
     }
 
-    /// Regions in which a request may be served: where route and tenant both have home regions, those of both.
+    /// Returns the regions that may serve a request. If both route and tenant have home regions,
+    /// these are the regions they have in common.
     pub fn home_regions(route: &Route, tenant: Option<&Tenant>) -> HomeRegions {
-        let of_tenant = tenant.map_or(&[][..], |tenant| &tenant.home_regions[..]);
-        match (&route.home_regions[..], of_tenant) {
+        let tenant_homes = tenant.map_or(&[][..], |tenant| &tenant.home_regions[..]);
+        match (&route.home_regions[..], tenant_homes) {
             ([], []) => None,
             (homes, []) | ([], homes) => Some(homes.iter().cloned().collect()),
             (homes, others) => {
@@ -145,17 +150,20 @@
         }
     }
 
-    /// The service that a request goes to: by weight, `random` from 0 to 1.
+    /// Chooses the service of a request by weight; `random` is in the range from 0 to 1.
     pub fn choose_service(route: &Route, random: f64) -> &str {
         let total: f64 = route.services.iter().map(|service| service.weight).sum();
-        let mut left = random * total;
+        let mut remaining = random * total;
         let chosen = route.services.iter().find(|service| {
-            left -= service.weight;
-            left < 0.0
+            remaining -= service.weight;
+            remaining < 0.0
         });
-        // Rounding may leave none: the last that gets anything.
-        let last = || route.services.iter().rfind(|service| service.weight > 0.0);
-        &chosen.or_else(last).unwrap_or(&route.services[0]).service
+        // Rounding may leave no service chosen; the last one with a positive weight is used then.
+        let fallback = || route.services.iter().rfind(|service| service.weight > 0.0);
+        &chosen
+            .or_else(fallback)
+            .unwrap_or(&route.services[0])
+            .service
     }
 }
 
--- a/crates/proxy/src/slow_start.rs
+++ b/crates/proxy/src/slow_start.rs
@@ -1,8 +1,10 @@
-//! Slow start of backends that warm up: what all proxies together may send one in a second, and this proxy's share of it.
+//! Slow start of backends: limits what all proxies together send per second to a backend that warms
+//! up, and computes this proxy's share.
 //!
-//! A backend that warms up is shown to the decision module while a turn for it is due, and hidden once the turn is used.
-//! Turns come at the backend's own rate over the number of proxies, the first at a random time: in no second do all
-//! proxies together send more than the rate and one each, and they hardly ever do that.
+//! A backend that warms up is available to the decision module while a turn for it is due, and
+//! unavailable once the turn is used. Each proxy has turns at the backend's rate divided by the
+//! number of proxies, the first at a random time. In any second, all proxies together send at most
+//! the rate plus one request per proxy, and rarely that many.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -11,17 +13,18 @@
 
 use crate::quota::ASSUMED_PROXIES;
 
-/// The list reports the warm-up this late.
+/// Delay until the platform's list reports a warm-up.
 const LIST_DELAY: Duration = Duration::from_millis(400);
-/// Requests a second from all proxies, where nothing says what a backend takes while it warms up.
-const LEAST_RATE_PER_S: f64 = 1.0;
+/// Minimum requests per second from all proxies, also used if a backend's rate during warm-up is
+/// unknown.
+const MIN_RATE_PER_S: f64 = 1.0;
 
-/// How long a backend warms up, and what it takes meanwhile.
+/// Remaining warm-up time of a backend and its request rate meanwhile.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WarmUp {
-    /// The time that is left.
-    pub left: Duration,
-    /// Requests a second from all proxies together.
+    /// Remaining warm-up time.
+    pub remaining: Duration,
+    /// Requests per second from all proxies together.
     pub rate_per_s: f64,
 }
 
@@ -32,7 +35,7 @@
     next_turn: Duration,
 }
 
-/// The backends that warm up.
+/// The backends that warm up, and this proxy's turns.
 #[derive(Debug)]
 pub struct SlowStart {
     proxies: f64,
@@ -54,18 +57,28 @@
         self.proxies = f64::from(proxies.max(1));
     }
 
-    /// Between two turns of this proxy.
+    /// Returns the interval between two turns of this proxy.
     fn turn_interval(&self, rate_per_s: f64) -> Duration {
-        Duration::from_secs_f64(self.proxies / rate_per_s.max(LEAST_RATE_PER_S))
+        Duration::from_secs_f64(self.proxies / rate_per_s.max(MIN_RATE_PER_S))
     }
 
-    /// A backend is reported to warm up; `random`, from 0 to 1, sets its first turn.
-    pub fn learn(&mut self, backend: BackendId, warm_up: WarmUp, random: f64, now: Duration) {
-        let WarmUp { left, rate_per_s } = warm_up;
-        if left.is_zero() {
+    /// Records that a backend is reported to warm up. `random`, from 0 to 1, determines the time of
+    /// its first turn.
+    pub fn record_warm_up(
+        &mut self,
+        backend: BackendId,
+        warm_up: WarmUp,
+        random: f64,
+        now: Duration,
+    ) {
+        let WarmUp {
+            remaining,
+            rate_per_s,
+        } = warm_up;
+        if remaining.is_zero() {
             return;
         }
-        let until = now + left + LIST_DELAY;
+        let until = now + remaining + LIST_DELAY;
         let first_turn = now + self.turn_interval(rate_per_s).mul_f64(random);
         let warming = self.warming.entry(backend).or_insert(WarmingBackend {
             until,
@@ -76,27 +89,27 @@
         warming.rate_per_s = rate_per_s;
     }
 
-    /// Forgets the backends that are warm.
-    pub fn forget_warm(&mut self, now: Duration) {
+    /// Removes backends that have warmed up.
+    pub fn remove_warm(&mut self, now: Duration) {
         self.warming.retain(|_, backend| now < backend.until);
     }
 
-    /// Whether a backend warms up.
-    pub fn is_warming(&self, backend: BackendId, now: Duration) -> bool {
+    /// Returns whether a backend is warming up.
+    pub fn is_warming_up(&self, backend: BackendId, now: Duration) -> bool {
         self.warming
             .get(&backend)
             .is_some_and(|backend| now < backend.until)
     }
 
-    /// Whether a request may go to a backend now.
+    /// Returns whether a request may go to a backend now.
     pub fn is_open(&self, backend: BackendId, now: Duration) -> bool {
         let backend = self.warming.get(&backend);
         backend.is_none_or(|backend| now >= backend.until || now >= backend.next_turn)
     }
 
-    /// A request is to go to a backend; returns whether it may.
+    /// Uses the turn for a backend; returns whether a request may go to it.
     pub fn take_turn(&mut self, backend: BackendId, now: Duration) -> bool {
-        if !self.is_warming(backend, now) {
+        if !self.is_warming_up(backend, now) {
             return true;
         }
         if !self.is_open(backend, now) {
@@ -110,7 +123,7 @@
         true
     }
 
-    /// The backends that warm up, and whether a request may go to each.
+    /// Returns the backends that warm up, each with whether a request may go to it.
     pub fn all(&self, now: Duration) -> impl Iterator<Item = (BackendId, bool)> + '_ {
         let backends = self.warming.keys();
         backends.map(move |backend| (*backend, self.is_open(*backend, now)))
--- a/crates/proxy/tests/backend_pool.rs
+++ b/crates/proxy/tests/backend_pool.rs
@@ -1,4 +1,5 @@
-//! Which backends a proxy offers to the decision module, and which of many are its subset.
+//! Tests of which backends a proxy offers to the decision module, and of the subsets of many
+//! backends.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -24,7 +25,7 @@
     }
 }
 
-fn backend_pool(position: u32, proxies: u32, backends: u32) -> BackendPool {
+fn pool_at_position(position: u32, proxies: u32, backends: u32) -> BackendPool {
     let regions = [("a", "x"), ("b", "x"), ("c", "y")];
     let regions = regions.map(|(zone, region)| (zone.to_string(), region.to_string()));
     let mut pool = BackendPool::new("a", "x", regions.into());
@@ -36,29 +37,39 @@
 }
 
 #[test]
-fn proxies_take_even_subsets_of_many_backends_and_all_of_few() {
-    let mut taken: HashMap<String, usize> = HashMap::new();
+fn subsets_cover_many_backends_evenly_and_include_all_of_few() {
+    let mut proxies_by_backend: HashMap<String, usize> = HashMap::new();
     for position in 0..23 {
-        let pool = backend_pool(position, 23, 96);
+        let pool = pool_at_position(position, 23, 96);
         for id in pool.subset("s") {
-            *taken.entry(id.into()).or_default() += 1;
+            *proxies_by_backend.entry(id.into()).or_default() += 1;
         }
     }
-    let least = taken.values().min().expect("some");
-    let most = taken.values().max().expect("some");
-    assert_eq!(taken.len(), 64, "a backend of the region is nobody's");
-    assert!(most - least <= 1, "{least} to {most} proxies a backend");
-    assert_eq!(backend_pool(1, 4, 18).subset("s").len(), 12);
+    let min = proxies_by_backend
+        .values()
+        .min()
+        .expect("subsets are not empty");
+    let max = proxies_by_backend
+        .values()
+        .max()
+        .expect("subsets are not empty");
+    assert_eq!(
+        proxies_by_backend.len(),
+        64,
+        "a backend of the region is in no subset"
+    );
+    assert!(max - min <= 1, "{min} to {max} proxies per backend");
+    assert_eq!(pool_at_position(1, 4, 18).subset("s").len(), 12);
 }
 
-/// A table in which zone `b` is evacuated.
+/// Returns a table in which zone `b` is evacuated.
 fn table_with_evacuated_zone() -> RoutingTable {
     let mut table = RoutingTable::default();
     table.evacuated.insert("b".into());
     table
 }
 
-fn names_up(pool: &BackendPool, homes: &HomeRegions, ms: u64) -> Vec<String> {
+fn available_names(pool: &BackendPool, homes: &HomeRegions, ms: u64) -> Vec<String> {
     let backends = pool.backends("s", homes, Duration::from_millis(ms));
     let up = backends
         .iter()
@@ -67,22 +78,26 @@
 }
 
 #[test]
-fn draining_evacuated_and_warming_backends_are_no_choice_and_home_regions_hold() {
-    let mut pool = backend_pool(0, 1, 3);
-    assert_eq!(names_up(&pool, &None, 0), ["i-0", "i-1", "i-2"]);
-    assert_eq!(names_up(&pool, &Some(["y".to_string()].into()), 0), ["i-2"]);
+fn draining_evacuated_and_warming_backends_are_unavailable_and_home_regions_are_respected() {
+    let mut pool = pool_at_position(0, 1, 3);
+    assert_eq!(available_names(&pool, &None, 0), ["i-0", "i-1", "i-2"]);
+    assert_eq!(
+        available_names(&pool, &Some(["y".to_string()].into()), 0),
+        ["i-2"]
+    );
     let evacuated = table_with_evacuated_zone();
     let table = RoutingTable::default();
     pool.evacuate(&evacuated, Duration::ZERO, &mut || 0.5);
-    assert_eq!(names_up(&pool, &None, 0), ["i-0", "i-2"]);
-    // Taken back, it may warm up, and nobody has reported it yet: a turn comes at a random time.
+    assert_eq!(available_names(&pool, &None, 0), ["i-0", "i-2"]);
+    // Zone `b` is back in service. Its backend may warm up before the list reports it, so its first
+    // turn comes at a random time.
     pool.evacuate(&table, Duration::from_millis(100), &mut || 0.5);
-    assert_eq!(names_up(&pool, &None, 100), ["i-0", "i-2"]);
-    assert_eq!(names_up(&pool, &None, 3000), ["i-0", "i-1", "i-2"]);
-    // The same address after a restart: another backend.
+    assert_eq!(available_names(&pool, &None, 100), ["i-0", "i-2"]);
+    assert_eq!(available_names(&pool, &None, 3000), ["i-0", "i-1", "i-2"]);
+    // A backend that restarted at the same address is a different backend.
     let mut next = vec![backend(0, "a"), backend(1, "b")];
     next[0].id = "i-9".into();
     next[1].draining = true;
     pool.update(next, &table, Duration::from_millis(4000), &mut || 0.5);
-    assert_eq!(names_up(&pool, &None, 4000), ["i-9"]);
+    assert_eq!(available_names(&pool, &None, 4000), ["i-9"]);
 }
--- a/crates/proxy/tests/coordinator.rs
+++ b/crates/proxy/tests/coordinator.rs
@@ -1,12 +1,12 @@
-//! What a proxy takes of heartbeats that name different coordinators.
+//! Tests of tracking the coordinator with heartbeats that name different coordinators.
 
 use damsonbeam_control::address::Ip;
 use damsonbeam_control::messages::{Heartbeat, LeaseHolder};
 use damsonbeam_proxy::coordinator::Coordinator;
 use tokio::time::Instant;
 
-const OLD: Ip = [10, 0, 0, 1];
-const NEW: Ip = [10, 0, 0, 2];
+const OLD_IP: Ip = [10, 0, 0, 1];
+const NEW_IP: Ip = [10, 0, 0, 2];
 
 fn heartbeat((ip, term): (Ip, u64), time_ms: u64) -> Heartbeat {
     Heartbeat {
@@ -17,21 +17,24 @@
 }
 
 #[test]
-fn a_coordinator_that_was_frozen_and_wakes_names_itself_in_vain() {
-    let (mut known, now) = (Coordinator::default(), Instant::now());
-    assert!(known.observe(OLD, &heartbeat((OLD, 3), 1000), now));
-    // Another registry names the holder of a later term; then that one tells of itself.
-    assert!(!known.observe([10, 0, 0, 3], &heartbeat((NEW, 4), 5000), now));
-    assert_eq!((known.ip(), known.term()), (Some(NEW), 4));
-    assert!(known.observe(NEW, &heartbeat((NEW, 4), 6000), now));
-    // The old one wakes: its numbers of proxies, its time and its name are no coordinator's.
-    assert!(!known.observe(OLD, &heartbeat((OLD, 3), 900_000), now));
-    assert_eq!((known.ip(), known.term()), (Some(NEW), 4));
-    assert_eq!(known.time().map(|t| (t.time_ms, t.term)), Some((6000, 4)));
-    // Nor does a second one under the same term, which no lease gives.
-    assert!(!known.observe(OLD, &heartbeat((OLD, 4), 900_000), now));
-    assert_eq!(known.ip(), Some(NEW));
-    // Within a term the time of day at the coordinator may be stepped: the common time goes on by this one's clock.
-    assert!(known.observe(NEW, &heartbeat((NEW, 4), 1), now));
-    assert_eq!(known.time().map(|t| t.time_ms), Some(6000));
+fn heartbeats_of_a_paused_coordinator_are_ignored_after_a_later_term() {
+    let (mut coordinator, now) = (Coordinator::default(), Instant::now());
+    assert!(coordinator.observe(OLD_IP, &heartbeat((OLD_IP, 3), 1000), now));
+    // Another registry reports the holder of a later term; then the holder reports itself.
+    assert!(!coordinator.observe([10, 0, 0, 3], &heartbeat((NEW_IP, 4), 5000), now));
+    assert_eq!((coordinator.ip(), coordinator.term()), (Some(NEW_IP), 4));
+    assert!(coordinator.observe(NEW_IP, &heartbeat((NEW_IP, 4), 6000), now));
+    // The old coordinator resumes after a pause: its name, time and numbers are ignored.
+    assert!(!coordinator.observe(OLD_IP, &heartbeat((OLD_IP, 3), 900_000), now));
+    assert_eq!((coordinator.ip(), coordinator.term()), (Some(NEW_IP), 4));
+    assert_eq!(
+        coordinator.time().map(|t| (t.time_ms, t.term)),
+        Some((6000, 4))
+    );
+    // A second coordinator in the same term, which the lease rules out, is ignored as well.
+    assert!(!coordinator.observe(OLD_IP, &heartbeat((OLD_IP, 4), 900_000), now));
+    assert_eq!(coordinator.ip(), Some(NEW_IP));
+    // The coordinator's clock may step within a term; the common time continues by the local clock.
+    assert!(coordinator.observe(NEW_IP, &heartbeat((NEW_IP, 4), 1), now));
+    assert_eq!(coordinator.time().map(|t| t.time_ms), Some(6000));
 }
--- a/crates/proxy/tests/freshness.rs
+++ b/crates/proxy/tests/freshness.rs
@@ -1,4 +1,4 @@
-//! When a fresh proxy begins to serve, by what registries in contact and out of it tell.
+//! Tests of when a new proxy begins to serve, given heartbeats of registries in and out of contact.
 
 use std::time::Duration;
 
@@ -9,27 +9,31 @@
 }
 
 #[test]
-fn a_registry_in_contact_is_waited_for_and_one_out_of_contact_serves_only_after_the_bound() {
-    let mut fresh = Freshness::default();
-    assert_eq!(fresh.may_serve(false, at(0)), None);
-    // Routes and backends came from a registry that is cut off.
-    fresh.observe(false, true, true);
-    assert_eq!(fresh.may_serve(true, at(5000)), None);
-    // One in contact has newer items, then the same; its list is ahead still.
-    fresh.observe(true, false, false);
-    assert_eq!(fresh.may_serve(true, at(5100)), None);
-    fresh.observe(true, true, false);
-    assert_eq!(fresh.may_serve(true, at(5200)), None);
-    fresh.observe(true, true, true);
-    assert_eq!(fresh.may_serve(true, at(5300)), Some(Basis::Current));
+fn complete_state_of_a_registry_in_contact_is_served_as_current() {
+    let mut freshness = Freshness::default();
+    assert_eq!(freshness.may_serve(false, at(0)), None);
+    // A registry that is out of contact sent routes and backends.
+    freshness.observe(false, true, true);
+    assert_eq!(freshness.may_serve(true, at(5000)), None);
+    // A registry in contact first has newer items; after the proxy has these, the registry's list
+    // is still newer.
+    freshness.observe(true, false, false);
+    assert_eq!(freshness.may_serve(true, at(5100)), None);
+    freshness.observe(true, true, false);
+    assert_eq!(freshness.may_serve(true, at(5200)), None);
+    freshness.observe(true, true, true);
+    assert_eq!(freshness.may_serve(true, at(5300)), Some(Basis::Current));
 }
 
 #[test]
-fn where_only_registries_out_of_contact_answer_it_serves_after_the_bound_and_says_so() {
-    let mut fresh = Freshness::default();
-    fresh.observe(false, true, true);
-    assert_eq!(fresh.may_serve(true, at(1000)), None);
-    let bound = at(1000) + FALLBACK_AFTER;
-    assert_eq!(fresh.may_serve(true, bound - at(1)), None);
-    assert_eq!(fresh.may_serve(true, bound), Some(Basis::PossiblyOld));
+fn state_of_registries_out_of_contact_is_served_as_possibly_old_after_the_fallback_time() {
+    let mut freshness = Freshness::default();
+    freshness.observe(false, true, true);
+    assert_eq!(freshness.may_serve(true, at(1000)), None);
+    let fallback_at = at(1000) + FALLBACK_AFTER;
+    assert_eq!(freshness.may_serve(true, fallback_at - at(1)), None);
+    assert_eq!(
+        freshness.may_serve(true, fallback_at),
+        Some(Basis::PossiblyOld)
+    );
 }
