--- a/crates/config-store/src/consensus/acceptor.rs
+++ b/crates/config-store/src/consensus/acceptor.rs
@@ -1,5 +1,5 @@
-//! The acceptor: promises proposal numbers, accepts proposals, learns what is committed. It alone changes the durable
-//! state and the voters in force.
+//! The acceptor: promises proposal numbers, accepts proposals and learns committed items. Only this module changes the
+//! durable state and the voter set in force.
 
 use damsonbeam_control::address::Ip;
 use damsonbeam_control::config::{ConfigSnapshot, Item, ItemKind, ProposalNumber};
@@ -8,7 +8,7 @@
 use super::voters::VoterSet;
 use super::{DurableWrite, Effect, Replica};
 
-/// A proposal as it comes; see [`Message::Accept`].
+/// A received proposal; see [`Message::Accept`].
 pub(super) struct Proposal {
     pub(super) proposal_number: ProposalNumber,
     pub(super) step: u32,
@@ -19,7 +19,8 @@
 }
 
 impl Replica {
-    /// A proposer asks for a promise.
+    /// Handles a prepare: promises the proposal number unless a higher one is promised, and answers with the promise in
+    /// force. Items are included only if the proposer's digests differ.
     pub(super) fn receive_prepare(
         &mut self,
         from: Ip,
@@ -27,19 +28,19 @@
         voters: Item,
         digest: StateDigest,
     ) {
-        if !self.agrees_on_epoch(from, proposal_number, voters) || !self.is_voter() {
+        if !self.check_epoch(from, proposal_number, voters) || !self.is_voter() {
             return;
         }
         if proposal_number > self.durable.promised {
             self.promise(proposal_number);
         }
         let promised = self.durable.promised;
-        let is_needed = promised == proposal_number && digest != self.state_digest();
+        let needs_items = promised == proposal_number && digest != self.state_digest();
         let message = Message::Promise {
             proposal_number,
             promised,
             disk_id: self.durable.disk_id,
-            items: is_needed.then(|| self.all_items()),
+            items: needs_items.then(|| self.all_items()),
         };
         self.effects.push(Effect::Send(from, message));
     }
@@ -59,25 +60,26 @@
         }
     }
 
-    /// A proposer asks to accept its items.
+    /// Handles a proposal: accepts its items unless a higher number is promised or the committed items differ from those
+    /// that the proposal requires, and answers with the result.
     pub(super) fn receive_accept(&mut self, from: Ip, proposal: Proposal) {
         let Proposal {
             proposal_number,
             step,
             ..
         } = proposal;
-        if !self.agrees_on_epoch(from, proposal_number, proposal.voters) {
+        if !self.check_epoch(from, proposal_number, proposal.voters) {
             return;
         }
-        let mut sets = proposal.items.iter().filter_map(VoterSet::from_item);
-        let joins = sets.any(|set| set.contains(&self.identity()));
-        if !self.is_voter() && !joins {
+        let mut proposed_sets = proposal.items.iter().filter_map(VoterSet::from_item);
+        let includes_self = proposed_sets.any(|set| set.contains(&self.identity()));
+        if !self.is_voter() && !includes_self {
             return;
         }
-        let has_required = |digest: u64| digest == self.durable.committed.digest();
+        let has_required_digest = |digest: u64| digest == self.durable.committed.digest();
         let answer = if proposal_number < self.durable.promised {
             AcceptAnswer::Promised(self.durable.promised)
-        } else if !proposal.required_digest.is_none_or(has_required) {
+        } else if !proposal.required_digest.is_none_or(has_required_digest) {
             self.effects
                 .push(Effect::Send(from, self.digests_message()));
             AcceptAnswer::Behind
@@ -85,7 +87,8 @@
             if proposal_number > self.durable.promised {
                 self.promise(proposal_number);
             }
-            // Known before it is replaced: were the proposal dropped, this would be in force again.
+            // Learn the committed items before accepting their replacements: if the proposal is dropped, they are in force
+            // again.
             self.learn(proposal.committed);
             self.accept(proposal.items);
             AcceptAnswer::Accepted
@@ -99,8 +102,9 @@
         self.effects.push(Effect::Send(from, message));
     }
 
-    /// Whether a round's epoch is the one in force here: a later one is learned, an earlier one refused.
-    fn agrees_on_epoch(&mut self, from: Ip, proposal_number: ProposalNumber, voters: Item) -> bool {
+    /// Compares the epoch of a round with the one in force here and returns whether they are equal. Learns a later voter
+    /// set, and refuses an earlier one by sending the later.
+    fn check_epoch(&mut self, from: Ip, proposal_number: ProposalNumber, voters: Item) -> bool {
         let epoch = voters.version;
         if epoch > self.epoch() {
             self.learn(vec![voters]);
@@ -132,7 +136,7 @@
         }
     }
 
-    /// Takes in what is known to be committed, which may be done at any time.
+    /// Merges items that are known to be committed. This is safe at any time.
     pub(super) fn learn(&mut self, items: Vec<Item>) {
         self.accept(items.clone());
         let new = merge_new(&mut self.durable.committed, items);
@@ -148,7 +152,7 @@
     }
 }
 
-/// Merges items by proposal number; returns those that were new.
+/// Merges items by proposal number and returns those that changed the snapshot.
 fn merge_new(snapshot: &mut ConfigSnapshot, items: Vec<Item>) -> Vec<Item> {
     let items = items.into_iter();
     items
--- a/crates/config-store/src/consensus/command.rs
+++ b/crates/config-store/src/consensus/command.rs
@@ -1,4 +1,4 @@
-//! What a command does to the configuration, and which uncommitted leftovers may stand beside what is committed.
+//! Applies commands to the configuration, and drops uncommitted items that conflict with committed ones.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 };
 use damsonbeam_control::messages::{Command, CommandReply};
 
-/// Who is to be told what came of a command.
+/// The recipient of the reply to a command.
 #[derive(Clone, Copy, Debug, PartialEq, Hash)]
 pub(super) enum Requester {
     /// The registry on this machine.
@@ -30,13 +30,13 @@
 pub(super) struct PendingCommand {
     pub(super) requester: Requester,
     pub(super) command: Command,
-    /// After that it must not be carried out.
+    /// From this time on the command must not be applied.
     pub(super) expires_at: Duration,
-    /// It was forwarded and taken back: another replica may carry it out, too.
+    /// The command was forwarded and reclaimed after a timeout: another replica may apply it as well.
     pub(super) was_forwarded: bool,
 }
 
-/// The items of a snapshot that are not so committed.
+/// Returns the items of a snapshot that differ from the committed ones.
 pub(super) fn uncommitted<'a>(
     snapshot: &'a ConfigSnapshot,
     committed: &'a ConfigSnapshot,
@@ -45,32 +45,38 @@
     items.filter(move |item| committed.get(&item.key) != Some(item))
 }
 
-/// Leftovers of rounds that were given up may clash with what was committed without them: they go, oldest first. What
-/// is committed never clashes, for each proposal was validated against everything committed before it.
-pub(super) fn drop_clashing_leftovers(snapshot: &mut ConfigSnapshot, committed: &ConfigSnapshot) {
+/// Reverts uncommitted items until the snapshot is valid. Items of abandoned rounds may conflict with items committed
+/// since. Each pass reverts the item with the lowest proposal number whose removal alone makes the snapshot valid, or, if
+/// there is none, the item with the lowest number. Committed items never conflict with each other, because each proposal
+/// was validated against everything committed before it.
+pub(super) fn revert_conflicting_items(snapshot: &mut ConfigSnapshot, committed: &ConfigSnapshot) {
     while snapshot.validate().is_err() {
-        let leftovers = uncommitted(snapshot, committed);
-        let leftovers = leftovers.filter(|item| !item.key.kind.is_internal());
-        let mut leftovers: Vec<(ProposalNumber, ItemKey)> = leftovers
+        let uncommitted_items = uncommitted(snapshot, committed);
+        let uncommitted_items = uncommitted_items.filter(|item| !item.key.kind.is_internal());
+        let mut uncommitted_items: Vec<(ProposalNumber, ItemKey)> = uncommitted_items
             .map(|item| (item.proposal_number, item.key.clone()))
             .collect();
-        leftovers.sort_unstable();
-        let Some((_, oldest)) = leftovers.first() else {
+        uncommitted_items.sort_unstable();
+        let Some((_, oldest)) = uncommitted_items.first() else {
             return;
         };
-        let candidates = leftovers
+        let candidates = uncommitted_items
             .iter()
-            .map(|(_, key)| without(snapshot, key, committed));
-        let mut valid = candidates.filter(|candidate| candidate.validate().is_ok());
-        let next = valid
+            .map(|(_, key)| with_committed_item(snapshot, key, committed));
+        let mut valid_candidates = candidates.filter(|candidate| candidate.validate().is_ok());
+        let next = valid_candidates
             .next()
-            .unwrap_or_else(|| without(snapshot, oldest, committed));
+            .unwrap_or_else(|| with_committed_item(snapshot, oldest, committed));
         *snapshot = next;
     }
 }
 
-/// The snapshot with one item as it is committed.
-fn without(snapshot: &ConfigSnapshot, key: &ItemKey, committed: &ConfigSnapshot) -> ConfigSnapshot {
+/// Returns the snapshot with one item reverted to its committed state.
+fn with_committed_item(
+    snapshot: &ConfigSnapshot,
+    key: &ItemKey,
+    committed: &ConfigSnapshot,
+) -> ConfigSnapshot {
     let mut snapshot = snapshot.clone();
     match committed.get(key) {
         Some(item) => snapshot.insert(item.clone()),
@@ -79,9 +85,9 @@
     snapshot
 }
 
-/// What a command brings about.
+/// The result of applying a command.
 pub(super) struct Outcome {
-    /// The configuration after the command; `None` where it stays as it is.
+    /// The configuration after the command; `None` if the command changes nothing.
     pub(super) next: Option<ConfigSnapshot>,
     pub(super) reply: CommandReply,
 }
@@ -99,8 +105,8 @@
     }
 }
 
-/// Applies a command to the whole configuration. A read is replied to with no items: the caller adds those that are in
-/// force after all commands of its round.
+/// Applies a command to the whole configuration. The reply to a read has no items: the caller adds the items in force after
+/// all commands of the round.
 pub(super) fn apply(
     snapshot: &ConfigSnapshot,
     command: &Command,
@@ -125,13 +131,14 @@
         .iter()
         .find(|item| reuses_version(snapshot, change, item));
     if let Some(item) = reused {
-        let reason = format!("r{} was given to another content", item.version);
+        let reason = format!("r{} is already in use for different content", item.version);
         let error = InvalidConfig::item(&item.key.name, reason);
         return Outcome::unchanged(error.into());
     }
     let items = snapshot.effective_items(change);
     if items.is_empty() {
-        // All of it is in force or overtaken: it was valid when it was committed, whatever came since.
+        // All items of the change are in force or superseded. They were valid when committed, so a repeated change is
+        // acknowledged with_committed_item validating it against the present configuration.
         return Outcome::unchanged(CommandReply::Done);
     }
     let mut next = snapshot.clone();
@@ -147,7 +154,7 @@
     }
 }
 
-/// Mirror rules are validated only where the change has some.
+/// Validates the configuration. Mirror rules are validated only if the change contains some.
 fn validate(next: &ConfigSnapshot, change: &ConfigChange) -> Result<(), InvalidConfig> {
     next.validate()?;
     let is_mirror_rule = |item: &Item| item.key.kind == ItemKind::MirrorRule;
@@ -157,14 +164,14 @@
     Ok(())
 }
 
-/// Whether an item's version stands for another content, in force or in the same change. An item of a lower version than
-/// the one in force is overtaken, which does no harm: nobody knows any more what that version stood for.
+/// Returns whether an item's version is already used for different content, in force or in the same change. An item of a
+/// lower version than the one in force is superseded and passes, because the content of that version is no longer known.
 fn reuses_version(snapshot: &ConfigSnapshot, change: &ConfigChange, item: &Item) -> bool {
-    let is_other_content = |other: &Item| {
+    let has_different_content = |other: &Item| {
         other.key == item.key && other.version == item.version && other.body != item.body
     };
     let in_force = snapshot.get(&item.key);
-    in_force.is_some_and(is_other_content) || change.items.iter().any(is_other_content)
+    in_force.is_some_and(has_different_content) || change.items.iter().any(has_different_content)
 }
 
 fn apply_evacuation(
--- a/crates/config-store/src/consensus/durable.rs
+++ b/crates/config-store/src/consensus/durable.rs
@@ -1,38 +1,38 @@
-//! What must be on disk, synced, before anything that depends on it is sent.
+//! The durable state of a replica, which is synced to disk before any message that depends on it is sent.
 
 use damsonbeam_control::address::Ip;
 use damsonbeam_control::config::{ConfigSnapshot, Item, ProposalNumber};
 
-use super::voters::{FOUNDING_DISK, VoterSet};
+use super::voters::{FOUNDER_DISK_ID, VoterSet};
 
 /// The durable state of a replica.
 #[derive(Clone, Debug, Default, PartialEq, Hash)]
 pub struct DurableState {
-    /// Chosen at random when the store is made; that of a founder is [`FOUNDING_DISK`].
+    /// The id of the disk, chosen at random when the store is created; a founder's is [`FOUNDER_DISK_ID`].
     pub disk_id: u64,
     /// The highest proposal number promised.
     pub promised: ProposalNumber,
-    /// Items accepted.
+    /// The items accepted.
     pub accepted: ConfigSnapshot,
-    /// Items known to be committed.
+    /// The items known to be committed.
     pub committed: ConfigSnapshot,
 }
 
 /// One write to the durable state.
 #[derive(Clone, Debug, PartialEq, Hash)]
 pub enum DurableWrite {
-    /// The disk's id.
+    /// Sets the disk id.
     DiskId(u64),
-    /// A promise.
+    /// Sets the highest proposal number promised.
     Promised(ProposalNumber),
-    /// Items accepted.
+    /// Adds accepted items.
     Accepted(Vec<Item>),
-    /// Items known to be committed.
+    /// Adds items known to be committed.
     Committed(Vec<Item>),
 }
 
 impl DurableState {
-    /// Applies a write, as the disk does.
+    /// Applies a write to the copy in memory, with the same result as the write on disk.
     pub fn apply(&mut self, write: &DurableWrite) {
         match write {
             DurableWrite::DiskId(id) => self.disk_id = *id,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Whether this disk's id is among the voters that it knows.
+    /// Returns whether this disk's id is in the latest voter set it knows.
     pub fn has_vote(&self) -> bool {
         let set = VoterSet::committed(&self.committed);
         set.is_some_and(|set| {
@@ -52,8 +52,8 @@
         })
     }
 
-    /// What an empty disk is given at the very first start of the system: the seeds, which are the same everywhere, are
-    /// the first voters. `None` where the disk is not empty.
+    /// Returns the writes that initialize an empty disk at the first start of the system: the seeds, which are the same on
+    /// all machines, are the first voters. Returns `None` if the disk is not empty or there are no seeds.
     pub fn founding_writes(&self, own_ip: Ip, seeds: &[Ip]) -> Option<Vec<DurableWrite>> {
         let has_promised = self.promised != ProposalNumber::default();
         let is_empty = self.accepted.items().is_empty() && !has_promised;
@@ -66,7 +66,7 @@
             DurableWrite::Committed(vec![voters]),
         ];
         if seeds.contains(&own_ip) {
-            writes.push(DurableWrite::DiskId(FOUNDING_DISK));
+            writes.push(DurableWrite::DiskId(FOUNDER_DISK_ID));
         }
         Some(writes)
     }
--- a/crates/config-store/src/consensus/effect.rs
+++ b/crates/config-store/src/consensus/effect.rs
@@ -1,4 +1,4 @@
-//! What the caller of the replica has to do for it.
+//! The actions that the caller has to execute for the replica.
 
 use std::hash::{Hash, Hasher};
 
@@ -11,20 +11,20 @@
 /// An effect of a call to the replica. All writes of a call must be on disk before any of its messages is sent.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Write to disk, and sync.
+    /// Write to disk and sync.
     Persist(DurableWrite),
-    /// Send a message to the store of one machine.
+    /// Send a message to the store on one machine.
     Send(Ip, Message),
     /// Send a message to all other stores.
     Broadcast(Message),
-    /// Answer the command that the caller submitted under this number.
+    /// Reply to the command that the caller submitted under this number.
     Reply(u64, CommandReply),
-    /// Items have become known to be committed: tell the registry.
+    /// Send newly committed items to the registry.
     Committed(Vec<Item>),
 }
 
 impl Hash for Effect {
-    /// Messages hold floating-point numbers, which have no hash: they go by their bytes.
+    /// Hashes messages by their encoding, because they contain floating-point numbers, which don't implement [`Hash`].
     fn hash<H: Hasher>(&self, state: &mut H) {
         match self {
             Effect::Persist(write) => write.hash(state),
--- a/crates/config-store/src/consensus/forwarding.rs
+++ b/crates/config-store/src/consensus/forwarding.rs
@@ -1,4 +1,4 @@
-//! Commands forwarded to the replica that carries out those of many, and answered by it.
+//! Forwarding of commands to the first voter, which proposes the commands of all replicas and replies to them.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -8,15 +8,16 @@
 
 use super::command::{PendingCommand, Requester};
 use super::timing::{
-    COMMAND_TIMEOUT, EVACUATION_TIMEOUT, FORWARD_ACK_TIMEOUT, FORWARD_PAUSE, FORWARD_TIMEOUT,
+    COMMAND_TIMEOUT, EVACUATION_TIMEOUT, FORWARD_ACK_TIMEOUT, FORWARD_TIMEOUT,
+    FORWARDING_SUSPENSION,
 };
 use super::{Effect, Replica};
 
-/// Numbers of forwarded commands that are remembered, of each replica.
-const FORWARDS_REMEMBERED: usize = 256;
+/// How many numbers of forwarded commands are kept per sending replica, to detect duplicates.
+const MAX_FORWARDS_SEEN: usize = 256;
 
 impl Replica {
-    /// Takes a command of the registry here, whose caller has waited for some time already. It is answered by
+    /// Submits a command of the local registry; `waited` is how long its caller has waited already. The reply is an
     /// [`Effect::Reply`] with the same number.
     pub fn submit(&mut self, number: u64, command: Command, waited: Duration, now: Duration) {
         let is_evacuation = matches!(command, Command::Evacuate { .. });
@@ -31,7 +32,7 @@
             expires_at: now + timeout.saturating_sub(waited),
             was_forwarded: false,
         };
-        let may_forward = !is_evacuation && now >= self.no_forward_until;
+        let may_forward = !is_evacuation && now >= self.forwarding_suspended_until;
         match self.first_voter().filter(|_| may_forward) {
             Some(first) => {
                 let message = Message::Forward {
@@ -48,23 +49,23 @@
         self.tick(now);
     }
 
-    /// The voter to forward commands to; `None` where it is this one. Many proposers at once only take the turn from each
-    /// other, so all commands go through the first voter that is alive. It is no leader: whoever gets no answer from it
-    /// proposes itself.
+    /// Returns the voter to forward commands to; `None` if that is this replica. Concurrent proposers only preempt each
+    /// other's rounds, so all commands go through the first voter that is alive. That voter is not a leader: a replica that
+    /// gets no answer from it proposes its commands itself.
     fn first_voter(&self) -> Option<Ip> {
         let first = self.other_voters().into_iter().next()?;
         (!self.is_voter() || first < self.own_ip).then_some(first)
     }
 
-    /// Forwarded commands that are not answered in time are carried out here.
-    pub(super) fn take_back_forwarded(&mut self, now: Duration) {
+    /// Makes forwarded commands that were not answered in time pending here, and suspends forwarding.
+    pub(super) fn reclaim_forwarded(&mut self, now: Duration) {
         let due = self
             .forwarded
             .iter()
             .filter(|(_, (_, due_at))| now >= *due_at);
         let due: Vec<u64> = due.map(|(number, _)| *number).collect();
         for number in due {
-            self.no_forward_until = now + FORWARD_PAUSE;
+            self.forwarding_suspended_until = now + FORWARDING_SUSPENSION;
             let Some((mut pending, _)) = self.forwarded.remove(&number) else {
                 continue;
             };
@@ -73,7 +74,7 @@
         }
     }
 
-    /// One of the three messages by which commands are forwarded.
+    /// Dispatches the three messages by which commands are forwarded.
     pub(super) fn receive_forwarding(&mut self, from: Ip, message: Message, now: Duration) {
         match message {
             Message::Forward {
@@ -94,7 +95,7 @@
         }
     }
 
-    /// Another replica forwards a command.
+    /// Handles a command forwarded by another replica.
     fn receive_forward(
         &mut self,
         from: Ip,
@@ -122,7 +123,7 @@
                 number,
             },
             command,
-            // The sender takes it back then, and its caller may get another answer.
+            // The sender reclaims the command at this time, and its caller may get another answer.
             expires_at: now + FORWARD_TIMEOUT,
             was_forwarded: false,
         });
@@ -134,20 +135,21 @@
         self.tick(now);
     }
 
-    /// A command that comes again may have been answered, and its caller told something else, meanwhile.
+    /// Records a forwarded command and returns whether it is new. A duplicate must not be applied: the command may have been
+    /// answered already, and its caller may have been given another reply.
     fn is_new_forward(&mut self, from: Ip, incarnation: u64, number: u64) -> bool {
         let seen = self.forwards_seen.entry(from).or_default();
         if seen.incarnation != incarnation {
             seen.incarnation = incarnation;
             seen.numbers = BTreeSet::new();
         }
-        if seen.numbers.len() >= FORWARDS_REMEMBERED {
+        if seen.numbers.len() >= MAX_FORWARDS_SEEN {
             seen.numbers.pop_first();
         }
         seen.numbers.insert(number)
     }
 
-    /// A forwarded command has arrived, and waits for its turn.
+    /// Handles the acknowledgement that a forwarded command is pending at the other replica: extends its deadline.
     fn receive_forward_ack(&mut self, incarnation: u64, number: u64, now: Duration) {
         if incarnation != self.incarnation {
             return;
@@ -157,7 +159,7 @@
         }
     }
 
-    /// What came of a forwarded command; `None`: it can't be carried out there.
+    /// Handles the reply to a forwarded command; `None` means that the other replica can't apply the command.
     fn receive_forwarded(
         &mut self,
         incarnation: u64,
--- a/crates/config-store/src/consensus/membership.rs
+++ b/crates/config-store/src/consensus/membership.rs
@@ -1,36 +1,39 @@
-//! Which change of the voter set is due, as a function of what is known of its members. Free of I/O and of clocks.
+//! Determines which change of the voter set is due, from the presence of its members. Free of I/O and clocks.
 //!
-//! A change adds or removes one voter, so that any majority of a set meets any majority of the next. No change lowers
-//! the number of further losses that the present voters can bear. Removing a missing one keeps to that: from an even
-//! set it makes the majority smaller, from an odd one it leaves it as it is. Adding one to an even set leaves the majority
-//! as it is, too, so that the change can't fail for want of the new member. Hence a missing member is removed from an
-//! odd set before its successor is added, and after it from an even one. Without a successor only even sets lose
-//! a member: the losses that a set of 6 and one of 5 can bear are the same, and a rolling stop of all members can't
-//! shrink the set step by step.
+//! A change adds or removes one voter, so that any majority of a set intersects any majority of the next. No change reduces
+//! the number of further losses that the present voters tolerate:
+//!
+//! - Removing a missing voter makes the majority of an even set smaller, and leaves the majority of an odd set as it is.
+//! - Adding a voter to an even set leaves the majority as it is, so the change can't fail because the new voter is slow or
+//!   absent.
+//!
+//! Hence a missing voter is removed from an odd set before its successor is added, and from an even set after that.
+//! Without a successor only even sets lose a member: sets of 6 and of 5 tolerate the same number of losses, and a rolling
+//! stop of all members can't shrink the set step by step.
 
 use std::time::Duration;
 
 use super::voters::{Voter, VoterSet};
 
-/// A voter that has been missing for this long (2.2 s after its last message) is replaced by a successor that has all
-/// items: within `catch_up_s`, after which the next loss may come.
+/// A voter missing for this long (2.2 s after its last message) is replaced by a successor that has all items. The
+/// replacement must be complete within `catch_up_s`, after which the next loss may occur.
 const REPLACE_AFTER: Duration = Duration::from_millis(800);
-/// A voter that has been missing for this long is removed though nobody takes its place. One that returns is added again
-/// once it has all items, so this may be short.
+/// A voter missing for this long is removed even without a successor. This may be short, because a voter that returns is
+/// added again once it has all items.
 const REMOVE_AFTER: Duration = Duration::from_secs(10);
-/// No smaller set loses a member without a successor.
-const SMALLEST_SHRUNK: usize = 4;
-/// Sets of at least this many lose members even if they are odd, once two are missing.
-const SMALLEST_SHRUNK_BY_TWO: usize = 7;
+/// The smallest even set that may lose a member without a successor.
+const MIN_EVEN_SIZE_TO_SHRINK: usize = 4;
+/// The smallest odd set that may lose a member without a successor; at least two members must be missing.
+const MIN_ODD_SIZE_TO_SHRINK: usize = 7;
 
-/// What is known of a voter.
+/// Whether a voter is reachable, as seen by one replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Presence {
-    /// It is alive.
+    /// The voter is alive.
     Present,
-    /// It was told to end.
+    /// The voter is shutting down.
     Leaving,
-    /// It has not been seen for so long.
+    /// The voter has not been seen for this long.
     Missing(Duration),
 }
 
@@ -43,7 +46,7 @@
     }
 }
 
-/// The next voter set, if a change is due. `candidates` are replicas without a vote that hold everything committed.
+/// Returns the next voter set if a change is due. `candidates` are learners that hold all committed items.
 pub fn next_voters(
     set: &VoterSet,
     presence: impl Fn(&Voter) -> Presence,
@@ -52,8 +55,8 @@
     let is_present = |voter: &Voter| {
         !has_lost_disk(voter, candidates) && presence(voter).missing_for().is_zero()
     };
-    let next = wanted_set(set, &presence, candidates)?;
-    // A change must not depend on its new member.
+    let next = proposed_set(set, &presence, candidates)?;
+    // The voters present must be a majority of the next set without its new member.
     let present = set
         .voters()
         .iter()
@@ -63,13 +66,14 @@
     is_possible.then_some(next)
 }
 
-/// A candidate with another disk at the same address: the replica that had the vote is lost.
+/// Returns whether a candidate has the voter's address and another disk id: the disk that held the vote is lost.
 fn has_lost_disk(voter: &Voter, candidates: &[Voter]) -> bool {
     let replaces = |other: &Voter| other.ip == voter.ip && other.disk_id != voter.disk_id;
     candidates.iter().any(replaces)
 }
 
-fn wanted_set(
+/// Returns the next change of the voter set, without checking that enough voters are present for it.
+fn proposed_set(
     set: &VoterSet,
     presence: impl Fn(&Voter) -> Presence,
     candidates: &[Voter],
@@ -103,11 +107,12 @@
     }
 }
 
-/// Whether the set may lose a member without a successor.
+/// Returns whether the set may lose a member without a successor.
 fn may_shrink(set: &VoterSet, presence: impl Fn(&Voter) -> Presence) -> bool {
     let size = set.voters().len();
-    let is_gone = |voter: &&Voter| presence(voter).missing_for() >= REMOVE_AFTER;
-    let gone = set.voters().iter().filter(is_gone).count();
+    let is_long_missing = |voter: &&Voter| presence(voter).missing_for() >= REMOVE_AFTER;
+    let long_missing = set.voters().iter().filter(is_long_missing).count();
     let is_even = size.is_multiple_of(2);
-    (is_even && size >= SMALLEST_SHRUNK) || (gone > 1 && size >= SMALLEST_SHRUNK_BY_TWO)
+    (is_even && size >= MIN_EVEN_SIZE_TO_SHRINK)
+        || (long_missing > 1 && size >= MIN_ODD_SIZE_TO_SHRINK)
 }
--- a/crates/config-store/src/consensus/presence.rs
+++ b/crates/config-store/src/consensus/presence.rs
@@ -1,4 +1,4 @@
-//! Which voters are present as this replica sees it, and the change of the voter set that is due.
+//! Tracks which voters are present, and determines the change of the voter set that is due.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 
 use super::Replica;
 use super::membership::{Presence, next_voters};
-use super::timing::{CANDIDATE_TIMEOUT, STALL};
+use super::timing::{CANDIDATE_TIMEOUT, STALL_THRESHOLD};
 use super::voters::{Voter, VoterSet};
 
 impl Replica {
@@ -25,20 +25,20 @@
         Presence::Missing(now.saturating_sub(last_seen))
     }
 
-    /// The change of the voter set that is due, if any.
-    pub(super) fn due_change(&self, now: Duration) -> Option<VoterSet> {
+    /// Returns the change of the voter set that is due, if any.
+    pub(super) fn due_voter_set_change(&self, now: Duration) -> Option<VoterSet> {
         let set = self
             .voters
             .as_ref()
-            .filter(|_| now >= self.next_change_at)?;
+            .filter(|_| now >= self.next_voter_set_change_at)?;
         let candidates: Vec<Voter> = self.candidates.keys().copied().collect();
         next_voters(set, |voter| self.presence(voter, now), &candidates)
     }
 
-    /// Notes which voters are alive now. A replica that stood still itself can't say since when others are missing: it
-    /// counts from now.
-    pub(super) fn track_voters(&mut self, now: Duration) {
-        let was_stalled = now.saturating_sub(self.last_tick) > STALL;
+    /// Records which voters are alive now, and drops candidates that no longer request a vote. A replica that was itself
+    /// stalled doesn't know how long others have been missing, so it counts from now.
+    pub(super) fn update_presence(&mut self, now: Duration) {
+        let was_stalled = now.saturating_sub(self.last_tick) > STALL_THRESHOLD;
         self.last_tick = now;
         self.candidates
             .retain(|_, asked| now < *asked + CANDIDATE_TIMEOUT);
--- a/crates/config-store/src/consensus/proposer.rs
+++ b/crates/config-store/src/consensus/proposer.rs
@@ -1,4 +1,4 @@
-//! The proposer: a round of prepare and accept, and the commands that it carries out. It alone changes the round.
+//! The proposer: runs rounds of prepare and accept, and applies commands. Only this module changes the round.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -9,10 +9,11 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-use super::command::{PendingCommand, Requester, apply, drop_clashing_leftovers, uncommitted};
+use super::command::{PendingCommand, Requester, apply, revert_conflicting_items, uncommitted};
 use super::round::{AfterCommit, Phase, Round};
 use super::timing::{
-    CHANGE_PAUSE, EXTRA_PROMISES_TIMEOUT, MAX_BACKOFF, MAX_CONFLICTS, PHASE_TIMEOUT,
+    BACKOFF_PER_CONFLICT, EXTRA_PROMISES_TIMEOUT, MAX_BACKOFF_CONFLICTS, PHASE_TIMEOUT,
+    VOTER_SET_CHANGE_RETRY_INTERVAL,
 };
 use super::voters::{Voter, VoterSet};
 use super::{Effect, Replica};
@@ -43,10 +44,10 @@
             step: 0,
             commands,
             awaits_more_promises: false,
-            until: now + PHASE_TIMEOUT,
+            phase_deadline: now + PHASE_TIMEOUT,
             phase: Phase::Prepare {
                 promises: [self.identity()].into(),
-                gathered: Box::new(self.durable.accepted.clone()),
+                collected_items: Box::new(self.durable.accepted.clone()),
             },
         });
         let message = Message::Prepare {
@@ -58,20 +59,21 @@
         self.check_promises(now);
     }
 
-    /// The commands are pending again. After a conflict the next round waits a random time.
+    /// Ends the round and makes its commands pending again. After a conflict the next round starts after a random backoff.
     pub(super) fn abandon_round(&mut self, now: Duration) {
         if self
             .round
             .as_ref()
             .is_some_and(|round| round.awaits_more_promises)
         {
-            self.next_change_at = now + CHANGE_PAUSE;
+            self.next_voter_set_change_at = now + VOTER_SET_CHANGE_RETRY_INTERVAL;
             return self.requeue_round();
         }
-        self.conflicts = (self.conflicts + 1).min(MAX_CONFLICTS);
+        self.conflicts = (self.conflicts + 1).min(MAX_BACKOFF_CONFLICTS);
         self.random_state = self.random_state.wrapping_add(1);
         let fraction: f64 = SmallRng::seed_from_u64(self.random_state).random();
-        self.next_round_at = now + MAX_BACKOFF.mul_f64(fraction * f64::from(self.conflicts));
+        self.next_round_at =
+            now + BACKOFF_PER_CONFLICT.mul_f64(fraction * f64::from(self.conflicts));
         self.requeue_round();
     }
 
@@ -84,7 +86,7 @@
         }
     }
 
-    /// A round counts in its own epoch alone.
+    /// Ends a round of an earlier epoch: its promises don't count in the epoch now in force.
     pub(super) fn drop_round_of_earlier_epoch(&mut self) {
         let epoch = self.epoch();
         if self
@@ -96,7 +98,7 @@
         }
     }
 
-    /// An acceptor answers a prepare.
+    /// Handles an acceptor's answer to a prepare.
     pub(super) fn receive_promise(&mut self, from: Ip, promise: Promise, now: Duration) {
         let Promise {
             proposal_number,
@@ -109,7 +111,11 @@
         let Some(round) = round.filter(|round| round.proposal_number == proposal_number) else {
             return;
         };
-        let Phase::Prepare { promises, gathered } = &mut round.phase else {
+        let Phase::Prepare {
+            promises,
+            collected_items,
+        } = &mut round.phase
+        else {
             return;
         };
         if promised != proposal_number {
@@ -120,7 +126,7 @@
             committed,
         } = items.unwrap_or_default();
         for item in accepted.into_iter().chain(committed.iter().cloned()) {
-            gathered.merge_proposed(item);
+            collected_items.merge_proposed(item);
         }
         promises.insert(Voter { ip: from, disk_id });
         self.learn(committed);
@@ -128,7 +134,7 @@
         self.check_promises(now);
     }
 
-    /// An acceptor answers a proposal.
+    /// Handles an acceptor's answer to a proposal.
     pub(super) fn receive_accepted(
         &mut self,
         voter: Voter,
@@ -159,8 +165,9 @@
         }
     }
 
-    /// The acceptor has asked for what it lacks, and has been sent it: by the time this arrives it has everything, unless
-    /// it holds what this replica lacks.
+    /// Sends the proposal again to an acceptor whose committed items differed. The acceptor sent its digests with its refusal,
+    /// so the items it lacks arrive before this proposal. If the acceptor holds items that this replica lacks, it refuses
+    /// again, and returns those items in answer to the digests sent here.
     fn propose_again(&mut self, to: Ip) {
         let Some(voters) = self.voters_item() else {
             return;
@@ -182,61 +189,69 @@
         self.effects.push(Effect::Send(to, proposal));
     }
 
-    /// A round of an earlier epoch was refused.
+    /// Handles the refusal of a round of an earlier epoch.
     pub(super) fn receive_newer_voters(&mut self, refused: ProposalNumber, voters: Item) {
         self.highest_round = self.highest_round.max(refused.round);
         self.learn(vec![voters]);
         self.drop_round_of_earlier_epoch();
     }
 
-    /// Once a majority has promised, what others left uncommitted is committed first: a command may replace an item only
-    /// where it is known to be committed, and acceptors learn that along with what replaces it.
+    /// Ends the prepare phase once a majority has promised. Items that earlier rounds left uncommitted are committed first:
+    /// a command may replace an item only if that item is known to be committed, because acceptors learn the committed
+    /// item together with its replacement.
     fn check_promises(&mut self, now: Duration) {
-        let change = self.due_change(now);
+        let change = self.due_voter_set_change(now);
         let Some(round) = &mut self.round else { return };
-        let Phase::Prepare { promises, gathered } = &mut round.phase else {
+        let Phase::Prepare {
+            promises,
+            collected_items,
+        } = &mut round.phase
+        else {
             return;
         };
         if !round.voters.is_majority(promises) {
             return;
         }
-        // A change is proposed only where those who answer now suffice for it: what is known of the others may be old.
+        // Propose a change of the voter set only if the replicas that have promised are a majority of the next set: the
+        // presence known of the others may be outdated.
         let lacks_promises = change.is_some_and(|next| !next.is_majority(promises));
         if lacks_promises && round.commands.is_empty() {
             if !round.awaits_more_promises {
                 round.awaits_more_promises = true;
-                round.until = now + EXTRA_PROMISES_TIMEOUT;
+                round.phase_deadline = now + EXTRA_PROMISES_TIMEOUT;
             }
             return;
         }
         round.awaits_more_promises = false;
         round.promised_by = promises.clone();
-        let mut snapshot = std::mem::take(&mut **gathered);
+        let mut snapshot = std::mem::take(&mut **collected_items);
         let proposal_number = round.proposal_number;
         let epoch = round.voters.epoch;
-        drop_clashing_leftovers(&mut snapshot, &self.durable.committed);
-        let leftovers = uncommitted(&snapshot, &self.durable.committed).map(|item| Item {
+        revert_conflicting_items(&mut snapshot, &self.durable.committed);
+        let uncommitted_items = uncommitted(&snapshot, &self.durable.committed).map(|item| Item {
             proposal_number,
             ..item.clone()
         });
-        // A change of the voter set comes last, when everything before it is committed.
+        // A later voter set is proposed last, once all other items are committed.
         let is_later_set = |item: &Item| item.key.kind == ItemKind::Voters && item.version > epoch;
-        let (later_sets, leftovers): (Vec<Item>, Vec<Item>) = leftovers.partition(is_later_set);
-        self.leftover_voters = later_sets.first().and_then(VoterSet::from_item);
-        if leftovers.is_empty() {
-            self.begin_own_work(now);
+        let (later_sets, uncommitted_items): (Vec<Item>, Vec<Item>) =
+            uncommitted_items.partition(is_later_set);
+        self.recovered_voters = later_sets.first().and_then(VoterSet::from_item);
+        if uncommitted_items.is_empty() {
+            self.continue_after_recovery(now);
         } else {
-            self.propose(leftovers, AfterCommit::OwnWork, now);
+            self.propose(uncommitted_items, AfterCommit::ContinueAfterRecovery, now);
         }
     }
 
-    /// All that may have been committed is committed here, and nobody else can commit anything by a lower number any more.
-    fn begin_own_work(&mut self, now: Duration) {
+    /// Proposes a change of the voter set if one is due, or applies the commands. All items that may have been committed
+    /// under lower numbers are committed here by now, and no more can be committed under a lower number.
+    fn continue_after_recovery(&mut self, now: Duration) {
         let Some(round) = &self.round else { return };
         let due = self
-            .due_change(now)
+            .due_voter_set_change(now)
             .filter(|next| next.is_majority(&round.promised_by));
-        match self.leftover_voters.take().or(due) {
+        match self.recovered_voters.take().or(due) {
             Some(set) => self.propose_voters(&set, now),
             None => self.apply_commands(now),
         }
@@ -255,14 +270,15 @@
         for pending in &round.commands {
             let is_evacuation = matches!(pending.command, Command::Evacuate { .. });
             if is_evacuation && now >= pending.expires_at {
-                let reply = CommandReply::Unavailable("it took too long".into());
+                let reply =
+                    CommandReply::Unavailable("the command expired before it was applied".into());
                 replies.push((pending.requester, reply));
                 continue;
             }
             let outcome = apply(&snapshot, &pending.command, round.proposal_number);
             snapshot = outcome.next.unwrap_or(snapshot);
             let reply = match outcome.reply {
-                // It may yet be found valid where it was forwarded to.
+                // The replica that received the forwarded command may still find it valid.
                 CommandReply::Invalid(reason) if pending.was_forwarded => {
                     CommandReply::Unavailable(reason)
                 }
@@ -289,14 +305,15 @@
     fn finish_round(&mut self, replies: Vec<(Requester, CommandReply)>) {
         self.round = None;
         self.conflicts = 0;
-        // What is left after a round clashes with what is committed: it is looked at again, not at once.
+        // Items still uncommitted after a round conflict with committed ones. Restart the timeout, so that they are
+        // retried later and not immediately.
         self.uncommitted_since = None;
         for (requester, reply) in replies {
             self.answer(requester, reply);
         }
     }
 
-    fn propose(&mut self, items: Vec<Item>, then: AfterCommit, now: Duration) {
+    fn propose(&mut self, items: Vec<Item>, after_commit: AfterCommit, now: Duration) {
         let identity = self.identity();
         let replaced = items
             .iter()
@@ -307,12 +324,12 @@
         };
         let Some(round) = &mut self.round else { return };
         if self.durable.promised > round.proposal_number {
-            // Promised to another since: this replica's own answer, too, is for the later number.
+            // This replica has promised a higher number since, so its own acceptance does not count for this round.
             return self.abandon_round(now);
         }
         round.step += 1;
-        round.until = now + PHASE_TIMEOUT;
-        let is_new_epoch = then == AfterCommit::NewEpoch;
+        round.phase_deadline = now + PHASE_TIMEOUT;
+        let is_new_epoch = after_commit == AfterCommit::NewEpoch;
         let proposal = Message::Accept {
             proposal_number: round.proposal_number,
             step: round.step,
@@ -324,7 +341,7 @@
         round.phase = Phase::Accept {
             accepts: [identity].into(),
             items: items.clone(),
-            then,
+            after_commit,
         };
         self.accept(items);
         self.effects.push(Effect::Broadcast(proposal));
@@ -336,7 +353,7 @@
         let Phase::Accept {
             accepts,
             items,
-            then,
+            after_commit,
         } = &mut round.phase
         else {
             return;
@@ -347,12 +364,12 @@
             return;
         }
         let items = std::mem::take(items);
-        let then = then.clone();
+        let after_commit = after_commit.clone();
         self.learn(items.clone());
         self.effects
             .push(Effect::Broadcast(Message::Commit { items }));
-        match then {
-            AfterCommit::OwnWork => self.begin_own_work(now),
+        match after_commit {
+            AfterCommit::ContinueAfterRecovery => self.continue_after_recovery(now),
             AfterCommit::NewEpoch => self.requeue_round(),
             AfterCommit::Reply(replies) => self.finish_round(replies),
         }
--- a/crates/config-store/src/consensus/repair.rs
+++ b/crates/config-store/src/consensus/repair.rs
@@ -1,5 +1,5 @@
-//! Repair (anti-entropy): replicas compare digests, and send each other the items of the shards that differ. A replica
-//! without a vote asks for one this way: a voter that holds the same committed items takes it for a candidate.
+//! Repair (anti-entropy): replicas compare digests, and send each other the items of the shards that differ. A learner also
+//! requests a vote with these messages: a voter that holds the same committed items records it as a candidate.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use damsonbeam_control::config::{Item, ProposalNumber};
 use damsonbeam_control::messages::{Message, StateGroupDigests};
 
-use super::timing::{COMPARE_INTERVAL, JOIN_ATTEMPTS, JOIN_INTERVAL};
+use super::timing::{COMPARISON_INTERVAL, JOIN_ATTEMPTS_PER_VOTER, JOIN_INTERVAL};
 use super::voters::{Voter, VoterSet};
 use super::{Effect, Replica};
 
@@ -26,40 +26,43 @@
         }
     }
 
-    /// Compares with one other replica now and then. One without a vote compares more often, and with the same voter a few
-    /// times in a row, so that those who join at the same time turn to the same one.
-    pub(super) fn compare_when_due(&mut self, now: Duration) {
+    /// Sends the digests to one other replica if a comparison is due. A learner compares more often, and with the same voter
+    /// [`JOIN_ATTEMPTS_PER_VOTER`] times in a row, so that learners that join at the same time ask the same voter.
+    pub(super) fn compare_if_due(&mut self, now: Duration) {
         if now < self.next_compare_at {
             return;
         }
-        let Some(peer) = self.next_to_compare() else {
+        let Some(peer) = self.next_comparison_peer() else {
             return;
         };
         let interval = if self.is_voter() {
-            COMPARE_INTERVAL
+            COMPARISON_INTERVAL
         } else {
             JOIN_INTERVAL
         };
         self.next_compare_at = now + interval;
-        self.compare_turn += 1;
+        self.comparison_count += 1;
         self.effects
             .push(Effect::Send(peer, self.digests_message()));
     }
 
-    fn next_to_compare(&self) -> Option<Ip> {
+    fn next_comparison_peer(&self) -> Option<Ip> {
         if !self.is_voter() {
             let voters = self.voters.iter().flat_map(VoterSet::voters);
             let voters = voters.map(|voter| voter.ip).filter(|ip| *ip != self.own_ip);
             let voters: Vec<Ip> = voters.collect();
             if !voters.is_empty() {
-                return Some(voters[self.compare_turn / JOIN_ATTEMPTS % voters.len()]);
+                return Some(
+                    voters[self.comparison_count / JOIN_ATTEMPTS_PER_VOTER % voters.len()],
+                );
             }
         }
-        let index = self.compare_turn % self.peers.len().max(1);
+        let index = self.comparison_count % self.peers.len().max(1);
         self.peers.get(index).copied()
     }
 
-    /// Another replica sends its digests.
+    /// Handles the digests of another replica: sends it the items of the shards that differ, and records a learner whose
+    /// committed items are equal as a candidate.
     pub(super) fn receive_compare(
         &mut self,
         from: Ip,
@@ -74,12 +77,12 @@
             self.candidates.insert(Voter { ip: from, disk_id }, now);
         }
         if digests != own {
-            let items = self.items_lacking(&digests);
-            self.effects.push(Effect::Send(from, items));
+            let message = self.repair_message(&digests);
+            self.effects.push(Effect::Send(from, message));
         }
     }
 
-    /// Another replica sends what this one lacks, or may lack.
+    /// Handles items from a replica whose digests differ from the ones here.
     pub(super) fn receive_repair(
         &mut self,
         items: Vec<Item>,
@@ -91,8 +94,8 @@
         self.learn(committed);
     }
 
-    /// What another replica lacks, or may lack: the items of the shards that differ.
-    fn items_lacking(&self, digests: &StateGroupDigests) -> Message {
+    /// Returns the message with the items of the shards that differ, which the other replica may lack.
+    fn repair_message(&self, digests: &StateGroupDigests) -> Message {
         let mut items = self
             .durable
             .accepted
--- a/crates/config-store/src/consensus/replica.rs
+++ b/crates/config-store/src/consensus/replica.rs
@@ -1,4 +1,4 @@
-//! The replica: its state, and what happens to it as time passes and messages come.
+//! The replica: its state, and the entry points for ticks and messages.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -11,73 +11,74 @@
 use super::command::{PendingCommand, Requester};
 use super::proposer::Promise;
 use super::round::Round;
-use super::timing::COMMIT_LEFTOVERS_AFTER;
-use super::voters::{FOUNDING_DISK, Voter, VoterSet};
+use super::timing::UNCOMMITTED_ITEMS_TIMEOUT;
+use super::voters::{FOUNDER_DISK_ID, Voter, VoterSet};
 use super::{DurableState, Effect};
 
-/// A forwarded command, and when it is carried out here instead.
+/// A forwarded command, and the time at which it is applied here instead.
 pub(super) type Forwarded = (PendingCommand, Duration);
 
-/// The latest commands that another replica forwarded, by their numbers in its present incarnation.
+/// The latest commands that another replica forwarded, by their numbers in its current incarnation.
 #[derive(Clone, Debug, Default, PartialEq, Hash)]
 pub(super) struct ForwardsSeen {
     pub(super) incarnation: u64,
     pub(super) numbers: BTreeSet<u64>,
 }
 
-/// One replica of the configuration. Its fields are private to the consensus; each module says which it changes.
+/// One replica of the configuration. Its fields are private to `consensus`; the documentation of each module says which of
+/// them the module changes.
 #[derive(Clone, Debug, PartialEq, Hash)]
 pub struct Replica {
     pub(super) own_ip: Ip,
-    /// Chosen at random at the start: names the commands forwarded.
+    /// A random number chosen at the start, which tells commands forwarded by this process from those of an earlier one.
     pub(super) incarnation: u64,
     pub(super) durable: DurableState,
-    /// The set in force, as in what is committed.
+    /// The voter set in force, decoded from the committed items.
     pub(super) voters: Option<VoterSet>,
-    /// A change of the voter set that the round has found left over.
-    pub(super) leftover_voters: Option<VoterSet>,
-    /// The state of the random backoffs: the seed, raised by one at each draw.
+    /// A later voter set that the prepare of the current round found accepted but not committed.
+    pub(super) recovered_voters: Option<VoterSet>,
+    /// The state of the random backoff: the seed, incremented at each draw.
     pub(super) random_state: u64,
-    /// Machines that the registry here takes to be alive, this one left out.
+    /// Other machines that the local registry considers alive.
     pub(super) peers: Vec<Ip>,
-    /// When each voter's machine was last among them, or heard from.
+    /// When each voter's machine was last among the peers or last sent a message.
     pub(super) last_seen: BTreeMap<Ip, Duration>,
     pub(super) last_tick: Duration,
-    /// Replicas without a vote that have everything committed, and when they last asked for one.
+    /// Learners that hold all committed items, and when each last requested a vote.
     pub(super) candidates: BTreeMap<Voter, Duration>,
-    /// Told to end.
+    /// Whether the replica is shutting down.
     pub(super) is_leaving: bool,
-    /// The highest round of any proposal number seen.
+    /// The highest round in any proposal number seen.
     pub(super) highest_round: u64,
     pub(super) round: Option<Round>,
     /// Commands for the next round.
     pub(super) pending: VecDeque<PendingCommand>,
-    /// Commands that were forwarded, by the registry's numbers.
+    /// Forwarded commands without a reply, by the registry's numbers.
     pub(super) forwarded: BTreeMap<u64, Forwarded>,
     pub(super) forwards_seen: BTreeMap<Ip, ForwardsSeen>,
-    /// Nothing is forwarded until then.
-    pub(super) no_forward_until: Duration,
-    /// Conflicts of proposal numbers in a row.
+    /// No command is forwarded before this time.
+    pub(super) forwarding_suspended_until: Duration,
+    /// Consecutive conflicts of proposal numbers.
     pub(super) conflicts: u32,
     pub(super) next_round_at: Duration,
-    pub(super) next_change_at: Duration,
+    pub(super) next_voter_set_change_at: Duration,
     pub(super) next_compare_at: Duration,
-    pub(super) compare_turn: usize,
-    /// Since when there has been something accepted and not committed.
+    pub(super) comparison_count: usize,
+    /// Since when there have been accepted items that are not known to be committed.
     pub(super) uncommitted_since: Option<Duration>,
-    /// Taken after each call.
+    /// Effects of calls, until the caller takes them.
     pub(super) effects: Vec<Effect>,
 }
 
 impl Replica {
-    /// A replica as it starts with what is on its disk; `seed` is chosen at random.
+    /// Creates a replica from its durable state; `seed` must be random.
     pub fn new(own_ip: Ip, durable: DurableState, seed: u64, now: Duration) -> Self {
         Replica {
             own_ip,
             incarnation: seed,
             highest_round: durable.promised.round,
             voters: VoterSet::committed(&durable.committed),
-            leftover_voters: None,
+            recovered_voters: None,
             durable,
             random_state: seed,
             peers: Vec::new(),
@@ -89,28 +90,28 @@
             pending: VecDeque::new(),
             forwarded: BTreeMap::new(),
             forwards_seen: BTreeMap::new(),
-            no_forward_until: now,
+            forwarding_suspended_until: now,
             conflicts: 0,
             next_round_at: now,
-            next_change_at: now,
+            next_voter_set_change_at: now,
             next_compare_at: now,
-            compare_turn: 0,
+            comparison_count: 0,
             uncommitted_since: None,
             effects: Vec::new(),
         }
     }
 
-    /// What is on disk once all effects are carried out.
+    /// Returns the durable state as it is on disk once all effects are executed.
     pub fn durable(&self) -> &DurableState {
         &self.durable
     }
 
-    /// The effects of the calls since these were last taken.
+    /// Returns the effects of all calls since the last call of this method.
     pub fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects)
     }
 
-    /// Sets the machines that the registry here takes to be alive.
+    /// Sets the machines that the local registry considers alive.
     pub fn set_roster(&mut self, ips: &[Ip]) {
         self.peers = ips
             .iter()
@@ -119,21 +120,23 @@
             .collect();
     }
 
-    /// The voter set in force, as far as it is known here.
+    /// Returns the latest committed voter set known here.
     pub fn voters(&self) -> Option<&VoterSet> {
         self.voters.as_ref()
     }
 
-    /// Tells the replica to end: it takes no command any more, and where the set can do without it, it gives up its vote.
+    /// Starts the shutdown: the replica accepts no more forwarded commands, and proposes its own removal where
+    /// [`membership`](super::membership) permits it.
     pub fn leave(&mut self) {
         self.is_leaving = true;
     }
 
-    /// Whether it may end: it has no vote, or none to give up, and nothing that it accepted waits to be committed.
-    pub fn may_end(&self, now: Duration) -> bool {
-        let is_level = self.durable.accepted.digest() == self.durable.committed.digest();
-        let is_idle = self.round.is_none() && self.due_change(now).is_none();
-        !self.is_voter() || (is_level && is_idle)
+    /// Returns whether the replica may stop: it is not a voter, or all items it accepted are committed and neither a round
+    /// nor a change of the voter set is outstanding.
+    pub fn can_stop(&self, now: Duration) -> bool {
+        let all_committed = self.durable.accepted.digest() == self.durable.committed.digest();
+        let is_idle = self.round.is_none() && self.due_voter_set_change(now).is_none();
+        !self.is_voter() || (all_committed && is_idle)
     }
 
     pub(super) fn identity(&self) -> Voter {
@@ -152,23 +155,23 @@
         self.voters.as_ref().map_or(0, |set| set.epoch)
     }
 
-    /// The voter set in force as it was committed.
+    /// Returns the committed item of the voter set in force.
     pub(super) fn voters_item(&self) -> Option<Item> {
         let set = self.voters.as_ref()?;
         let key = set.to_item(Default::default()).key;
         self.durable.committed.get(&key).cloned()
     }
 
-    /// Names this replica in proposal numbers. A disk's id is nobody else's; founders, whose ids are alike, go by their
-    /// addresses.
+    /// Returns the id of this replica in proposal numbers: the disk id, which is unique, or, for founders, which share one
+    /// disk id, the address.
     pub(super) fn proposer_id(&self) -> u64 {
         match self.durable.disk_id {
-            FOUNDING_DISK => u64::from(u32::from_be_bytes(self.own_ip)),
+            FOUNDER_DISK_ID => u64::from(u32::from_be_bytes(self.own_ip)),
             id => id,
         }
     }
 
-    /// Voters on other machines that are taken to be alive, by address.
+    /// Returns the voters on other machines that are considered alive, ordered by address.
     pub(super) fn other_voters(&self) -> Vec<Ip> {
         let voters = self.voters.iter().flat_map(VoterSet::voters);
         let ips = voters.map(|voter| voter.ip);
@@ -195,23 +198,28 @@
         self.effects.push(effect);
     }
 
-    /// Time has passed.
+    /// Advances the time: handles all timeouts, and starts a round if one is due.
     pub fn tick(&mut self, now: Duration) {
-        self.track_voters(now);
-        self.take_back_forwarded(now);
+        self.update_presence(now);
+        self.reclaim_forwarded(now);
         self.expire_commands(now);
-        if self.round.as_ref().is_some_and(|round| now >= round.until) {
+        if self
+            .round
+            .as_ref()
+            .is_some_and(|round| now >= round.phase_deadline)
+        {
             self.abandon_round(now);
         }
-        self.compare_when_due(now);
-        let has_leftovers = self.durable.accepted.digest() != self.durable.committed.digest();
+        self.compare_if_due(now);
+        let has_uncommitted_items =
+            self.durable.accepted.digest() != self.durable.committed.digest();
         let since = self.uncommitted_since.unwrap_or(now);
-        self.uncommitted_since = has_leftovers.then_some(since);
-        let commits_leftovers =
-            has_leftovers && (self.is_leaving || now >= since + COMMIT_LEFTOVERS_AFTER);
+        self.uncommitted_since = has_uncommitted_items.then_some(since);
+        let recovery_due =
+            has_uncommitted_items && (self.is_leaving || now >= since + UNCOMMITTED_ITEMS_TIMEOUT);
         let may_propose = self.round.is_none() && self.is_voter() && now >= self.next_round_at;
-        let has_work = || !self.pending.is_empty() || self.due_change(now).is_some();
-        if may_propose && (commits_leftovers || has_work()) {
+        let has_work = || !self.pending.is_empty() || self.due_voter_set_change(now).is_some();
+        if may_propose && (recovery_due || has_work()) {
             let commands = self.pending.drain(..).collect();
             self.start_round(commands, now);
         }
@@ -228,8 +236,8 @@
         }
     }
 
-    /// Takes a message of another replica. It is long for it has an arm for each message, which only takes it apart.
-    #[expect(clippy::too_many_lines, reason = "an arm for each message")]
+    /// Handles a message of another replica. The function is long because it destructures each kind of message.
+    #[expect(clippy::too_many_lines, reason = "one match arm per message")]
     pub fn receive(&mut self, from: Ip, message: Message, now: Duration) {
         if let Some(last_seen) = self.last_seen.get_mut(&from) {
             *last_seen = now;
--- a/crates/config-store/src/consensus/round.rs
+++ b/crates/config-store/src/consensus/round.rs
@@ -1,4 +1,4 @@
-//! A proposer's round: one proposal number, from prepare to the last proposal that is accepted under it.
+//! A proposer's round: one proposal number, from its prepare to the last proposal accepted under that number.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -9,45 +9,46 @@
 use super::command::{PendingCommand, Requester};
 use super::voters::{Voter, VoterSet};
 
-/// What follows once a proposal is committed.
+/// The next action of a round once its current proposal is committed.
 #[derive(Clone, Debug, PartialEq, Hash)]
 pub(super) enum AfterCommit {
-    /// What others had left uncommitted is committed: the round's own work begins.
-    OwnWork,
-    /// Another set of voters is in force: nothing of this round counts there.
+    /// Items that earlier rounds left uncommitted are now committed: apply the commands of this round.
+    ContinueAfterRecovery,
+    /// Another voter set is in force: end the round, whose promises don't count in the new epoch.
     NewEpoch,
-    /// The commands are carried out.
+    /// The commands are applied: send their replies.
     Reply(Vec<(Requester, CommandReply)>),
 }
 
+/// The phase of a round.
 #[derive(Clone, Debug, PartialEq, Hash)]
 pub(super) enum Phase {
-    /// Promises are collected, and the items accepted by those who promise.
+    /// Collecting promises, and the items accepted by the replicas that promised.
     Prepare {
         promises: BTreeSet<Voter>,
-        gathered: Box<ConfigSnapshot>,
+        collected_items: Box<ConfigSnapshot>,
     },
-    /// A proposal is to be accepted.
+    /// Waiting for a majority to accept a proposal.
     Accept {
         accepts: BTreeSet<Voter>,
         items: Vec<Item>,
-        then: AfterCommit,
+        after_commit: AfterCommit,
     },
 }
 
-/// One proposal number of this proposer, in one epoch.
+/// A round under one proposal number, in one epoch.
 #[derive(Clone, Debug, PartialEq, Hash)]
 pub(super) struct Round {
     pub(super) proposal_number: ProposalNumber,
     pub(super) voters: VoterSet,
-    /// Who had promised when there was a majority.
+    /// The replicas that had promised when the prepare phase ended.
     pub(super) promised_by: BTreeSet<Voter>,
-    /// Counts the proposals: an answer to one must not count for another.
+    /// The number of the current proposal within the round, so that an answer to an earlier proposal is not counted.
     pub(super) step: u32,
     pub(super) commands: Vec<PendingCommand>,
-    /// It has a majority, and waits for the promises that a change of the voter set needs beyond it.
+    /// A majority has promised, and the round waits for the further promises that a change of the voter set needs.
     pub(super) awaits_more_promises: bool,
-    /// When the present phase is given up.
-    pub(super) until: Duration,
+    /// When the current phase times out.
+    pub(super) phase_deadline: Duration,
     pub(super) phase: Phase,
 }
--- a/crates/config-store/src/consensus/timing.rs
+++ b/crates/config-store/src/consensus/timing.rs
@@ -1,40 +1,43 @@
-//! How long replicas wait for each other. Round trips between regions take up to some 200 ms, a slow sync as long.
+//! Timeouts and intervals between replicas. A round trip between regions takes up to about 200 ms, and so does a slow disk
+//! sync.
 
 use std::time::Duration;
 
-/// A phase of a round that gets no majority is given up after this: several round trips, and a slow sync.
+/// How long a phase of a round waits for a majority: several round trips and a slow sync.
 pub(super) const PHASE_TIMEOUT: Duration = Duration::from_millis(1200);
-/// A command is pending and retried for this long at most; its caller tries elsewhere then.
+/// How long a command may be pending and retried; after that its caller tries another store.
 pub(super) const COMMAND_TIMEOUT: Duration = Duration::from_millis(3500);
-/// An evacuation is pending no longer than its caller waits, who goes elsewhere after a second: one that is carried out
-/// later could undo what was commanded since. Items of the configuration have versions, which prevent that.
+/// How long an evacuation may be pending. The caller tries another store after one second, and an evacuation applied later
+/// than that could undo a newer command. Changes of the configuration need no such limit, because their items have
+/// versions.
 pub(super) const EVACUATION_TIMEOUT: Duration = Duration::from_millis(900);
-/// A forwarded command that is not answered within this is carried out here: several round trips.
+/// A forwarded command that is acknowledged but not answered within this time is applied here: several round trips.
 pub(super) const FORWARD_TIMEOUT: Duration = Duration::from_millis(900);
-/// A forwarded command is acknowledged at once. Without an acknowledgement in this time it is carried out here while its
-/// caller still waits.
+/// How long to wait for the acknowledgement of a forwarded command, which is sent at once. Without an acknowledgement the
+/// command is applied here while its caller still waits.
 pub(super) const FORWARD_ACK_TIMEOUT: Duration = Duration::from_millis(350);
-/// Nothing is forwarded for this long after a forwarded command went unanswered: the first voter may be frozen, slow or
-/// cut off, and not known to be yet.
-pub(super) const FORWARD_PAUSE: Duration = Duration::from_millis(1200);
-/// After a conflict of proposal numbers each proposer waits a random time, up to this times the conflicts: two round
-/// trips.
-pub(super) const MAX_BACKOFF: Duration = Duration::from_millis(240);
-/// More conflicts in a row than this do not lengthen the backoff.
-pub(super) const MAX_CONFLICTS: u32 = 5;
-/// Between two comparisons with another replica.
-pub(super) const COMPARE_INTERVAL: Duration = Duration::from_millis(1000);
-/// Between two comparisons of a replica without a vote, which asks for one by them.
+/// How long forwarding is suspended after a forwarded command was not answered: the first voter may be frozen, slow or
+/// partitioned, and not yet known to be.
+pub(super) const FORWARDING_SUSPENSION: Duration = Duration::from_millis(1200);
+/// After a conflict of proposal numbers each proposer waits a random time below this value multiplied by the number of
+/// consecutive conflicts. The value is two round trips.
+pub(super) const BACKOFF_PER_CONFLICT: Duration = Duration::from_millis(240);
+/// The number of consecutive conflicts above which the backoff no longer grows.
+pub(super) const MAX_BACKOFF_CONFLICTS: u32 = 5;
+/// The interval between two comparisons with other replicas.
+pub(super) const COMPARISON_INTERVAL: Duration = Duration::from_millis(1000);
+/// The interval between two comparisons of a learner, which requests a vote with them.
 pub(super) const JOIN_INTERVAL: Duration = Duration::from_millis(250);
-/// How many times in a row a replica without a vote asks the same voter.
-pub(super) const JOIN_ATTEMPTS: usize = 4;
-/// A replica that last asked for a vote longer ago than this is gone, or asks elsewhere.
+/// How many times in a row a learner asks the same voter.
+pub(super) const JOIN_ATTEMPTS_PER_VOTER: usize = 4;
+/// How long a learner remains a candidate after its last request for a vote. An older request means that the learner has
+/// ended, or asks another voter.
 pub(super) const CANDIDATE_TIMEOUT: Duration = Duration::from_millis(700);
-/// A change of the voter set waits this long for promises beyond a majority.
+/// How long a change of the voter set waits for promises beyond a majority.
 pub(super) const EXTRA_PROMISES_TIMEOUT: Duration = Duration::from_millis(150);
-/// Between two attempts to change the voter set.
-pub(super) const CHANGE_PAUSE: Duration = Duration::from_millis(400);
-/// A replica that did not run for this long can't say since when others are missing.
-pub(super) const STALL: Duration = Duration::from_millis(1500);
-/// What is accepted and not known to be committed for this long is committed by a round of its own.
-pub(super) const COMMIT_LEFTOVERS_AFTER: Duration = Duration::from_millis(1500);
+/// The pause after a failed attempt to change the voter set.
+pub(super) const VOTER_SET_CHANGE_RETRY_INTERVAL: Duration = Duration::from_millis(400);
+/// A replica that did not run for this long doesn't know how long others have been missing.
+pub(super) const STALL_THRESHOLD: Duration = Duration::from_millis(1500);
+/// Items that have been accepted but not known to be committed for this long are committed by a separate round.
+pub(super) const UNCOMMITTED_ITEMS_TIMEOUT: Duration = Duration::from_millis(1500);
--- a/crates/config-store/src/consensus/voters.rs
+++ b/crates/config-store/src/consensus/voters.rs
@@ -1,4 +1,4 @@
-//! The voter set: which replicas count in a majority, as one item of the consensus itself.
+//! The voter set: the replicas that count towards a majority, stored as a configuration item.
 
 use std::collections::BTreeSet;
 
@@ -7,33 +7,34 @@
 use damsonbeam_control::config::{ConfigSnapshot, Item, ItemKey, ItemKind, ProposalNumber};
 use damsonbeam_control::voters::majority;
 
-/// The disk id of the replicas that the system was started with for the first time: known to all before they meet.
-pub const FOUNDING_DISK: u64 = 0;
+/// The disk id of the founders, which are the replicas at the first start of the system. It is fixed, so that all replicas
+/// can name the first voters without communicating.
+pub const FOUNDER_DISK_ID: u64 = 0;
 
-/// A replica by its address and the id of its disk: one whose disk was lost is another replica. It is stored and sent:
-/// its fields keep their order.
+/// A replica, identified by its address and disk id: after the loss of its disk it is a different replica. The type is stored
+/// and sent in an encoding that depends on the order of its fields.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct Voter {
-    /// Its machine.
+    /// The address of the machine.
     pub ip: Ip,
-    /// The id of its disk.
+    /// The id of the disk.
     pub disk_id: u64,
 }
 
-/// The replicas that have a vote.
+/// The set of replicas that have a vote.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct VoterSet {
-    /// Counts the changes of the set.
+    /// The version of the set, incremented by each change.
     pub epoch: u64,
     voters: BTreeSet<Voter>,
 }
 
 impl VoterSet {
-    /// The first set: the seeds of the first start.
+    /// Returns the first voter set, which consists of the seeds at the first start of the system.
     pub fn founding(seeds: &[Ip]) -> Self {
         let voter = |ip: &Ip| Voter {
             ip: *ip,
-            disk_id: FOUNDING_DISK,
+            disk_id: FOUNDER_DISK_ID,
         };
         VoterSet {
             epoch: 1,
@@ -41,12 +42,12 @@
         }
     }
 
-    /// The set in force according to the committed items; `None` where no set is known.
+    /// Returns the voter set in a snapshot; `None` if the snapshot has none.
     pub fn committed(snapshot: &ConfigSnapshot) -> Option<Self> {
         snapshot.get(&key()).and_then(Self::from_item)
     }
 
-    /// The set that an item describes; `None` where the item is no voter set.
+    /// Decodes a voter set from an item; `None` if the item is not a valid voter set.
     pub fn from_item(item: &Item) -> Option<Self> {
         let is_set = item.key.kind == ItemKind::Voters;
         let body = item.body.as_deref().filter(|_| is_set)?;
@@ -57,7 +58,7 @@
         })
     }
 
-    /// The item that describes the set.
+    /// Encodes the set as an item.
     pub fn to_item(&self, proposal_number: ProposalNumber) -> Item {
         let voters: Vec<Voter> = self.voters.iter().copied().collect();
         Item {
@@ -68,27 +69,27 @@
         }
     }
 
-    /// The voters in order.
+    /// Returns the voters, ordered by address and disk id.
     pub fn voters(&self) -> &BTreeSet<Voter> {
         &self.voters
     }
 
-    /// Whether a replica has a vote.
+    /// Returns whether a replica has a vote.
     pub fn contains(&self, voter: &Voter) -> bool {
         self.voters.contains(voter)
     }
 
-    /// How many voters make a majority.
+    /// Returns the number of voters that form a majority.
     pub fn majority(&self) -> usize {
         majority(self.voters.len())
     }
 
-    /// Whether a majority of the set is among these replicas.
+    /// Returns whether the given replicas include a majority of the set.
     pub fn is_majority(&self, replicas: &BTreeSet<Voter>) -> bool {
         self.voters.intersection(replicas).count() >= self.majority()
     }
 
-    /// The next set, with one member more.
+    /// Returns the set of the next epoch, with a voter added.
     #[must_use]
     pub fn with(&self, voter: Voter) -> Self {
         let mut voters = self.voters.clone();
@@ -99,7 +100,7 @@
         }
     }
 
-    /// The next set, with one member less.
+    /// Returns the set of the next epoch, with a voter removed.
     #[must_use]
     pub fn without(&self, voter: &Voter) -> Self {
         let mut voters = self.voters.clone();
--- a/crates/config-store/src/disk.rs
+++ b/crates/config-store/src/disk.rs
@@ -1,8 +1,9 @@
-//! The items on disk: one table each for what was accepted and what is committed, one for everything else. Each write is
-//! one transaction, synced before anything that depends on it is sent.
+//! The store on disk: one table for accepted items, one for committed items and one for all other state. Each write is one
+//! transaction, which is synced before any message that depends on it is sent.
 //!
-//! `redb` stands in for `sled`, whose syncs use `sync_file_range`, which these machines' disks do not count. Its file is
-//! reached through [`UnlockedFile`], which asks for no locks: the data directory belongs to one process alone.
+//! The database is `redb` and not `sled`, because `sled` syncs with `sync_file_range`, which the disks of the core machines
+//! do not treat as a sync. Its file is accessed through [`UnlockedFile`], which takes no locks: only one process uses the
+//! data directory.
 
 use std::fs::{File, OpenOptions};
 use std::io;
@@ -19,65 +20,65 @@
 
 use crate::consensus::{DurableState, DurableWrite};
 
-/// The store's file in the data directory, and its name while it is made.
-const FILE: &str = "items.redb";
-const UNFINISHED_FILE: &str = "items.new";
+/// The name of the store's file in the data directory, and its name until it is complete.
+const STORE_FILE: &str = "items.redb";
+const TEMPORARY_FILE: &str = "items.new";
 
 type ItemTable = TableDefinition<'static, &'static [u8], &'static [u8]>;
 const ACCEPTED: ItemTable = TableDefinition::new("accepted");
 const COMMITTED: ItemTable = TableDefinition::new("decided");
 const META: TableDefinition<&str, &[u8]> = TableDefinition::new("meta");
 
-/// Keys of the table `META`.
+/// The keys of the table `META`.
 const DISK_ID: &str = "disk";
 const PROMISED: &str = "promised";
 const ROSTER: &str = "roster";
 const BACKENDS: &str = "backends";
 
-/// Memory for pages: the replica holds the items anyway.
+/// The page cache, in bytes. It is small, because the replica holds all items in memory.
 const CACHE_BYTES: usize = 4 << 20;
-/// Ids of disks are above all founders' ids in proposal numbers, which are addresses.
+/// The lowest random disk id. Disk ids are above the addresses that identify founders in proposal numbers.
 const LOWEST_DISK_ID: u64 = 1 << 32;
 
-/// Why the disk can't be read or written.
+/// An error when reading or writing the store.
 #[derive(Debug, thiserror::Error)]
 pub enum DiskError {
-    /// A file can't be opened, or a record in it can't be read.
+    /// A file can't be opened, or a record in it can't be decoded.
     #[error("{file}: {reason}")]
     File {
         /// The file.
         file: String,
-        /// What is wrong.
+        /// The cause.
         reason: String,
     },
-    /// The database refuses.
-    #[error("the store: {0}")]
+    /// The database reports an error.
+    #[error("database: {0}")]
     Database(#[from] redb::Error),
-    /// The file is there, and is no store or a damaged one.
+    /// The file exists, but is not a store or is corrupt.
     #[error("{file}: it holds no sound store: {reason}")]
-    Unsound {
+    Corrupt {
         /// The file.
         file: String,
-        /// What is wrong with its bytes.
+        /// The cause, as the database reports it.
         reason: String,
     },
-    /// The store was made by a version that knew no voter set.
+    /// The store was written by a version without voter sets.
     #[error(
         "items.redb: made by a version that kept no voter set; start all core machines with empty data directories and \
          initial_start, and send the configuration again (store-export of that version writes it)"
     )]
-    OldVersion,
+    UnsupportedVersion,
 }
 
-/// The result of a call to the disk.
+/// The result of an operation on the store.
 pub type Result<T> = std::result::Result<T, DiskError>;
 
-/// All errors of the database are one: callers do the same about each.
+/// Converts any error of the database, as callers handle all of them the same way.
 fn database_error(error: impl Into<redb::Error>) -> DiskError {
     DiskError::Database(error.into())
 }
 
-/// A file without locks.
+/// A storage backend for a file, without file locks.
 #[derive(Debug)]
 pub struct UnlockedFile(File);
 
@@ -103,17 +104,17 @@
     }
 }
 
-/// The core machines known, for a start without a registry.
+/// The addresses of the known core machines, used at a start without a registry.
 pub type Roster = Vec<Ip>;
 
-/// Everything that is kept on disk.
+/// The whole state on disk.
 #[derive(Clone, Debug, Default)]
 pub struct StoredState {
-    /// What the consensus depends on.
+    /// The state that the consensus depends on.
     pub durable: DurableState,
-    /// The core machines known last.
+    /// The core machines known when the roster was last written.
     pub roster: Roster,
-    /// The list of backends as last read.
+    /// The latest list of backends received.
     pub backends: BackendList,
 }
 
@@ -123,24 +124,24 @@
 }
 
 impl Disk {
-    /// Opens the store in a data directory, or makes one.
+    /// Opens the store in a data directory, and creates it if it does not exist.
     ///
     /// # Errors
-    /// Where the file can't be opened, or holds no store.
+    /// If the file can't be opened, or is not a valid store.
     pub fn open(directory: &Path) -> Result<Self> {
-        let path = directory.join(FILE);
+        let path = directory.join(STORE_FILE);
         let file_error = |error: io::Error| DiskError::File {
             file: path.display().to_string(),
             reason: error.to_string(),
         };
         std::fs::create_dir_all(directory).map_err(file_error)?;
         if !path.exists() {
-            Self::make(directory, &path, file_error)?;
+            Self::create(directory, &path, file_error)?;
         }
         let existing = OpenOptions::new().read(true).write(true).open(&path);
         let existing = UnlockedFile(existing.map_err(file_error)?);
-        Self::with_backend(existing).map_err(|error| match unsound_reason(&error) {
-            Some(reason) => DiskError::Unsound {
+        Self::open_with_storage(existing).map_err(|error| match corruption_reason(&error) {
+            Some(reason) => DiskError::Corrupt {
                 file: path.display().to_string(),
                 reason,
             },
@@ -148,60 +149,60 @@
         })
     }
 
-    /// Makes an empty store. A store that is half made is none, and would be refused for good: the file gets its name once
-    /// it is complete, and the name must outlast a loss of power, too.
-    fn make(
+    /// Creates an empty store. An incomplete store would be refused at every later start, so the file is renamed to its final
+    /// name once it is complete. The directory is then synced, so that the name survives a power failure.
+    fn create(
         directory: &Path,
         path: &Path,
         file_error: impl Fn(io::Error) -> DiskError,
     ) -> Result<()> {
-        let unfinished = directory.join(UNFINISHED_FILE);
+        let temporary_path = directory.join(TEMPORARY_FILE);
         let mut options = OpenOptions::new();
         options.read(true).write(true).create(true).truncate(true);
-        let file = options.open(&unfinished).map_err(&file_error)?;
-        drop(Self::with_backend(UnlockedFile(file))?);
-        std::fs::rename(&unfinished, path).map_err(&file_error)?;
+        let file = options.open(&temporary_path).map_err(&file_error)?;
+        drop(Self::open_with_storage(UnlockedFile(file))?);
+        std::fs::rename(&temporary_path, path).map_err(&file_error)?;
         let directory = File::open(directory).map_err(&file_error)?;
         directory.sync_all().map_err(&file_error)
     }
 
-    /// Opens the store on any storage; an empty one becomes a store.
+    /// Opens the store on the given storage backend; empty storage is initialized.
     ///
     /// # Errors
-    /// Where it holds no store.
-    pub fn with_backend(storage: impl StorageBackend) -> Result<Self> {
+    /// If the storage is not empty and holds no valid store.
+    pub fn open_with_storage(storage: impl StorageBackend) -> Result<Self> {
         let mut builder = Database::builder();
         builder.set_cache_size(CACHE_BYTES);
         let database = builder
             .create_with_backend(storage)
             .map_err(database_error)?;
-        let write = database.begin_write().map_err(database_error)?;
-        Self::make_tables(&write)?;
-        write.commit().map_err(database_error)?;
+        let transaction = database.begin_write().map_err(database_error)?;
+        Self::create_tables(&transaction)?;
+        transaction.commit().map_err(database_error)?;
         Ok(Disk { database })
     }
 
-    /// Makes the tables that are missing, and gives the disk its id.
-    fn make_tables(write: &WriteTransaction) -> Result<()> {
-        let accepted = write.open_table(ACCEPTED).map_err(database_error)?;
-        write.open_table(COMMITTED).map_err(database_error)?;
-        let mut meta = write.open_table(META).map_err(database_error)?;
+    /// Creates the missing tables, and assigns the disk id to a new store.
+    fn create_tables(transaction: &WriteTransaction) -> Result<()> {
+        let accepted = transaction.open_table(ACCEPTED).map_err(database_error)?;
+        transaction.open_table(COMMITTED).map_err(database_error)?;
+        let mut meta = transaction.open_table(META).map_err(database_error)?;
         if meta.get(DISK_ID).map_err(database_error)?.is_some() {
             return Ok(());
         }
         let is_new = accepted.is_empty().map_err(database_error)?
             && meta.is_empty().map_err(database_error)?;
         if !is_new {
-            return Err(DiskError::OldVersion);
+            return Err(DiskError::UnsupportedVersion);
         }
         let id: u64 = rand::random_range(LOWEST_DISK_ID..u64::MAX);
         put(&mut meta, DISK_ID, &id)
     }
 
-    /// Reads everything.
+    /// Reads the whole state.
     ///
     /// # Errors
-    /// Where the disk fails, or a record can't be read.
+    /// If the disk fails, or a record can't be decoded.
     pub fn read(&self) -> Result<StoredState> {
         let mut state = StoredState::default();
         let durable = &mut state.durable;
@@ -224,10 +225,10 @@
         Ok(state)
     }
 
-    /// Writes all of this or nothing, and syncs.
+    /// Applies all writes in one transaction and syncs it.
     ///
     /// # Errors
-    /// Where the disk fails: nothing that depends on the writes may be sent then.
+    /// If the disk fails. No message that depends on the writes may be sent then.
     pub fn persist(&self, writes: &[DurableWrite]) -> Result<()> {
         let transaction = self.database.begin_write().map_err(database_error)?;
         {
@@ -246,11 +247,11 @@
         transaction.commit().map_err(database_error)
     }
 
-    /// Writes the list of backends without a sync: an older list does as well, for each request names the backend that it
-    /// is for.
+    /// Writes the list of backends without a sync. An older list is harmless after a power failure, because each request
+    /// names its backend.
     ///
     /// # Errors
-    /// Where the disk fails.
+    /// If the disk fails.
     pub fn persist_backends(&self, backends: &BackendList) -> Result<()> {
         let mut transaction = self.database.begin_write().map_err(database_error)?;
         transaction
@@ -263,10 +264,10 @@
         transaction.commit().map_err(database_error)
     }
 
-    /// Writes the core machines known.
+    /// Writes the known core machines.
     ///
     /// # Errors
-    /// Where the disk fails.
+    /// If the disk fails.
     pub fn persist_roster(&self, roster: &Roster) -> Result<()> {
         let transaction = self.database.begin_write().map_err(database_error)?;
         {
@@ -306,20 +307,20 @@
 
 fn decode<T: for<'a> bitcode::Decode<'a>>(bytes: &[u8]) -> Result<T> {
     bitcode::decode(bytes).map_err(|error| DiskError::File {
-        file: FILE.into(),
+        file: STORE_FILE.into(),
         reason: format!("a record: {error}"),
     })
 }
 
-/// The key of an item's row: a byte for its kind, then its name.
+/// Returns the key of an item's row: one byte for the kind, followed by the name.
 fn row_key(key: &ItemKey) -> Vec<u8> {
     let mut bytes = vec![key.kind as u8];
     bytes.extend_from_slice(key.name.as_bytes());
     bytes
 }
 
-/// What is wrong with the bytes of a file that could be read.
-fn unsound_reason(error: &DiskError) -> Option<String> {
+/// Returns the reason if the error means that the file could be read but its content is corrupt.
+fn corruption_reason(error: &DiskError) -> Option<String> {
     match error {
         DiskError::Database(redb::Error::Corrupted(reason)) => Some(reason.clone()),
         DiskError::Database(redb::Error::Io(error))
--- a/crates/config-store/src/main.rs
+++ b/crates/config-store/src/main.rs
@@ -1,4 +1,4 @@
-//! `damsonbeam-config-store`: one store process.
+//! `damsonbeam-config-store`: the program that runs one store process.
 
 use std::process::ExitCode;
 
@@ -6,6 +6,6 @@
 use damsonbeam_control::program::run_program;
 
 fn main() -> ExitCode {
-    let about = "One store: the store of the configuration. Configured by DAMSONBEAM_CONFIG.";
+    let about = "A replica of the configuration store. Configured by DAMSONBEAM_CONFIG.";
     run_program("store", about, process::run)
 }
--- a/crates/config-store/src/process/effects.rs
+++ b/crates/config-store/src/process/effects.rs
@@ -1,4 +1,4 @@
-//! Carries out the replica's effects: what must be durable is on disk before anything that follows it is sent.
+//! Executes the replica's effects: writes are synced to disk before any message that depends on them is sent.
 
 use std::time::Duration;
 
@@ -7,19 +7,19 @@
 use damsonbeam_control::messages::{CommandReply, Message, encode};
 
 use super::links::LinkId;
-use super::store::{DISK_REFUSES, StoreProcess, configuration_items};
+use super::store::{DISK_UNAVAILABLE, StoreProcess, configuration_items};
 use crate::consensus::{DurableWrite, Effect, Replica};
 use crate::disk::Disk;
 
-/// A disk that failed is tried again after this.
-const DISK_RETRY_PAUSE: Duration = Duration::from_millis(400);
-/// Items named in one line of the log.
-const ITEMS_LOGGED: usize = 8;
+/// The interval between attempts to reopen a disk that failed.
+const DISK_RETRY_INTERVAL: Duration = Duration::from_millis(400);
+/// The maximum number of items named in one log line.
+const MAX_ITEMS_LOGGED: usize = 8;
 
 impl StoreProcess {
-    /// Carries out the replica's effects: what must be durable is on disk before anything that follows it is sent.
-    /// `received_from` is the connection whose message brought them about.
-    pub(super) fn carry_out_effects(&mut self, received_from: Option<(LinkId, Ip)>) {
+    /// Executes the replica's effects: writes are synced to disk before any message is sent. If the write fails, no message
+    /// is sent. `received_from` is the connection whose message caused the effects.
+    pub(super) fn execute_effects(&mut self, received_from: Option<(LinkId, Ip)>) {
         let effects = self.replica.take_effects();
         let writes = effects.iter().filter_map(|effect| match effect {
             Effect::Persist(write) => Some(write.clone()),
@@ -40,7 +40,7 @@
                     }
                 }
                 Effect::Committed(items) => {
-                    log::info!("store: decided {}.", describe_items(&items));
+                    log::info!("store: committed {}.", describe_items(&items));
                     let items = configuration_items(items.into_iter());
                     if !items.is_empty() {
                         self.send_committed(items, false);
@@ -51,7 +51,7 @@
         self.send_voters();
     }
 
-    /// Returns whether everything is on disk.
+    /// Writes to disk and returns whether all writes are synced.
     fn persist(&mut self, writes: &[DurableWrite]) -> bool {
         if writes.is_empty() {
             return true;
@@ -59,43 +59,43 @@
         let error = match self.disk.as_ref().map(|disk| disk.persist(writes)) {
             Some(Ok(())) => return true,
             Some(Err(error)) => error.to_string(),
-            None => "it is closed".into(),
+            None => "the store is closed".into(),
         };
-        log::error!("store: the disk refuses: {error}.");
+        log::error!("store: disk write failed: {error}.");
         self.close_disk();
         false
     }
 
-    /// Nothing that depends on the failed write is sent. What the replica holds in memory is no longer what is on disk: it
-    /// starts anew from there, once the disk takes writes again.
+    /// Closes the disk after a failed write, and fails all commands under way. The replica's state in memory differs from the
+    /// state on disk now; the replica is recreated from the disk once the store can be reopened.
     fn close_disk(&mut self) {
         self.disk = None;
-        self.next_disk_retry = self.now() + DISK_RETRY_PAUSE;
+        self.next_disk_retry = self.now() + DISK_RETRY_INTERVAL;
         for source in std::mem::take(&mut self.commands).into_values() {
-            self.reply(source, CommandReply::Unavailable(DISK_REFUSES.into()));
+            self.reply(source, CommandReply::Unavailable(DISK_UNAVAILABLE.into()));
         }
     }
 
-    /// Opens the store again after the disk failed, and starts from what is on it.
-    pub(super) fn reopen_disk_when_due(&mut self, now: Duration) {
+    /// Reopens the store after a disk failure if a retry is due, and recreates the replica from the state on disk.
+    pub(super) fn reopen_disk_if_due(&mut self, now: Duration) {
         if self.disk.is_some() || now < self.next_disk_retry {
             return;
         }
-        self.next_disk_retry = now + DISK_RETRY_PAUSE;
+        self.next_disk_retry = now + DISK_RETRY_INTERVAL;
         let reopened = Disk::open(&self.directory).and_then(|disk| Ok((disk.read()?, disk)));
         match reopened {
             Ok((state, disk)) => {
                 let items = state.durable.accepted.items().len();
-                log::info!("store: the disk is back with {items} items.");
+                log::info!("store: reopened the disk; {items} items on disk.");
                 self.replica = Replica::new(self.own_ip, state.durable, rand::random(), now);
                 self.replica.set_roster(&self.roster);
                 self.disk = Some(disk);
             }
-            Err(error) => log::warn!("store: the disk still refuses: {error}."),
+            Err(error) => log::warn!("store: cannot reopen the disk: {error}."),
         }
     }
 
-    /// An answer goes back the way its question came.
+    /// Sends a message to a store. An answer goes over the connection on which the request was received.
     fn send(&self, to: Ip, message: &Message, received_from: Option<(LinkId, Ip)>) {
         let back = received_from.filter(|(_, from)| *from == to);
         let back = back.and_then(|(link, _)| self.accepted.get(&link));
@@ -115,13 +115,13 @@
     }
 }
 
-/// Items by name and version, a few of many.
+/// Formats items by name and version, at most [`MAX_ITEMS_LOGGED`] of them.
 fn describe_items(items: &[Item]) -> String {
     let describe = |item: &Item| format!("{} r{}", item.key.name, item.version);
-    let named: Vec<String> = items.iter().take(ITEMS_LOGGED).map(describe).collect();
+    let named: Vec<String> = items.iter().take(MAX_ITEMS_LOGGED).map(describe).collect();
     let mut text = named.join(", ");
-    if items.len() > ITEMS_LOGGED {
-        text += &format!(" and {} more", items.len() - ITEMS_LOGGED);
+    if items.len() > MAX_ITEMS_LOGGED {
+        text += &format!(" and {} more", items.len() - MAX_ITEMS_LOGGED);
     }
     text
 }
--- a/crates/config-store/src/process/links.rs
+++ b/crates/config-store/src/process/links.rs
@@ -1,4 +1,4 @@
-//! The connections of a store: those that other processes open, and one to each peer that is wanted.
+//! The connections of a store: connections opened by other processes, and one connection to each desired peer.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -16,22 +16,23 @@
 use tokio::time::sleep;
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
-const RETRY_PAUSE: Duration = Duration::from_millis(200);
-/// Nothing need be sent on a connection between stores for long: the repair reaches each peer in this time.
+const RETRY_INTERVAL: Duration = Duration::from_millis(200);
+/// How long a connection may be silent before it is closed. The comparisons of the repair reach each peer within this time,
+/// even if nothing else is sent.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Names a connection.
+/// Identifies a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) enum LinkId {
-    /// Opened by another process; numbered in order.
+    /// A connection opened by another process, numbered in the order of acceptance.
     Accepted(u64),
-    /// Opened by this one, to a peer.
+    /// The connection that this process opened to a peer.
     Peer(Ip),
 }
 
-/// What happens on the connections.
+/// An event on a connection.
 pub(super) enum LinkEvent {
-    /// Another process has connected.
+    /// A connection of another process was accepted.
     Accepted {
         link: LinkId,
         from: Ip,
@@ -43,7 +44,7 @@
     PeerUp { peer: Ip, sender: MessageSender },
     /// The connection to a peer has ended.
     PeerDown { peer: Ip },
-    /// A message came.
+    /// A message was received.
     Received { link: LinkId, message: Message },
 }
 
@@ -53,7 +54,7 @@
 pub(super) async fn accept(listener: TcpListener, events: EventSender) {
     for number in 1u64.. {
         let Ok((stream, address)) = listener.accept().await else {
-            sleep(RETRY_PAUSE).await;
+            sleep(RETRY_INTERVAL).await;
             continue;
         };
         let IpAddr::V4(from) = address.ip() else {
@@ -85,11 +86,11 @@
     }
 }
 
-/// A connection to each peer that is wanted.
+/// Keeps a connection to each desired peer.
 pub(super) struct PeerLinks {
     settings: Rc<Settings>,
     events: EventSender,
-    wanted: Rc<RefCell<Vec<Ip>>>,
+    desired_peers: Rc<RefCell<Vec<Ip>>>,
     tasks: HashMap<Ip, JoinHandle<()>>,
 }
 
@@ -98,41 +99,42 @@
         PeerLinks {
             settings,
             events,
-            wanted: Rc::default(),
+            desired_peers: Rc::default(),
             tasks: HashMap::new(),
         }
     }
 
-    /// Sets the peers that are wanted. The connection to one that is not wanted any more ends when it breaks.
+    /// Sets the desired peers. The connection to a peer that is no longer desired stays open until it breaks, and is not
+    /// reopened.
     pub(super) fn connect_to(&mut self, peers: Vec<Ip>) {
         self.tasks.retain(|_, task| !task.is_finished());
         for peer in &peers {
             let start = || {
                 let settings = self.settings.clone();
-                let wanted = self.wanted.clone();
+                let desired_peers = self.desired_peers.clone();
                 tokio::task::spawn_local(keep_connected(
                     *peer,
                     settings,
-                    wanted,
+                    desired_peers,
                     self.events.clone(),
                 ))
             };
             self.tasks.entry(*peer).or_insert_with(start);
         }
-        *self.wanted.borrow_mut() = peers;
+        *self.desired_peers.borrow_mut() = peers;
     }
 }
 
-/// Connects to one peer, again and again while it is wanted.
+/// Keeps connecting to a peer for as long as the peer is desired.
 async fn keep_connected(
     peer: Ip,
     settings: Rc<Settings>,
-    wanted: Rc<RefCell<Vec<Ip>>>,
+    desired_peers: Rc<RefCell<Vec<Ip>>>,
     events: EventSender,
 ) {
     let address = settings.internal_address(ip_addr(peer), InternalPort::Store);
-    while wanted.borrow().contains(&peer) {
-        // From the machine's own address, by which the peer identifies this store.
+    while desired_peers.borrow().contains(&peer) {
+        // Bind to the machine's own address, by which the peer identifies this store.
         let connected = link::connect_from(settings.ip_address, address, CONNECT_TIMEOUT).await;
         if let Ok(stream) = connected {
             let (reader, sender) = link::split(stream);
@@ -140,6 +142,6 @@
             receive_all(reader, LinkId::Peer(peer), &events).await;
             events.send(LinkEvent::PeerDown { peer }).await.ok();
         }
-        sleep(RETRY_PAUSE).await;
+        sleep(RETRY_INTERVAL).await;
     }
 }
--- a/crates/config-store/src/process/mod.rs
+++ b/crates/config-store/src/process/mod.rs
@@ -1,7 +1,7 @@
-//! One store process: it owns the disk and the connections, hands messages to the replica and carries out its effects.
+//! A store process: owns the disk and the connections, passes messages to the replica and executes its effects.
 //!
-//! `links` holds the connections and turns what happens on them into events; `store` is the state that they act on;
-//! `effects` carries out what the replica wants.
+//! `links` holds the connections and converts their activity into events; `store` is the state that handles the events;
+//! `effects` executes the replica's effects.
 
 mod effects;
 mod links;
@@ -23,41 +23,41 @@
 use links::PeerLinks;
 use store::StoreProcess;
 
-/// Between two ticks of the replica.
+/// The interval between two ticks of the replica.
 const TICK: Duration = Duration::from_millis(20);
-/// Events of the connections that wait to be handled; a connection that brings more has to wait.
+/// The capacity of the queue of connection events. When the queue is full, connections stop reading.
 const EVENT_QUEUE_CAPACITY: usize = 1024;
-/// A process that was told to end tries for this long to give up its vote, and to have committed what only it may hold.
+/// How long a process that is shutting down tries to give up its vote, and to have items committed that only it may hold.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Why a store can't run.
+/// An error that ends a store process.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// The settings name no data directory.
-    #[error("data_directory: a store needs one")]
+    /// The settings have no data directory.
+    #[error("data_directory: missing; a store requires it")]
     NoDataDirectory,
     /// The disk can't be opened or read.
     #[error(transparent)]
     Disk(#[from] DiskError),
-    /// The port for other processes can't be listened on.
+    /// The process can't listen on the port for other processes.
     #[error(transparent)]
     Link(#[from] LinkError),
-    /// Signals can't be waited for.
+    /// The process can't listen for signals.
     #[error(transparent)]
     Signal(#[from] std::io::Error),
 }
 
-/// Runs one store until it is told to end.
+/// Runs one store until it is terminated by a signal.
 ///
 /// # Errors
-/// Where the disk can't be used at the start, or the port can't be listened on.
+/// If the disk can't be used at the start, or the process can't listen on its port or for signals.
 pub async fn run(settings: Settings) -> Result<(), StoreError> {
-    // SIGHUP ends a program that has not asked for it.
+    // Without a handler SIGHUP would terminate the process.
     let mut terminate = signal(SignalKind::terminate())?;
     let mut hangup = signal(SignalKind::hangup())?;
     let settings = Rc::new(settings);
     let mut store = open_store(&settings)?;
-    store.carry_out_effects(None);
+    store.execute_effects(None);
     let address = settings.internal_address(settings.ip_address, InternalPort::Store);
     let listener = link::listen(address)?;
     let (sender, mut events) = mpsc::channel(EVENT_QUEUE_CAPACITY);
@@ -71,9 +71,9 @@
             Some(event) = events.recv() => store.handle(event),
             _ = tick.tick() => {
                 store.tick();
-                peer_links.connect_to(store.wanted_peers());
-                if shutdown_since.is_some_and(|since| store.may_end(since)) {
-                    log::info!("store: ends.");
+                peer_links.connect_to(store.desired_peers());
+                if shutdown_since.is_some_and(|since| store.can_stop(since)) {
+                    log::info!("store: stopped.");
                     return Ok(());
                 }
             }
@@ -86,7 +86,7 @@
     }
 }
 
-/// Opens the disk, and makes it a founder's at the very first start of the system.
+/// Opens the disk, and initializes it with the first voter set at the first start of the system.
 fn open_store(settings: &Settings) -> Result<StoreProcess, StoreError> {
     let own_ip = octets(settings.ip_address);
     let directory = settings
--- a/crates/config-store/src/process/store.rs
+++ b/crates/config-store/src/process/store.rs
@@ -1,4 +1,4 @@
-//! The state of a store process: the replica, its disk, and who is connected.
+//! The state of a store process: the replica, its disk and the connections.
 
 use std::collections::HashMap;
 use std::path::PathBuf;
@@ -16,30 +16,31 @@
 use crate::consensus::voters::VoterSet;
 use crate::disk::{Disk, DiskError, Roster};
 
-/// A command whose registry does not confirm it within this is forgotten: its caller is gone.
+/// How long a command waits for its registry's confirmation. After that it is dropped, because its caller no longer waits.
 const CONFIRM_TIMEOUT: Duration = Duration::from_secs(5);
 /// The reply to a command while the disk fails.
-pub(super) const DISK_REFUSES: &str = "the disk refuses";
+pub(super) const DISK_UNAVAILABLE: &str = "the disk cannot be written";
 
-/// A connection that another process opened.
+/// A connection opened by another process.
 pub(super) struct AcceptedLink {
     pub(super) from: Ip,
     pub(super) sender: MessageSender,
 }
 
-/// Where a command came from, and its number there.
+/// The connection on which a command was received, and the sender's number for the command.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) struct CommandSource {
     link: LinkId,
     number: u64,
 }
 
-/// A command whose registry is asked whether it is still wanted.
+/// A command whose registry has been asked whether the caller still waits for it.
 struct UnconfirmedCommand {
     command: Command,
     asked_at: Duration,
 }
 
+/// The state of a store process.
 pub(super) struct StoreProcess {
     pub(super) own_ip: Ip,
     started: Instant,
@@ -50,15 +51,15 @@
     pub(super) next_disk_retry: Duration,
     pub(super) roster: Roster,
     backends: BackendList,
-    /// The last epoch that the registry was told.
+    /// The last epoch sent to the registry.
     epoch_sent: u64,
-    /// Connections that this process opened.
+    /// Connections opened by this process.
     pub(super) peers: HashMap<Ip, MessageSender>,
-    /// Connections that other processes opened.
+    /// Connections opened by other processes.
     pub(super) accepted: HashMap<LinkId, AcceptedLink>,
-    /// The connection of the registry, from which commands come.
+    /// The connection of the local registry, which sends the commands.
     registry: Option<LinkId>,
-    /// Commands under way, by the number that the replica knows.
+    /// Commands under way, by the number under which they were submitted to the replica.
     pub(super) commands: HashMap<u64, CommandSource>,
     last_command: u64,
     unconfirmed: HashMap<CommandSource, UnconfirmedCommand>,
@@ -92,34 +93,34 @@
         }
     }
 
-    /// The time since the start.
+    /// Returns the time since the start of the process.
     pub(super) fn now(&self) -> Duration {
         self.started.elapsed()
     }
 
-    /// Time has passed.
+    /// Retries a failed disk if due, advances the replica's time and executes its effects.
     pub(super) fn tick(&mut self) {
         let now = self.now();
-        self.reopen_disk_when_due(now);
+        self.reopen_disk_if_due(now);
         if self.disk.is_some() {
             self.replica.tick(now);
         }
-        self.carry_out_effects(None);
+        self.execute_effects(None);
     }
 
-    /// The process is told to end.
+    /// Starts the shutdown.
     pub(super) fn leave(&mut self) {
         self.replica.leave();
     }
 
-    /// Whether a process that was told to end at a time may end now.
-    pub(super) fn may_end(&self, since: Duration) -> bool {
+    /// Returns whether a process whose shutdown started at `since` may end now.
+    pub(super) fn can_stop(&self, since: Duration) -> bool {
         let now = self.now();
-        now >= since + SHUTDOWN_TIMEOUT || self.replica.may_end(now)
+        now >= since + SHUTDOWN_TIMEOUT || self.replica.can_stop(now)
     }
 
-    /// Machines to be connected with: those that the registry knows, and those that have a vote.
-    pub(super) fn wanted_peers(&self) -> Vec<Ip> {
+    /// Returns the machines to connect to: the registry's roster and all voters.
+    pub(super) fn desired_peers(&self) -> Vec<Ip> {
         let voters = self.replica.voters().into_iter().flat_map(VoterSet::voters);
         let voters = voters.map(|voter| voter.ip);
         let all = self.roster.iter().copied().chain(voters);
@@ -129,7 +130,7 @@
         peers
     }
 
-    /// Something has happened on a connection.
+    /// Handles an event on a connection.
     pub(super) fn handle(&mut self, event: LinkEvent) {
         match event {
             LinkEvent::PeerUp { peer, sender } => {
@@ -141,12 +142,12 @@
             LinkEvent::Accepted { link, from, sender } => {
                 self.accepted.insert(link, AcceptedLink { from, sender });
             }
-            LinkEvent::Closed { link } => self.handle_closed(link),
+            LinkEvent::Closed { link } => self.remove_link(link),
             LinkEvent::Received { link, message } => self.handle_message(link, message),
         }
     }
 
-    fn handle_closed(&mut self, link: LinkId) {
+    fn remove_link(&mut self, link: LinkId) {
         self.accepted.remove(&link);
         self.unconfirmed.retain(|source, _| source.link != link);
         self.registry = self.registry.filter(|registry| *registry != link);
@@ -163,26 +164,26 @@
                 let source = CommandSource { link, number };
                 self.handle_confirmation(source, Duration::from_millis(waited_ms));
             }
-            Message::ConfirmEpoch { number } => self.answer_epoch(link, number),
+            Message::ConfirmEpoch { number } => self.confirm_epoch(link, number),
             message => self.handle_replica_message(link, message),
         }
     }
 
-    /// Only a registry sends its roster: it sends it first.
+    /// Handles a roster. Only a registry sends one, as its first message, so the connection is the registry's.
     fn handle_roster(&mut self, link: LinkId, ips: Roster) {
         if self.registry != Some(link) {
             self.registry = Some(link);
-            self.greet_registry();
+            self.send_state_to_registry();
         }
         self.replica.set_roster(&ips);
         if ips != self.roster {
-            self.persist_if_possible(|disk| disk.persist_roster(&ips));
+            self.persist_best_effort(|disk| disk.persist_roster(&ips));
             self.roster = ips;
         }
     }
 
-    /// Everything that a registry is sent when it connects.
-    fn greet_registry(&mut self) {
+    /// Sends a newly connected registry the roster, the voters, all committed items and the list of backends.
+    fn send_state_to_registry(&mut self) {
         let committed = self.replica.durable().committed.items();
         let items = configuration_items(committed.values().cloned());
         let ips = self.roster.clone();
@@ -193,7 +194,7 @@
         self.send_to_registry(&Message::StoreBackends(self.backends.clone()));
     }
 
-    /// A later list goes from the registry to the peers, and from a peer to the registry.
+    /// Handles a list of backends: passes a later one from the registry to the peers, or from a peer to the registry.
     fn handle_backends(&mut self, link: LinkId, backends: BackendList) {
         if backends.version <= self.backends.version {
             return;
@@ -206,24 +207,25 @@
         } else {
             self.send_to_registry(&message);
         }
-        self.persist_if_possible(|disk| disk.persist_backends(&backends));
+        self.persist_best_effort(|disk| disk.persist_backends(&backends));
         self.backends = backends;
     }
 
     fn handle_command(&mut self, source: CommandSource, command: Command) {
         if self.disk.is_none() {
-            self.reply(source, CommandReply::Unavailable(DISK_REFUSES.into()));
+            self.reply(source, CommandReply::Unavailable(DISK_UNAVAILABLE.into()));
             return;
         }
         match command {
-            Command::Evacuate { .. } => self.ask_for_confirmation(source, command),
+            Command::Evacuate { .. } => self.request_confirmation(source, command),
             Command::Change(_) | Command::Read => self.submit(source, command, Duration::ZERO),
         }
     }
 
-    /// An evacuation has no version that would tell that another was commanded since: one that waited before this process
-    /// while it stood still, for its disk or altogether, must not be carried out.
-    fn ask_for_confirmation(&mut self, source: CommandSource, command: Command) {
+    /// Asks the registry whether the caller of an evacuation still waits. An evacuation has no version that would show that a
+    /// newer command has been given. So an evacuation that was queued while this process was stalled, by its disk or
+    /// otherwise, must not be applied.
+    fn request_confirmation(&mut self, source: CommandSource, command: Command) {
         let asked_at = self.now();
         let is_recent =
             |unconfirmed: &UnconfirmedCommand| asked_at < unconfirmed.asked_at + CONFIRM_TIMEOUT;
@@ -232,14 +234,15 @@
         self.unconfirmed
             .insert(source, UnconfirmedCommand { command, asked_at });
         let number = source.number;
-        self.send_back(source.link, &Message::ConfirmSubmit { number });
+        self.send_to_accepted(source.link, &Message::ConfirmSubmit { number });
     }
 
     fn handle_confirmation(&mut self, source: CommandSource, waited: Duration) {
         let Some(unconfirmed) = self.unconfirmed.remove(&source) else {
             return;
         };
-        // The caller had waited so long when the registry confirmed it, which was after it was asked.
+        // `waited` is how long the caller had waited when the registry answered, which was after `asked_at`. Adding the whole
+        // time since `asked_at` overestimates the wait, which is safe.
         let since_asked = self.now().saturating_sub(unconfirmed.asked_at);
         self.submit(source, unconfirmed.command, waited + since_asked);
     }
@@ -249,14 +252,14 @@
         self.commands.insert(self.last_command, source);
         let now = self.now();
         self.replica.submit(self.last_command, command, waited, now);
-        self.carry_out_effects(None);
+        self.execute_effects(None);
     }
 
-    /// The registry relies on the epoch for a while after each of these answers.
-    fn answer_epoch(&self, link: LinkId, number: u64) {
+    /// Answers a registry's request for the epoch, on which the registry relies for a limited time after each answer.
+    fn confirm_epoch(&self, link: LinkId, number: u64) {
         if let Some(set) = self.replica.voters() {
             let epoch = set.epoch;
-            self.send_back(link, &Message::EpochConfirmed { number, epoch });
+            self.send_to_accepted(link, &Message::EpochConfirmed { number, epoch });
         }
     }
 
@@ -273,17 +276,17 @@
         };
         let now = self.now();
         self.replica.receive(from, message, now);
-        self.carry_out_effects(Some((link, from)));
+        self.execute_effects(Some((link, from)));
     }
 
-    /// Writes what may be lost: a disk that refuses it does no harm.
-    fn persist_if_possible(&self, persist: impl FnOnce(&Disk) -> Result<(), DiskError>) {
+    /// Writes state that may be lost; a failure is only logged.
+    fn persist_best_effort(&self, persist: impl FnOnce(&Disk) -> Result<(), DiskError>) {
         if let Some(Err(error)) = self.disk.as_ref().map(persist) {
-            log::warn!("store: not kept: {error}.");
+            log::warn!("store: state not written to disk: {error}.");
         }
     }
 
-    fn send_back(&self, link: LinkId, message: &Message) {
+    fn send_to_accepted(&self, link: LinkId, message: &Message) {
         if let Some(accepted) = self.accepted.get(&link) {
             accepted.sender.send(message);
         }
@@ -291,12 +294,12 @@
 
     pub(super) fn reply(&self, source: CommandSource, reply: CommandReply) {
         let number = source.number;
-        self.send_back(source.link, &Message::Reply { number, reply });
+        self.send_to_accepted(source.link, &Message::Reply { number, reply });
     }
 
     fn send_to_registry(&self, message: &Message) {
         if let Some(registry) = self.registry {
-            self.send_back(registry, message);
+            self.send_to_accepted(registry, message);
         }
     }
 
@@ -306,7 +309,7 @@
         }
     }
 
-    /// The registry bases the coordinator's lease on the same voters.
+    /// Sends a new voter set to the registry, which bases the coordinator's lease on the same voters.
     pub(super) fn send_voters(&mut self) {
         let set = self.replica.voters();
         let Some(set) = set.filter(|set| set.epoch != self.epoch_sent) else {
@@ -323,7 +326,7 @@
     }
 }
 
-/// The items that registries and proxies get: all but the store's own.
+/// Returns the items sent to registries and proxies: all except the store's internal ones.
 pub(super) fn configuration_items(items: impl Iterator<Item = Item>) -> Vec<Item> {
     items.filter(|item| !item.key.kind.is_internal()).collect()
 }
--- a/crates/config-store/tests/disk.rs
+++ b/crates/config-store/tests/disk.rs
@@ -171,7 +171,7 @@
 
 /// Keeps one thing after another until the power goes; the number of those that were told to be kept.
 fn keep_on(file: &File) -> u64 {
-    let Ok(store) = Disk::with_backend(file.clone()) else {
+    let Ok(store) = Disk::open_with_storage(file.clone()) else {
         return 0;
     };
     for n in 1..=6 {
@@ -197,11 +197,11 @@
     let mut rng = SmallRng::seed_from_u64(11);
     for left in 0..400 {
         let file = File::default();
-        drop(Disk::with_backend(file.clone()).expect("opens"));
+        drop(Disk::open_with_storage(file.clone()).expect("opens"));
         file.0.lock().expect("fresh").left = Some(left);
         let kept = keep_on(&file);
         for _ in 0..3 {
-            let store = Disk::with_backend(file.after(&mut rng))
+            let store = Disk::open_with_storage(file.after(&mut rng))
                 .unwrap_or_else(|e| panic!("after {left} steps: {e}"));
             let StoredState { durable: read, .. } = store
                 .read()
@@ -228,7 +228,7 @@
 #[test]
 fn a_disk_that_refuses_says_so_and_keeps_what_it_has() {
     let file = File::default();
-    let store = Disk::with_backend(file.clone()).expect("opens");
+    let store = Disk::open_with_storage(file.clone()).expect("opens");
     store
         .persist(&[DurableWrite::Accepted(vec![item(1)])])
         .expect("kept");
@@ -240,7 +240,7 @@
     );
     drop(store);
     file.0.lock().expect("no test panics with it").refuses = false;
-    let StoredState { durable: read, .. } = Disk::with_backend(file)
+    let StoredState { durable: read, .. } = Disk::open_with_storage(file)
         .expect("opens again")
         .read()
         .expect("reads");
@@ -252,11 +252,12 @@
 fn what_was_kept_is_there_once_a_disk_that_refused_at_any_write_takes_writes_again() {
     for left in 0..400 {
         let file = File::default();
-        drop(Disk::with_backend(file.clone()).expect("opens"));
+        drop(Disk::open_with_storage(file.clone()).expect("opens"));
         file.0.lock().expect("fresh").left = Some(left);
         let kept = keep_on(&file);
         file.0.lock().expect("no test panics with it").left = None;
-        let store = Disk::with_backend(file).unwrap_or_else(|e| panic!("after {left} steps: {e}"));
+        let store =
+            Disk::open_with_storage(file).unwrap_or_else(|e| panic!("after {left} steps: {e}"));
         let StoredState { durable: read, .. } = store
             .read()
             .unwrap_or_else(|e| panic!("after {left} steps: {e}"));
@@ -292,7 +293,7 @@
 #[test]
 fn a_sync_that_stalls_holds_its_caller_until_what_it_kept_outlasts_a_loss_of_power() {
     let file = File::default();
-    let store = Disk::with_backend(file.clone()).expect("opens");
+    let store = Disk::open_with_storage(file.clone()).expect("opens");
     store
         .persist(&[DurableWrite::Accepted(vec![item(1)])])
         .expect("kept");
@@ -311,7 +312,7 @@
         !keeps.is_finished(),
         "it is told to be kept before its sync is done"
     );
-    let StoredState { durable: read, .. } = Disk::with_backend(file.after_losing_all())
+    let StoredState { durable: read, .. } = Disk::open_with_storage(file.after_losing_all())
         .expect("opens")
         .read()
         .expect("reads");
@@ -326,7 +327,7 @@
     go_on.send(()).expect("it waits");
     let (_store, kept) = keeps.join().expect("it ends");
     kept.expect("kept");
-    let StoredState { durable: read, .. } = Disk::with_backend(file.after_losing_all())
+    let StoredState { durable: read, .. } = Disk::open_with_storage(file.after_losing_all())
         .expect("opens")
         .read()
         .expect("reads");
@@ -336,7 +337,7 @@
 /// A file of a store, after some items were kept in it.
 fn a_store_of_items() -> Vec<u8> {
     let file = File::default();
-    let store = Disk::with_backend(file.clone()).expect("opens");
+    let store = Disk::open_with_storage(file.clone()).expect("opens");
     for n in 1..=3 {
         store
             .persist(&[DurableWrite::Accepted(vec![item(n)])])
@@ -364,7 +365,7 @@
             [a_store_of_items(), vec![0x5a]].concat(),
         ),
     ] {
-        let opened = Disk::with_backend(File::holding(bytes)).and_then(|disk| disk.read());
+        let opened = Disk::open_with_storage(File::holding(bytes)).and_then(|disk| disk.read());
         assert!(opened.is_err(), "{what} is taken for a store");
     }
 }
@@ -391,7 +392,7 @@
 fn a_disk_keeps_its_id_and_a_new_one_has_another() {
     let file = File::default();
     let id = |file: &File| {
-        Disk::with_backend(file.clone())
+        Disk::open_with_storage(file.clone())
             .expect("opens")
             .read()
             .expect("reads")
@@ -419,7 +420,10 @@
         .expect("kept");
     write.commit().expect("kept");
     drop(db);
-    let told = Disk::with_backend(file).err().expect("refused").to_string();
+    let told = Disk::open_with_storage(file)
+        .err()
+        .expect("refused")
+        .to_string();
     assert!(
         told.starts_with("items.redb: made by a version that kept no voter set; start all"),
         "{told}"
@@ -429,7 +433,7 @@
 #[test]
 fn the_roster_and_the_list_come_back() {
     let file = File::default();
-    let store = Disk::with_backend(file.clone()).expect("opens");
+    let store = Disk::open_with_storage(file.clone()).expect("opens");
     let roster = vec![[10, 0, 0, 1], [10, 0, 0, 2]];
     let server = Backend {
         id: "i-1".into(),
@@ -457,7 +461,7 @@
         roster: known,
         backends: list,
         ..
-    } = Disk::with_backend(file)
+    } = Disk::open_with_storage(file)
         .expect("opens again")
         .read()
         .expect("reads");
--- a/crates/config-store/tests/version_before.rs
+++ b/crates/config-store/tests/version_before.rs
@@ -4,7 +4,7 @@
 
 use std::path::{Path, PathBuf};
 
-use damsonbeam_config_store::consensus::voters::{FOUNDING_DISK, VoterSet};
+use damsonbeam_config_store::consensus::voters::{FOUNDER_DISK_ID, VoterSet};
 use damsonbeam_config_store::consensus::{DurableWrite, Effect, Replica};
 use damsonbeam_config_store::disk::{Disk, StoredState};
 use damsonbeam_control::address::Ip;
@@ -64,7 +64,7 @@
     assert_eq!(
         (kept.disk_id, kept.promised),
         (
-            FOUNDING_DISK,
+            FOUNDER_DISK_ID,
             ProposalNumber {
                 round: 6,
                 proposer: 0x7f4d_0101
@@ -116,7 +116,7 @@
             .voters()
             .first()
             .map(|voter| (voter.ip, voter.disk_id)),
-        Some((ME, FOUNDING_DISK))
+        Some((ME, FOUNDER_DISK_ID))
     );
 }
 
--- a/crates/config-store/tests/worlds/world.rs
+++ b/crates/config-store/tests/worlds/world.rs
@@ -434,7 +434,7 @@
             return;
         };
         store.leave();
-        if !may_go || !store.may_end(now) && self.now < latest {
+        if !may_go || !store.can_stop(now) && self.now < latest {
             return self.schedule(
                 TICK,
                 Event::End {
