--- a/crates/control/examples/catch_up.rs
+++ b/crates/control/examples/catch_up.rs
@@ -1,5 +1,6 @@
-//! Measures what catching up costs: time on a modelled link of 100 Mbit/s, bytes, processor time of both sides and
-//! memory of the receiving one, as CSV. `docs/results/catch-up/README.md` tells how to read it.
+//! Measures the cost of a configuration transfer: the time on a modelled link of 100 Mbit/s, the bytes sent, the CPU
+//! time of both sides, and the memory of the receiver. Prints CSV; `docs/results/catch-up/README.md` explains
+//! the columns.
 
 use std::alloc::System;
 use std::collections::BTreeMap;
@@ -14,19 +15,21 @@
 #[global_allocator]
 static ALLOCATOR: Cap<System> = Cap::new(System, usize::MAX);
 
+/// The bandwidth of the modelled link in each direction, in bytes per second.
 const LINK_BYTES_PER_S: f64 = 100e6 / 8.0;
-/// Of 1,000 items, as at 98,000 tenants and 5,800 routes.
-const ROUTES: usize = 55;
-const SERVICES: usize = 10;
+/// The number of routes per 1,000 items, as in a configuration of 98,000 tenants and 5,800 routes.
+const ROUTES_PER_1000: usize = 55;
+/// The number of services per 1,000 items.
+const SERVICES_PER_1000: usize = 10;
 
 fn item(number: usize, version: u64) -> Item {
     let (kind, name, body) = match number % 1000 {
-        n if n < ROUTES => (
+        n if n < ROUTES_PER_1000 => (
             ItemKind::Route,
             format!("r-{number:07}"),
             route(number, version),
         ),
-        n if n < ROUTES + SERVICES => (
+        n if n < ROUTES_PER_1000 + SERVICES_PER_1000 => (
             ItemKind::Service,
             format!("s{number:06}"),
             service(number, version),
@@ -65,7 +68,7 @@
 }
 
 fn tenant(n: usize, version: u64) -> String {
-    // Keys are random text: nothing in them repeats.
+    // API keys are pseudo-random, so that they do not compress.
     let key = |salt: u64| {
         (n as u64 + salt)
             .wrapping_mul(0x9e37_79b9_7f4a_7c15)
@@ -80,23 +83,25 @@
     )
 }
 
-fn processor_time() -> Duration {
+fn thread_cpu_time() -> Duration {
     let time = clock_gettime(ClockId::ThreadCPUTime);
     Duration::new(time.tv_sec as u64, time.tv_nsec as u32)
 }
 
-/// One direction of the link: bytes go out one after another, and arrive later.
+/// One direction of the link. Messages are transmitted one after another, and arrive after a delay.
 #[derive(Default)]
-struct Direction {
+struct LinkDirection {
+    /// The time at which the last message has been transmitted, in seconds.
     free_at: f64,
     bytes: usize,
-    largest: usize,
+    largest_message: usize,
 }
 
-impl Direction {
+impl LinkDirection {
+    /// Transmits a message and returns its time of arrival, in seconds.
     fn arrival(&mut self, now: f64, bytes: usize, delay: f64) -> f64 {
         self.bytes += bytes;
-        self.largest = self.largest.max(bytes);
+        self.largest_message = self.largest_message.max(bytes);
         self.free_at = self.free_at.max(now) + bytes as f64 / LINK_BYTES_PER_S;
         self.free_at + delay
     }
@@ -105,65 +110,74 @@
 #[derive(Default)]
 struct Cost {
     seconds: f64,
-    down: Direction,
-    up: Direction,
+    to_receiver: LinkDirection,
+    to_provider: LinkDirection,
     messages: usize,
-    provider: Duration,
-    receiver: Duration,
-    memory: isize,
-    peak: isize,
+    provider_cpu: Duration,
+    receiver_cpu: Duration,
+    /// The memory allocated by the receiver, in bytes.
+    allocated_bytes: isize,
+    /// The maximum of `allocated_bytes`.
+    peak_bytes: isize,
 }
 
 impl Cost {
-    /// Runs a step of the receiver: its processor time and what it leaves allocated are counted.
+    /// Runs a step of the receiver, and adds its CPU time and the memory that stays allocated after it.
     fn receive<T>(&mut self, step: impl FnOnce() -> T) -> T {
-        let (allocated, began) = (ALLOCATOR.allocated() as isize, processor_time());
-        let out = step();
-        self.receiver += processor_time() - began;
-        self.memory += ALLOCATOR.allocated() as isize - allocated;
-        self.peak = self.peak.max(self.memory);
-        out
+        let (allocated, started_at) = (ALLOCATOR.allocated() as isize, thread_cpu_time());
+        let output = step();
+        self.receiver_cpu += thread_cpu_time() - started_at;
+        self.allocated_bytes += ALLOCATOR.allocated() as isize - allocated;
+        self.peak_bytes = self.peak_bytes.max(self.allocated_bytes);
+        output
     }
 }
 
-enum To {
+enum Recipient {
     Provider,
     Receiver,
 }
 
-/// A transfer on the link, with so much time there and back.
+/// Runs a transfer over the link and returns its cost; `round_trip` is in seconds.
 fn transfer(provider: &ConfigSnapshot, held: &mut ConfigSnapshot, round_trip: f64) -> Cost {
     let mut cost = Cost::default();
     let mut receiver = Receiver::default();
-    let mut arrivals: BTreeMap<(u64, usize), (To, Vec<u8>)> = BTreeMap::new();
+    let mut arrivals: BTreeMap<(u64, usize), (Recipient, Vec<u8>)> = BTreeMap::new();
     let mut now = 0.0;
     let mut outgoing = vec![encode(&Message::Transfer(
         receiver.begin(held, Duration::ZERO),
     ))];
     loop {
         for bytes in outgoing.drain(..) {
-            let at = cost.up.arrival(now, bytes.len(), round_trip / 2.0);
+            let at = cost.to_provider.arrival(now, bytes.len(), round_trip / 2.0);
             cost.messages += 1;
-            arrivals.insert(((at * 1e9) as u64, cost.messages), (To::Provider, bytes));
+            arrivals.insert(
+                ((at * 1e9) as u64, cost.messages),
+                (Recipient::Provider, bytes),
+            );
         }
-        let Some(((at, _), (to, bytes))) = arrivals.pop_first() else {
+        let Some(((at, _), (recipient, bytes))) = arrivals.pop_first() else {
             break;
         };
         now = at as f64 / 1e9;
         cost.seconds = now;
-        match to {
-            To::Provider => {
-                let began = processor_time();
-                let reply = answer(provider, &read(&bytes)).expect("an answer");
+        match recipient {
+            Recipient::Provider => {
+                let started_at = thread_cpu_time();
+                let reply = answer(provider, &decode_transfer(&bytes))
+                    .expect("the provider answers each request");
                 let bytes = encode(&Message::Transfer(reply));
-                cost.provider += processor_time() - began;
-                let at = cost.down.arrival(now, bytes.len(), round_trip / 2.0);
+                cost.provider_cpu += thread_cpu_time() - started_at;
+                let at = cost.to_receiver.arrival(now, bytes.len(), round_trip / 2.0);
                 cost.messages += 1;
-                arrivals.insert(((at * 1e9) as u64, cost.messages), (To::Receiver, bytes));
+                arrivals.insert(
+                    ((at * 1e9) as u64, cost.messages),
+                    (Recipient::Receiver, bytes),
+                );
             }
-            To::Receiver => {
-                let received =
-                    cost.receive(|| receiver.receive(held, read(&bytes), Duration::ZERO));
+            Recipient::Receiver => {
+                let received = cost
+                    .receive(|| receiver.receive(held, decode_transfer(&bytes), Duration::ZERO));
                 let requests = cost.receive(|| {
                     received.items.into_iter().for_each(|item| {
                         held.merge(item);
@@ -179,11 +193,14 @@
             }
         }
     }
-    assert!(receiver.is_idle() && held == provider, "level at the end");
+    assert!(
+        receiver.is_idle() && held == provider,
+        "the receiver must have the provider's items at the end"
+    );
     cost
 }
 
-fn read(bytes: &[u8]) -> TransferMessage {
+fn decode_transfer(bytes: &[u8]) -> TransferMessage {
     match decode::<Message>(bytes) {
         Ok(Message::Transfer(message)) => message,
         other => panic!("{other:?}"),
@@ -200,7 +217,7 @@
     };
     let missed = missed.unwrap_or(items);
     if !held.items().is_empty() {
-        // Spread over all items.
+        // The changed items are distributed evenly over all items.
         (0..missed).for_each(|n| provider.insert(item(n * items / missed, 2)));
     }
     let case = if held.items().is_empty() {
@@ -219,13 +236,15 @@
         "{case},{items},{missed},{:.0},{:.3},{},{},{},{},{:.1},{:.1},{:.2},{whole_list}",
         round_trip * 1e3,
         cost.seconds,
-        cost.down.bytes,
-        cost.up.bytes,
+        cost.to_receiver.bytes,
+        cost.to_provider.bytes,
         cost.messages,
-        cost.down.largest.max(cost.up.largest),
-        cost.provider.as_secs_f64() * 1e3,
-        cost.receiver.as_secs_f64() * 1e3,
-        cost.peak as f64 / 1e6,
+        cost.to_receiver
+            .largest_message
+            .max(cost.to_provider.largest_message),
+        cost.provider_cpu.as_secs_f64() * 1e3,
+        cost.receiver_cpu.as_secs_f64() * 1e3,
+        cost.peak_bytes as f64 / 1e6,
     );
 }
 
--- a/crates/control/examples/tombstones.rs
+++ b/crates/control/examples/tombstones.rs
@@ -1,4 +1,5 @@
-//! Measures what removed items cost that stay as versions without a body: memory, messages, and catching up.
+//! Measures the cost of removed items, which are kept as versions without a body (tombstones): memory, and the size and
+//! time of a transfer to an empty receiver. Prints CSV.
 
 use std::alloc::System;
 use std::time::{Duration, Instant};
@@ -29,13 +30,14 @@
     }
 }
 
-/// Bytes of messages in which a fresh receiver catches up.
-fn transferred(provider: &ConfigSnapshot) -> usize {
+/// Transfers a snapshot to an empty receiver and returns the size of the provider's messages, in bytes.
+fn transfer_bytes(provider: &ConfigSnapshot) -> usize {
     let (mut receiver, mut held) = (Receiver::default(), ConfigSnapshot::default());
     let mut requests = vec![receiver.begin(&held, Duration::ZERO)];
     let mut bytes = 0;
     while let Some(request) = requests.pop() {
-        let reply: TransferMessage = answer(provider, &request).expect("an answer");
+        let reply: TransferMessage =
+            answer(provider, &request).expect("the provider answers each request");
         bytes += encode(&Message::Transfer(reply.clone())).len();
         let received = receiver.receive(&held, reply, Duration::ZERO);
         received.items.into_iter().for_each(|item| {
@@ -54,8 +56,11 @@
         let mut snapshot = ConfigSnapshot::default();
         (0..count).for_each(|n| snapshot.insert(tombstone(n)));
         let memory = ALLOCATOR.allocated() - before;
-        let began = Instant::now();
-        let bytes = transferred(&snapshot);
-        println!("{count},{memory},{bytes},{}", began.elapsed().as_millis());
+        let started_at = Instant::now();
+        let bytes = transfer_bytes(&snapshot);
+        println!(
+            "{count},{memory},{bytes},{}",
+            started_at.elapsed().as_millis()
+        );
     }
 }
--- a/crates/control/src/address.rs
+++ b/crates/control/src/address.rs
@@ -1,13 +1,13 @@
-//! Addresses as they are stored and sent: IPv4 only, in four bytes.
+//! The stored and sent form of addresses: IPv4 only, in four bytes.
 
 use std::net::{IpAddr, SocketAddr};
 
 use bitcode::{Decode, Encode};
 
-/// An IPv4 address as it goes over the wire. The core machines are identified by theirs.
+/// The wire form of an IPv4 address. Core machines are identified by their addresses.
 pub type Ip = [u8; 4];
 
-/// The wire form of an address; IPv6, which no deployment uses, becomes 0.0.0.0.
+/// Returns the wire form of an address. No deployment uses IPv6; an IPv6 address becomes `0.0.0.0`.
 pub fn octets(address: IpAddr) -> Ip {
     match address {
         IpAddr::V4(v4) => v4.octets(),
@@ -15,21 +15,21 @@
     }
 }
 
-/// The address of a wire form.
+/// Returns the address for a wire form.
 pub fn ip_addr(ip: Ip) -> IpAddr {
     IpAddr::V4(ip.into())
 }
 
-/// Wire forms as they are printed.
+/// Returns addresses in dotted decimal notation.
 pub fn ip_texts(ips: impl IntoIterator<Item = Ip>) -> Vec<String> {
     let ips = ips.into_iter();
     ips.map(|ip| ip_addr(ip).to_string()).collect()
 }
 
-/// An address and port as they go over the wire.
+/// The wire form of an IP address and port.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct Endpoint {
-    /// The machine.
+    /// The IP address of the machine.
     pub ip: Ip,
     /// The TCP port.
     pub port: u16,
--- a/crates/control/src/config/change.rs
+++ b/crates/control/src/config/change.rs
@@ -1,4 +1,4 @@
-//! A change of the configuration, as an operator's call carries it.
+//! Configuration changes, parsed from the JSON body of an operator's call.
 
 use bitcode::{Decode, Encode};
 use simd_json::prelude::*;
@@ -6,42 +6,43 @@
 use super::{InvalidConfig, Item, ItemKey, ItemKind, ProposalNumber};
 use crate::json::{Value, parse, to_text};
 
-/// A list in the body of a call, and the kind of its items.
+/// The name of a list in the body of a call, and the kind of the list's items.
 pub(super) type NamedList = (&'static str, ItemKind);
 
-/// The lists of an operator's call.
+/// The lists in a call that changes the configuration.
 pub(super) const CONFIG_LISTS: [NamedList; 3] = [
     ("route_list", ItemKind::Route),
     ("tenant_list", ItemKind::Tenant),
     ("service_list", ItemKind::Service),
 ];
 
-/// The lists of a call that sets mirror rules.
+/// The lists in a call that changes mirror rules.
 pub(super) const MIRROR_LISTS: [NamedList; 1] = [("copy_list", ItemKind::MirrorRule)];
 
-/// The one object beside the lists, and the name of its item.
+/// The key of the only object beside the lists; also the name of the item that it describes.
 const LIMITS: &str = "limits";
 
-/// Items to be set and removed, in the order of the call. It is stored and sent: its fields keep their order.
+/// Items to set and remove, in the order of the call. The type is stored and sent, and its encoding depends on the
+/// order of its fields: the order must not change.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Encode, Decode)]
 pub struct ConfigChange {
-    /// Items set, and removed ones without a body.
+    /// The changed items; an item without a body is to be removed.
     pub items: Vec<Item>,
 }
 
 impl ConfigChange {
-    /// Reads the body of an operator's call.
+    /// Parses the body of an operator's call that changes the configuration.
     ///
     /// # Errors
-    /// The first part that can't be read.
+    /// Returns an error for the first part of the body that cannot be parsed.
     pub fn from_json(body: Vec<u8>) -> Result<Self, InvalidConfig> {
         Self::from_lists(body, &CONFIG_LISTS)
     }
 
-    /// Reads the body of a call that sets or removes mirror rules.
+    /// Parses the body of a call that sets or removes mirror rules.
     ///
     /// # Errors
-    /// The first part that can't be read.
+    /// Returns an error for the first part of the body that cannot be parsed.
     pub fn from_mirror_rules_json(body: Vec<u8>) -> Result<Self, InvalidConfig> {
         Self::from_lists(body, &MIRROR_LISTS)
     }
@@ -53,24 +54,24 @@
         }
         let mut items = Vec::new();
         if let Some(upserts) = body.get("upserts") {
-            for (name, value) in object(upserts, "upserts")? {
+            for (name, value) in object_entries(upserts, "upserts")? {
                 if name == LIMITS && lists == CONFIG_LISTS {
-                    items.push(upserted(ItemKind::Limits, value)?);
+                    items.push(upserted_item(ItemKind::Limits, value)?);
                 } else {
-                    items.extend(read_list(name, value, lists, upserted)?);
+                    items.extend(read_list(name, value, lists, upserted_item)?);
                 }
             }
         }
         if let Some(removals) = body.get("removals") {
-            for (name, value) in object(removals, "removals")? {
-                items.extend(read_list(name, value, lists, removed)?);
+            for (name, value) in object_entries(removals, "removals")? {
+                items.extend(read_list(name, value, lists, removed_item)?);
             }
         }
         Ok(ConfigChange { items })
     }
 }
 
-fn object<'a>(
+fn object_entries<'a>(
     value: &'a Value,
     name: &str,
 ) -> Result<impl Iterator<Item = (&'a String, &'a Value)>, InvalidConfig> {
@@ -88,14 +89,14 @@
 ) -> Result<Vec<Item>, InvalidConfig> {
     let known = lists.iter().find(|(list, _)| *list == name);
     let (_, kind) =
-        known.ok_or_else(|| InvalidConfig::malformed(format!("{name}: no such list")))?;
+        known.ok_or_else(|| InvalidConfig::malformed(format!("{name}: unknown list")))?;
     let values = value.as_array();
     let values = values.ok_or_else(|| InvalidConfig::malformed(format!("{name}: not a list")))?;
     values.iter().map(|value| read_item(*kind, value)).collect()
 }
 
-fn upserted(kind: ItemKind, value: &Value) -> Result<Item, InvalidConfig> {
-    let (key, version) = identity(kind, value)?;
+fn upserted_item(kind: ItemKind, value: &Value) -> Result<Item, InvalidConfig> {
+    let (key, version) = key_and_version(kind, value)?;
     Ok(Item {
         key,
         version,
@@ -104,8 +105,8 @@
     })
 }
 
-fn removed(kind: ItemKind, value: &Value) -> Result<Item, InvalidConfig> {
-    let (key, version) = identity(kind, value)?;
+fn removed_item(kind: ItemKind, value: &Value) -> Result<Item, InvalidConfig> {
+    let (key, version) = key_and_version(kind, value)?;
     Ok(Item {
         key,
         version,
@@ -114,19 +115,19 @@
     })
 }
 
-fn identity(kind: ItemKind, value: &Value) -> Result<(ItemKey, u64), InvalidConfig> {
+fn key_and_version(kind: ItemKind, value: &Value) -> Result<(ItemKey, u64), InvalidConfig> {
     let name = match kind {
         ItemKind::Limits => Some(LIMITS),
         _ => value.get("name").and_then(|name| name.as_str()),
     };
-    let name = name.ok_or_else(|| InvalidConfig::malformed("an item has no name"))?;
-    let version = version(value.get("config_version"))
+    let name = name.ok_or_else(|| InvalidConfig::malformed("item without a name"))?;
+    let version = parse_version(value.get("config_version"))
         .ok_or_else(|| InvalidConfig::item(name, "config_version: not `r` and a number"))?;
     let name = name.into();
     Ok((ItemKey { kind, name }, version))
 }
 
-/// A version as operators write it: `r` and a number.
-fn version(value: Option<&Value>) -> Option<u64> {
+/// Parses a version as operators write it: `r` followed by a number.
+fn parse_version(value: Option<&Value>) -> Option<u64> {
     value?.as_str()?.strip_prefix('r')?.parse().ok()
 }
--- a/crates/control/src/config/entries.rs
+++ b/crates/control/src/config/entries.rs
@@ -1,5 +1,5 @@
-//! What routes, tenants, services and limits mean, read from their items. A removed item reads as an empty text, which
-//! is an error: callers read items that are present.
+//! Routes, tenants, services and limits, parsed from the JSON text of their items. A removed item has no text, so
+//! parsing it is an error: callers pass only items that are not removed.
 
 use simd_json::prelude::*;
 
@@ -7,17 +7,18 @@
 use super::{InvalidConfig, Item};
 use crate::json::Value;
 
-/// The latency target may be above the timeout, though not by this or more: that is taken for a mistake.
+/// A latency target that exceeds the timeout by this many milliseconds or more is rejected as a mistake; a smaller
+/// excess is allowed.
 const MAX_TARGET_ABOVE_TIMEOUT_MS: u64 = 60_000;
 
-/// What the requests on a route do at their backends.
+/// The kind of a route: whether its requests modify data, and whether they may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RouteKind {
-    /// They change nothing, and may run more than once.
+    /// Requests that modify nothing and may be executed more than once.
     ReadOnly,
-    /// They change something, and run once at most.
+    /// Requests that modify data and are executed at most once.
     Mutating,
-    /// They carry long bodies, and run once at most.
+    /// Requests with long bodies that are executed at most once.
     Upload,
 }
 
@@ -32,41 +33,41 @@
     }
 }
 
-/// A service that a part of a route's requests goes to.
+/// A service that receives a share of a route's requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WeightedService {
-    /// The service's name.
+    /// The name of the service.
     pub service: String,
-    /// Its part of the requests is its weight over the sum of all weights.
+    /// The service's share of the requests is its weight divided by the sum of all weights.
     pub weight: f64,
 }
 
 /// A route as proxies use it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Unique among routes.
+    /// The name of the route; unique among routes.
     pub name: String,
-    /// The operator's version.
+    /// The version that the operator gave to the item.
     pub version: u64,
-    /// The host of its requests, in lower case.
+    /// The host name of the route's requests, in lower case.
     pub host: String,
-    /// The path prefix of its requests; begins and ends with a slash.
+    /// The path prefix of the route's requests; starts and ends with a slash.
     pub prefix: String,
-    /// What its requests do.
+    /// The kind of the route.
     pub kind: RouteKind,
-    /// A request that is not answered within this, in milliseconds, has failed.
+    /// The time in milliseconds after which a request without a response has failed.
     pub timeout_ms: u64,
-    /// The time in milliseconds within which a request should be answered.
+    /// The time in milliseconds within which a request should get its response.
     pub latency_target_ms: u64,
-    /// Higher is more urgent.
+    /// The priority of the route's requests; a higher number is more urgent.
     pub priority: i64,
-    /// Services and their weights.
+    /// The services that the requests are split between.
     pub services: Vec<WeightedService>,
-    /// Attempts of a request at most, over all proxies.
+    /// The maximum number of attempts of a request, over all proxies.
     pub max_attempts: u32,
-    /// Whether requests need no tenant's key.
+    /// Whether requests are accepted without a tenant's API key.
     pub public_access: bool,
-    /// Regions whose backends may serve the route; empty: all.
+    /// The regions whose backends may serve the route; empty means all regions.
     pub home_regions: Vec<String>,
 }
 
@@ -75,12 +76,12 @@
 
     fn try_from(item: &Item) -> Result<Self, InvalidConfig> {
         let fields = FieldReader::new(item)?;
-        let kind = fields.text("route_type")?;
+        let kind = fields.string("route_type")?;
         let kind = RouteKind::from_name(&kind)
             .ok_or_else(|| fields.invalid("route_type", &format!("no `{kind}`")))?;
         let services = weighted_services(&fields)?;
-        let (timeout_ms, latency_target_ms) = times(&fields)?;
-        let prefix = fields.text("path_prefix")?;
+        let (timeout_ms, latency_target_ms) = timeout_and_latency_target(&fields)?;
+        let prefix = fields.string("path_prefix")?;
         if !prefix.starts_with('/') || !prefix.ends_with('/') {
             return Err(fields.invalid("path_prefix", "must start and end with a slash"));
         }
@@ -90,21 +91,21 @@
         Ok(Route {
             name: item.key.name.clone(),
             version: item.version,
-            host: fields.text("host_name")?.to_ascii_lowercase(),
+            host: fields.string("host_name")?.to_ascii_lowercase(),
             prefix,
             kind,
             timeout_ms,
             latency_target_ms,
             priority: priority.unwrap_or(0),
             services,
-            max_attempts: fields.number("max_attempts")? as u32,
-            public_access: fields.flag("public_access"),
-            home_regions: fields.texts("serving_regions")?,
+            max_attempts: fields.number_or_zero("max_attempts")? as u32,
+            public_access: fields.is_true("public_access"),
+            home_regions: fields.strings("serving_regions")?,
         })
     }
 }
 
-/// The services of a `traffic_split`, or the one `target_service`.
+/// Returns the services of `traffic_split`, or the single `target_service` with weight 1.
 fn weighted_services(fields: &FieldReader) -> Result<Vec<WeightedService>, InvalidConfig> {
     let services = match fields.optional("traffic_split") {
         Some(split) => {
@@ -113,11 +114,11 @@
             let services: Option<Vec<WeightedService>> =
                 parts.iter().map(weighted_service).collect();
             services.ok_or_else(|| {
-                fields.invalid("traffic_split", "a service or a weight is missing")
+                fields.invalid("traffic_split", "a part lacks `target_service` or `weight`")
             })?
         }
         None => vec![WeightedService {
-            service: fields.text("target_service")?,
+            service: fields.string("target_service")?,
             weight: 1.0,
         }],
     };
@@ -136,10 +137,10 @@
     Some(WeightedService { service, weight })
 }
 
-/// Timeout and latency target, in milliseconds.
-fn times(fields: &FieldReader) -> Result<(u64, u64), InvalidConfig> {
-    let timeout_ms = fields.count("timeout_ms")?;
-    let latency_target_ms = fields.count("target_latency_ms")?;
+/// Returns the timeout and the latency target, in milliseconds.
+fn timeout_and_latency_target(fields: &FieldReader) -> Result<(u64, u64), InvalidConfig> {
+    let timeout_ms = fields.whole_number("timeout_ms")?;
+    let latency_target_ms = fields.whole_number("target_latency_ms")?;
     if timeout_ms == 0 {
         return Err(fields.invalid("timeout_ms", "is 0"));
     }
@@ -153,17 +154,17 @@
 /// A tenant as proxies use it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Unique among tenants.
+    /// The name of the tenant; unique among tenants.
     pub name: String,
-    /// The operator's version.
+    /// The version that the operator gave to the item.
     pub version: u64,
-    /// Keys by which its requests are recognised.
+    /// The API keys that identify the tenant's requests.
     pub api_keys: Vec<String>,
-    /// Its quota in requests a second over all proxies; 0: no quota.
+    /// The tenant's quota in requests per second, over all proxies; 0 means no quota.
     pub rate_per_s: f64,
-    /// Requests that it may send at once; 0: a second's worth.
+    /// The number of requests that the tenant may send at once; 0 means the quota of one second.
     pub burst: f64,
-    /// Regions whose backends may serve it; empty: all.
+    /// The regions whose backends may serve the tenant; empty means all regions.
     pub home_regions: Vec<String>,
 }
 
@@ -175,10 +176,10 @@
         Ok(Tenant {
             name: item.key.name.clone(),
             version: item.version,
-            api_keys: fields.texts("api_keys")?,
-            rate_per_s: fields.number("rate_per_s")?,
-            burst: fields.number("burst")?,
-            home_regions: fields.texts("serving_regions")?,
+            api_keys: fields.strings("api_keys")?,
+            rate_per_s: fields.number_or_zero("rate_per_s")?,
+            burst: fields.number_or_zero("burst")?,
+            home_regions: fields.strings("serving_regions")?,
         })
     }
 }
@@ -186,11 +187,12 @@
 /// A service as proxies use it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
-    /// Unique among services.
+    /// The name of the service; unique among services.
     pub name: String,
-    /// Requests a second that a backend takes from all proxies while it warms up; 0: not known.
+    /// The rate in requests per second that a backend accepts from all proxies together while it warms up; 0 means
+    /// unknown.
     pub warm_up_rate_per_s: f64,
-    /// Connections that a backend takes from all proxies; 0: no limit.
+    /// The number of connections that a backend accepts from all proxies together; 0 means no limit.
     pub max_connections: f64,
 }
 
@@ -201,8 +203,8 @@
         let fields = FieldReader::new(item)?;
         Ok(Service {
             name: item.key.name.clone(),
-            warm_up_rate_per_s: fields.number("cold_rate_s")?,
-            max_connections: fields.number("max_connections")?,
+            warm_up_rate_per_s: fields.number_or_zero("cold_rate_s")?,
+            max_connections: fields.number_or_zero("max_connections")?,
         })
     }
 }
@@ -210,9 +212,9 @@
 /// Timeouts of client connections.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ConnectionLimits {
-    /// A request's head that is not complete within this, in milliseconds, is none.
+    /// The time in milliseconds within which the head of a request must be complete.
     pub header_timeout_ms: u64,
-    /// A connection without requests is closed after this, in milliseconds.
+    /// The time in milliseconds after which a connection without requests is closed.
     pub idle_timeout_ms: u64,
 }
 
@@ -222,8 +224,8 @@
     fn try_from(item: &Item) -> Result<Self, InvalidConfig> {
         let fields = FieldReader::new(item)?;
         Ok(ConnectionLimits {
-            header_timeout_ms: fields.count("header_timeout_ms")?,
-            idle_timeout_ms: fields.count("idle_timeout_ms")?,
+            header_timeout_ms: fields.whole_number("header_timeout_ms")?,
+            idle_timeout_ms: fields.whole_number("idle_timeout_ms")?,
         })
     }
 }
--- a/crates/control/src/config/error.rs
+++ b/crates/control/src/config/error.rs
@@ -1,17 +1,17 @@
-//! Why a change of the configuration is rejected.
+//! The reasons for rejecting a configuration change.
 
-/// The first thing that is wrong with a change, or with the configuration that it would bring about.
+/// The first error found in a change, or in the configuration that results from it.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidConfig {
-    /// The body of a call can't be read.
+    /// The body of a call cannot be parsed.
     #[error("{0}")]
     Malformed(String),
-    /// An item, by its name, has a field that is missing or wrong, or clashes with another item.
+    /// An item has a missing or invalid field, or conflicts with another item.
     #[error("{name}: {reason}")]
     Item {
-        /// The item's name.
+        /// The name of the item.
         name: String,
-        /// The field and what is wrong with it.
+        /// The field and its error, or the conflict with the other item.
         reason: String,
     },
 }
@@ -21,7 +21,7 @@
         InvalidConfig::Malformed(reason.into())
     }
 
-    /// An item that is wrong as a whole, or beside others.
+    /// Returns the error for the item of this name.
     pub fn item(name: &str, reason: impl Into<String>) -> Self {
         InvalidConfig::Item {
             name: name.into(),
--- a/crates/control/src/config/item.rs
+++ b/crates/control/src/config/item.rs
@@ -1,5 +1,5 @@
-//! One item of the configuration: what identifies it, its version and its text. Items are stored and sent: neither
-//! fields nor variants may change their order.
+//! Configuration items: key, version and JSON text. Items are stored and sent, and their encoding depends on the order
+//! of fields and variants: the order must not change.
 
 use std::hash::Hasher;
 
@@ -9,88 +9,90 @@
 use super::InvalidConfig;
 use crate::json::{Value, parse};
 
-/// What an item describes.
+/// The kind of object that an item describes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub enum ItemKind {
-    /// A host and path prefix, and the services that its requests go to.
+    /// A route: a host, a path prefix, and the services that receive its requests.
     Route,
-    /// A tenant with its keys and quota.
+    /// A tenant with its API keys and quota.
     Tenant,
-    /// A service that backends provide.
+    /// A service provided by backends.
     Service,
     /// Timeouts of client connections; there is one such item.
     Limits,
-    /// A zone that gets no requests; the item is removed when the zone gets them again.
+    /// A zone out of service, which receives no requests; the item is removed when the zone returns to service.
     Evacuation,
-    /// A rule by which live requests are mirrored to a trial service.
+    /// A rule that mirrors live requests to a trial service.
     MirrorRule,
-    /// The one item that names the voters of the configuration store. Proxies never get it.
+    /// The voters of the configuration store. There is one such item, and proxies never receive it.
     Voters,
 }
 
 impl ItemKind {
-    /// Whether items of this kind are the store's own, and no part of the configuration.
+    /// Returns whether items of this kind are internal to the store and not part of the configuration.
     pub fn is_internal(self) -> bool {
         self == ItemKind::Voters
     }
 }
 
-/// What identifies an item.
+/// The key of an item.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct ItemKey {
-    /// What it describes.
+    /// The kind of the item.
     pub kind: ItemKind,
-    /// Unique within the kind.
+    /// The name of the item; unique within its kind.
     pub name: String,
 }
 
-/// A proposal number of the consensus among the stores. Proposal numbers are totally ordered, and no two proposers
-/// have the same.
+/// A proposal number of the consensus protocol between the stores. Proposal numbers are totally ordered, and no two
+/// proposers use the same number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct ProposalNumber {
-    /// Raised with each round of a proposer above all that it has seen.
+    /// The round; a proposer starts each round with a higher number than any that it has seen.
     pub round: u64,
-    /// Who proposes, by the id of its disk.
+    /// The id of the proposer's disk.
     pub proposer: u64,
 }
 
-/// An item as it is stored and sent.
+/// A configuration item as it is stored and sent.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 pub struct Item {
-    /// What identifies it.
+    /// The key of the item.
     pub key: ItemKey,
-    /// The operator's version; of two contents the one with the higher version prevails.
+    /// The version that the operator gave to the item. Of two contents, the one with the higher version wins.
     pub version: u64,
-    /// The number under which it was last proposed; of one version, the content with the higher number prevails.
+    /// The number under which the item was last proposed. Of two contents of the same version, the one with the higher
+    /// proposal number wins.
     pub proposal_number: ProposalNumber,
-    /// Its JSON text; `None` where the item was removed. A removed item stays behind with its version, so that an
-    /// older call can't bring it back.
+    /// The JSON text; `None` if the item was removed. A removed item is kept with its version as a tombstone, so that a
+    /// call with an older version cannot restore it.
     pub body: Option<Vec<u8>>,
 }
 
 impl Item {
-    /// Whether the item was removed.
+    /// Returns whether the item was removed.
     pub fn is_removed(&self) -> bool {
         self.body.is_none()
     }
 
-    /// About how many bytes of a message the item takes.
+    /// Returns the approximate size of the encoded item, in bytes.
     pub fn wire_bytes(&self) -> usize {
         const VERSION_AND_PROPOSAL_NUMBER: usize = 32;
         let body = self.body.as_ref().map_or(0, Vec::len);
         self.key.name.len() + body + VERSION_AND_PROPOSAL_NUMBER
     }
 
-    /// Its text as a JSON value.
+    /// Parses the text of the item as JSON.
     ///
     /// # Errors
-    /// Where the text is not JSON.
+    /// Returns an error if the text is not JSON, also if the item was removed.
     pub fn json(&self) -> Result<Value, InvalidConfig> {
         let text = self.body.clone().unwrap_or_default();
         parse(text).map_err(|e| InvalidConfig::item(&self.key.name, e.to_string()))
     }
 
-    /// A hash of key, version and proposal number. Digests of sets are exclusive ors of these.
+    /// Returns a hash of key, version and proposal number. The digest of a set of items is the XOR of their
+    /// fingerprints.
     pub fn fingerprint(&self) -> u64 {
         let mut hasher = FnvHasher::default();
         hasher.write(self.key.name.as_bytes());
@@ -99,18 +101,18 @@
         for number in [self.version, round, proposer] {
             hasher.write(&number.to_be_bytes());
         }
-        spread(hasher.finish())
+        mix_bits(hasher.finish())
     }
 }
 
-/// Mixes all bits of a hash, so that an exclusive or of several tells sets apart.
-fn spread(hash: u64) -> u64 {
+/// Mixes the bits of a hash, so that the XOR of several hashes distinguishes sets.
+fn mix_bits(hash: u64) -> u64 {
     const GOLDEN_RATIO: u64 = 0x9e37_79b9_7f4a_7c15;
     let hash = (hash ^ hash >> 32).wrapping_mul(GOLDEN_RATIO);
     hash ^ hash >> 29
 }
 
-/// A hash of a name that is the same in every process and version.
+/// Returns a hash of a name that is the same in every process and version.
 pub fn stable_hash(name: &str) -> u64 {
     let mut hasher = FnvHasher::default();
     hasher.write(name.as_bytes());
--- a/crates/control/src/config/mirror_rule.rs
+++ b/crates/control/src/config/mirror_rule.rs
@@ -1,5 +1,5 @@
-//! Rules by which a share of live requests is mirrored to trial services. They are items like the others, set through the
-//! system's own interface, because the operators' calls have no field for them.
+//! Rules that mirror a share of live requests to trial services. The rules are configuration items, but are set through
+//! a separate call, because the calls that change the configuration have no list for them.
 
 use std::net::{SocketAddr, SocketAddrV4};
 
@@ -8,60 +8,60 @@
 use super::{InvalidConfig, Item, RouteKind};
 use crate::json::Value;
 
-/// An instance of a trial service. Its address is private, and only [`TrialInstance::address`] gives it: no real request
-/// is sent to it.
+/// An instance of a trial service. The address is private and only available from [`TrialInstance::address`], so that
+/// ordinary requests are never sent to it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TrialInstance {
-    /// The instance's name, sent with each mirrored request.
+    /// The id of the instance, sent with each mirrored request.
     pub id: String,
-    /// The region that it stands in.
+    /// The region of the instance.
     pub region: String,
     address: SocketAddrV4,
 }
 
 impl TrialInstance {
-    /// Where mirrored requests go; `None` where a real backend has that address now.
-    pub fn address(&self, is_real: impl Fn(SocketAddr) -> bool) -> Option<SocketAddr> {
+    /// Returns the address for mirrored requests, or `None` if a backend currently has the same address.
+    pub fn address(&self, is_backend_address: impl Fn(SocketAddr) -> bool) -> Option<SocketAddr> {
         let address = SocketAddr::V4(self.address);
-        (!is_real(address)).then_some(address)
+        (!is_backend_address(address)).then_some(address)
     }
 }
 
-/// By what requests are selected: all of one value are mirrored, or none.
+/// The key by which requests are selected: either all requests with the same key are mirrored, or none.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SelectionKey {
     /// The tenant.
     Tenant,
-    /// The API key that the request carries.
+    /// The API key in the request.
     Caller,
 }
 
 /// A mirror rule as proxies use it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MirrorRule {
-    /// Unique among rules.
+    /// The name of the rule; unique among rules.
     pub name: String,
-    /// The version by which it was set.
+    /// The version that the caller gave to the rule.
     pub version: u64,
     /// The service whose requests are mirrored.
     pub service: String,
-    /// The service that gets the mirrored requests.
+    /// The service that receives the mirrored requests.
     pub trial_service: String,
-    /// The part of tenants or callers selected, from 0 to 1.
+    /// The share of tenants or callers selected, from 0 to 1.
     pub share: f64,
-    /// By what requests are selected.
+    /// The key by which requests are selected.
     pub select_by: SelectionKey,
-    /// In force from then on, by the system's common time in milliseconds; 0: at once.
+    /// The time from which the rule is in force, by the coordinator's clock in milliseconds; 0 means immediately.
     pub from_ms: u64,
-    /// In force until then, by the system's common time in milliseconds; 0: until it is removed.
+    /// The time until which the rule is in force, by the coordinator's clock in milliseconds; 0 means until removed.
     pub until_ms: u64,
-    /// Mirrored requests a second at most, over all proxies.
+    /// The maximum rate of mirrored requests, in requests per second over all proxies.
     pub requests_per_s: f64,
-    /// Bytes of mirrored requests a second at most, over all proxies.
+    /// The maximum rate of mirrored data, in bytes per second over all proxies.
     pub bytes_per_s: f64,
     /// The kinds of routes whose requests are mirrored.
     pub route_kinds: Vec<RouteKind>,
-    /// Where mirrored requests go.
+    /// The instances that receive mirrored requests.
     pub instances: Vec<TrialInstance>,
 }
 
@@ -73,39 +73,40 @@
             name: &item.key.name,
             value: item.json()?,
         };
-        let share = fields.number("share", -1.0)?;
+        let share = fields.number_or("share", -1.0)?;
         if !(0.0..=1.0).contains(&share) {
             return Err(fields.invalid("share", "not from 0 to 1"));
         }
         let select_by = fields.selection_key()?;
         let route_kinds = fields.route_kinds()?;
         let instances = fields.instances()?;
-        let from_ms = fields.number("from_ms", 0.0)? as u64;
-        let until_ms = fields.number("until_ms", 0.0)? as u64;
+        let from_ms = fields.number_or("from_ms", 0.0)? as u64;
+        let until_ms = fields.number_or("until_ms", 0.0)? as u64;
         if until_ms > 0 && until_ms <= from_ms {
             return Err(fields.invalid("until_ms", "not after from_ms"));
         }
         Ok(MirrorRule {
             name: item.key.name.clone(),
             version: item.version,
-            service: fields.text("service")?,
-            trial_service: fields.text("trial_service")?,
+            service: fields.string("service")?,
+            trial_service: fields.string("trial_service")?,
             share,
             select_by,
             from_ms,
             until_ms,
-            requests_per_s: fields.number("requests_per_s", 0.0)?,
-            bytes_per_s: fields.number("bytes_per_s", 0.0)?,
+            requests_per_s: fields.number_or("requests_per_s", 0.0)?,
+            bytes_per_s: fields.number_or("bytes_per_s", 0.0)?,
             route_kinds,
             instances: instances
                 .iter()
-                .map(|i| fields.instance(i))
+                .map(|instance| fields.instance(instance))
                 .collect::<Result<_, _>>()?,
         })
     }
 }
 
-/// The fields of a rule. Unlike those of the operators' items, a text must not be empty and null is no number.
+/// Reads the fields of a rule. In contrast to `FieldReader`, a string must not be empty, and null is not accepted as a
+/// missing number.
 struct RuleFields<'a> {
     name: &'a str,
     value: Value,
@@ -116,30 +117,34 @@
         InvalidConfig::item(self.name, format!("{field}: {reason}"))
     }
 
-    fn text(&self, field: &str) -> Result<String, InvalidConfig> {
-        let text = self.value.get(field).and_then(|value| value.as_str());
-        let text = text.filter(|text| !text.is_empty());
-        let text = text.ok_or_else(|| self.invalid(field, "missing, or not a text"))?;
-        Ok(text.to_string())
+    fn string(&self, field: &str) -> Result<String, InvalidConfig> {
+        let string = self.value.get(field).and_then(|value| value.as_str());
+        let string = string.filter(|string| !string.is_empty());
+        let string =
+            string.ok_or_else(|| self.invalid(field, "missing, empty, or not a string"))?;
+        Ok(string.to_string())
     }
 
-    fn number(&self, field: &str, default: f64) -> Result<f64, InvalidConfig> {
+    fn number_or(&self, field: &str, default: f64) -> Result<f64, InvalidConfig> {
         let Some(value) = self.value.get(field) else {
             return Ok(default);
         };
         let number = value.cast_f64().filter(|number| *number >= 0.0);
-        number.ok_or_else(|| self.invalid(field, "not a number from 0 on"))
+        number.ok_or_else(|| self.invalid(field, "not a number of at least 0"))
     }
 
     fn selection_key(&self) -> Result<SelectionKey, InvalidConfig> {
         match self.value.get("by").and_then(|by| by.as_str()) {
             None | Some("tenant") => Ok(SelectionKey::Tenant),
             Some("caller") => Ok(SelectionKey::Caller),
-            Some(other) => Err(self.invalid("by", &format!("no `{other}`: `tenant` or `caller`"))),
+            Some(other) => {
+                Err(self.invalid("by", &format!("`{other}` is neither `tenant` nor `caller`")))
+            }
         }
     }
 
-    /// Read-only routes where the rule names no kinds. Others need a trial service that keeps its records apart.
+    /// Returns the kinds of routes, by default only read-only ones. Other kinds are allowed only if the trial service
+    /// keeps its records separate from those of the service.
     fn route_kinds(&self) -> Result<Vec<RouteKind>, InvalidConfig> {
         let kinds = match self.value.get("kinds") {
             None => vec![RouteKind::ReadOnly],
@@ -153,12 +158,12 @@
                     .collect::<Result<_, _>>()?
             }
         };
-        let keeps_apart = self.value.get("trial_keeps_records_apart");
-        let keeps_apart = keeps_apart
-            .and_then(|apart| apart.as_bool())
+        let records_separate = self.value.get("trial_keeps_records_apart");
+        let records_separate = records_separate
+            .and_then(|separate| separate.as_bool())
             .unwrap_or(false);
-        if !keeps_apart && kinds.iter().any(|kind| *kind != RouteKind::ReadOnly) {
-            let reason = "kinds that change records need it to be true: a copy must register nothing a second time";
+        if !records_separate && kinds.iter().any(|kind| *kind != RouteKind::ReadOnly) {
+            let reason = "must be true for kinds that modify data: a mirrored request must not modify the same records again";
             return Err(self.invalid("trial_keeps_records_apart", reason));
         }
         Ok(kinds)
@@ -166,7 +171,7 @@
 
     fn route_kind(&self, kind: &Value) -> Result<RouteKind, InvalidConfig> {
         let kind = kind.as_str().and_then(RouteKind::from_name);
-        kind.ok_or_else(|| self.invalid("kinds", "`read_only`, `mutating`, `upload`"))
+        kind.ok_or_else(|| self.invalid("kinds", "not `read_only`, `mutating` or `upload`"))
     }
 
     fn instances(&self) -> Result<&Vec<Value>, InvalidConfig> {
@@ -175,27 +180,24 @@
             .get("instances")
             .and_then(|instances| instances.as_array());
         let instances = instances.filter(|instances| !instances.is_empty());
-        instances.ok_or_else(|| self.invalid("instances", "none"))
+        instances.ok_or_else(|| self.invalid("instances", "missing or empty"))
     }
 
     fn instance(&self, instance: &Value) -> Result<TrialInstance, InvalidConfig> {
-        let text = |field: &str| {
+        let string = |field: &str| {
             instance
                 .get(field)
-                .and_then(|t| t.as_str())
+                .and_then(|value| value.as_str())
                 .map(str::to_string)
         };
-        let address = text("address").and_then(|address| address.parse().ok());
-        match (text("id"), address, text("region")) {
+        let address = string("address").and_then(|address| address.parse().ok());
+        match (string("id"), address, string("region")) {
             (Some(id), Some(address), Some(region)) => Ok(TrialInstance {
                 id,
                 region,
                 address,
             }),
-            _ => Err(self.invalid(
-                "instances",
-                "`id`, `address` and `region` are wanted of each",
-            )),
+            _ => Err(self.invalid("instances", "each needs `id`, `address` and `region`")),
         }
     }
 }
--- a/crates/control/src/config/mod.rs
+++ b/crates/control/src/config/mod.rs
@@ -1,9 +1,9 @@
-//! The configuration: items with versions of their own, merged item by item and validated together.
+//! The configuration: items, each with its own version, that are merged one by one and validated together.
 //!
-//! In reading order: an [`Item`] and what identifies it (`item`); a [`ConfigChange`] as an operator sends it
-//! (`change`); a [`ConfigSnapshot`], all items known to one process (`snapshot`), with the digests by which two
-//! snapshots are compared (`shard_index`); what the items mean (`entries`, `mirror_rule`), read field by field
-//! (`fields`); and which items may be in force together (`validation`).
+//! In reading order: [`Item`] and its key (`item`); [`ConfigChange`], a change sent by an operator (`change`);
+//! [`ConfigSnapshot`], all items known to a process (`snapshot`), with the digests that are used to compare two
+//! snapshots (`shard_index`); the typed contents of items (`entries`, `mirror_rule`) and access to their JSON fields
+//! (`fields`); and the rules that all items together must satisfy (`validation`).
 
 mod change;
 mod entries;
--- a/crates/control/src/config/snapshot.rs
+++ b/crates/control/src/config/snapshot.rs
@@ -1,4 +1,4 @@
-//! All items that one process knows, merged item by item.
+//! A snapshot of all items known to a process, into which items are merged one by one.
 
 use std::collections::BTreeMap;
 use std::hash::{Hash, Hasher};
@@ -6,11 +6,11 @@
 use super::change::{CONFIG_LISTS, MIRROR_LISTS, NamedList};
 use super::{ConfigChange, Item, ItemKey, ItemKind, ShardId, ShardIndex};
 
-/// All items known, removed ones too.
+/// All items known to a process, including removed ones.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigSnapshot {
     items: BTreeMap<ItemKey, Item>,
-    /// Follows from the items; kept up to date because digests are asked for many times a second.
+    /// Derived from `items`; updated with each change, because digests are requested many times per second.
     index: ShardIndex,
 }
 
@@ -29,66 +29,66 @@
 }
 
 impl ConfigSnapshot {
-    /// All items by key.
+    /// Returns all items by key.
     pub fn items(&self) -> &BTreeMap<ItemKey, Item> {
         &self.items
     }
 
-    /// Keys and digests by shard.
+    /// Returns the index of keys and digests by shard.
     pub fn index(&self) -> &ShardIndex {
         &self.index
     }
 
-    /// One item, removed ones too.
+    /// Returns the item with this key, even if it was removed.
     pub fn get(&self, key: &ItemKey) -> Option<&Item> {
         self.items.get(key)
     }
 
-    /// The items of a kind that are not removed.
+    /// Returns the items of a kind that are not removed.
     pub fn present_items(&self, kind: ItemKind) -> impl Iterator<Item = &Item> {
         let of_kind = move |item: &&Item| item.key.kind == kind && !item.is_removed();
         self.items.values().filter(of_kind)
     }
 
-    /// Puts an item in place of the one known, whatever their versions.
+    /// Inserts an item, or replaces the known one regardless of versions.
     pub fn insert(&mut self, item: Item) {
         self.remove(&item.key);
         self.index.insert(&item);
         self.items.insert(item.key.clone(), item);
     }
 
-    /// Forgets an item and its version.
+    /// Deletes an item together with its version, leaving no tombstone.
     pub fn remove(&mut self, key: &ItemKey) {
         if let Some(known) = self.items.remove(key) {
             self.index.remove(&known);
         }
     }
 
-    /// Takes an item in if its version is above the one known, or, of one version, its proposal number. Returns whether
-    /// it did.
+    /// Inserts an item if its `(version, proposal_number)` is above that of the known item. Returns whether the item
+    /// was inserted.
     pub fn merge(&mut self, item: Item) -> bool {
         self.merge_ranked(item, |item| (item.version, item.proposal_number))
     }
 
-    /// Takes an item in if its proposal number is above that of the one known: a proposal takes the place of any earlier
-    /// one. Of one number the later version prevails, for what was left uncommitted before it is committed first. Returns
-    /// whether it did.
+    /// Inserts an item if its `(proposal_number, version)` is above that of the known item: a proposal replaces every
+    /// earlier proposal. Under the same proposal number the higher version wins, because a proposer first commits the
+    /// items that earlier rounds left uncommitted. Returns whether the item was inserted.
     pub fn merge_proposed(&mut self, item: Item) -> bool {
         self.merge_ranked(item, |item| (item.proposal_number, item.version))
     }
 
-    /// Takes an item in if it ranks above the one known. Returns whether it did.
+    /// Inserts an item if its rank is above that of the known item. Returns whether the item was inserted.
     fn merge_ranked<R: Ord>(&mut self, item: Item, rank: impl Fn(&Item) -> R) -> bool {
-        let prevails = self
+        let is_newer = self
             .get(&item.key)
             .is_none_or(|known| rank(known) < rank(&item));
-        if prevails {
+        if is_newer {
             self.insert(item);
         }
-        prevails
+        is_newer
     }
 
-    /// The items of a change that would have an effect here: an equal or lower version has none.
+    /// Returns the items of a change whose version is above the known one; other items would have no effect.
     pub fn effective_items(&self, change: &ConfigChange) -> Vec<Item> {
         let mut effective = ConfigSnapshot::default();
         for item in &change.items {
@@ -102,12 +102,12 @@
         effective.items.into_values().collect()
     }
 
-    /// One digest of all keys, versions and proposal numbers.
+    /// Returns one digest of all keys, versions and proposal numbers.
     pub fn digest(&self) -> u64 {
         self.index.digest()
     }
 
-    /// A digest of 32 bits for each group of shards.
+    /// Returns the digest of each group of shards, folded to 32 bits.
     pub fn group_digests(&self) -> Vec<u32> {
         let digests = self.index.group_digests().iter();
         digests
@@ -115,7 +115,7 @@
             .collect()
     }
 
-    /// The items of the groups whose digests are not these.
+    /// Returns the items of the groups whose digests differ from the given ones.
     pub fn items_differing_from(&self, digests: &[u32]) -> Vec<Item> {
         let own = self.group_digests();
         let differs = |item: &&Item| {
@@ -125,7 +125,7 @@
         self.items.values().filter(differs).cloned().collect()
     }
 
-    /// The operators' configuration as the `upserts` of a call that would set all of it.
+    /// Returns the configuration without mirror rules as the JSON `upserts` of a call that would set all of it.
     pub fn to_json(&self) -> Vec<u8> {
         let mut json = self.lists_to_json(&CONFIG_LISTS);
         let limits = self
@@ -139,14 +139,14 @@
         json
     }
 
-    /// The mirror rules as the `upserts` of a call that would set all of them.
+    /// Returns the mirror rules as the JSON `upserts` of a call that would set all of them.
     pub fn mirror_rules_to_json(&self) -> Vec<u8> {
         let mut json = self.lists_to_json(&MIRROR_LISTS);
         json.push(b'}');
         json
     }
 
-    /// An object of lists, without its closing brace.
+    /// Returns a JSON object of lists, without its closing brace.
     fn lists_to_json(&self, lists: &[NamedList]) -> Vec<u8> {
         let mut json = Vec::from(b"{");
         for (index, (name, kind)) in lists.iter().enumerate() {
--- a/crates/control/src/config/validation.rs
+++ b/crates/control/src/config/validation.rs
@@ -1,4 +1,4 @@
-//! Which items may be in force together.
+//! Validation of the items of a configuration together.
 
 use std::collections::BTreeMap;
 
@@ -10,10 +10,10 @@
 };
 
 impl ConfigSnapshot {
-    /// Whether all items together are a configuration that may be in force.
+    /// Checks whether all items together are a valid configuration, apart from mirror rules.
     ///
     /// # Errors
-    /// The first item that is wrong, or clashes with another.
+    /// Returns an error for the first item that is invalid or conflicts with another.
     pub fn validate(&self) -> Result<(), InvalidConfig> {
         self.validate_services()?;
         self.validate_routes()?;
@@ -30,14 +30,14 @@
             if value.get("health_path").is_some_and(|path| !path.is_str()) {
                 return Err(InvalidConfig::item(
                     &item.key.name,
-                    "health_path: not a text",
+                    "health_path: not a string",
                 ));
             }
         }
         Ok(())
     }
 
-    /// Each route's services exist, and no two routes have the same host and prefix.
+    /// Checks that the services of each route exist and that no two routes have the same host and prefix.
     fn validate_routes(&self) -> Result<(), InvalidConfig> {
         let mut names_by_prefix: BTreeMap<(String, String), &str> = BTreeMap::new();
         for item in self.present_items(ItemKind::Route) {
@@ -65,7 +65,7 @@
         self.get(&key).is_some_and(|item| !item.is_removed())
     }
 
-    /// No key belongs to two tenants.
+    /// Checks that no API key belongs to two tenants.
     fn validate_tenants(&self) -> Result<(), InvalidConfig> {
         let mut owners: BTreeMap<String, &str> = BTreeMap::new();
         for item in self.present_items(ItemKind::Tenant) {
@@ -73,7 +73,7 @@
             for key in Tenant::try_from(item)?.api_keys {
                 let other = owners.insert(key, name).filter(|other| *other != name);
                 if let Some(other) = other {
-                    let reason = format!("a key is that of `{other}`");
+                    let reason = format!("api_keys: `{other}` has the same key");
                     return Err(InvalidConfig::item(name, reason));
                 }
             }
@@ -81,18 +81,18 @@
         Ok(())
     }
 
-    /// Whether the mirror rules may be in force beside each other and the configuration. Only calls that set mirror rules
-    /// are validated so: an operator's configuration is never rejected because of them.
+    /// Checks whether the mirror rules conflict with each other or with the configuration. This check applies only to
+    /// calls that set mirror rules: a configuration change is never rejected because of a mirror rule.
     ///
     /// # Errors
-    /// The first rule that is wrong or clashes with something.
+    /// Returns an error for the first rule that is invalid or has a conflict.
     pub fn validate_mirror_rules(&self) -> Result<(), InvalidConfig> {
         let rules = self
             .present_items(ItemKind::MirrorRule)
             .map(MirrorRule::try_from);
         let rules = rules.collect::<Result<Vec<_>, _>>()?;
         for rule in &rules {
-            if let Some(reason) = self.mirror_clash(rule, &rules) {
+            if let Some(reason) = self.mirror_conflict(rule, &rules) {
                 let reason = format!("trial_service: {reason}");
                 return Err(InvalidConfig::item(&rule.name, reason));
             }
@@ -100,8 +100,8 @@
         Ok(())
     }
 
-    /// Why requests must not be mirrored to the rule's trial service.
-    fn mirror_clash(&self, rule: &MirrorRule, rules: &[MirrorRule]) -> Option<String> {
+    /// Returns the reason why requests must not be mirrored to the rule's trial service, or `None` if they may be.
+    fn mirror_conflict(&self, rule: &MirrorRule, rules: &[MirrorRule]) -> Option<String> {
         let is_trial = |service: &&Item| service.key.name == rule.trial_service;
         if self
             .present_items(ItemKind::Service)
@@ -110,11 +110,14 @@
             return Some(format!("`{}` is a real service", rule.trial_service));
         }
         if rule.service == rule.trial_service {
-            return Some("is the service itself".into());
+            return Some("is the same as `service`".into());
         }
-        let next = rules
+        let chained = rules
             .iter()
             .find(|other| other.service == rule.trial_service)?;
-        Some(format!("`{}` copies it on", next.name))
+        Some(format!(
+            "rule `{}` mirrors its requests again",
+            chained.name
+        ))
     }
 }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,19 +1,19 @@
-//! What the system's three programs share: the configuration and its items, the messages between processes and the
-//! connections that carry them, and the parts of the control plane that decide without I/O. It is not for anything that
-//! only one of the programs does.
+//! The library shared by the three programs of the system: the configuration and its items, the messages between
+//! processes and their connections, and the parts of the control plane that make decisions without I/O. Code used by
+//! only one of the programs does not belong here.
 //!
 //! In reading order:
 //!
-//! - [`config`]: items of the configuration, their versions, merging and validation
-//! - [`messages`]: everything that is sent or stored
-//! - [`transfer`]: how a receiver catches up with a snapshot of items
-//! - [`voters`], [`lease`]: the voter set, and the election of the coordinator by it
+//! - [`config`]: configuration items with their versions, merging and validation
+//! - [`messages`]: the types that are sent or stored
+//! - [`transfer`]: synchronization of a receiver with a provider's configuration snapshot
+//! - [`voters`], [`lease`]: the voter set, and the election of the coordinator by the voters
 //! - [`contact`]: whether a registry is in contact with a majority of the voters
-//! - [`allotment`]: what proxies may admit of each quota out of contact with the coordinator
-//! - [`membership`]: which registries are alive
+//! - [`allotment`]: the share of each quota that a proxy may admit without contact to the coordinator
+//! - [`membership`]: detection of which registries are alive
 //! - [`settings`]: the settings file of a process
-//! - [`link`]: held connections; with [`program`], the only module that does I/O
-//! - [`address`], [`json`]: small helpers
+//! - [`link`]: persistent connections; [`link`], [`program`] and the reading of the settings file are the only I/O
+//! - [`address`], [`json`]: wire form of addresses, and JSON parsing
 #![warn(clippy::too_many_lines, unreachable_pub)]
 
 pub mod address;
--- a/crates/control/src/link.rs
+++ b/crates/control/src/link.rs
@@ -1,4 +1,5 @@
-//! Held connections between the system's own processes: messages of bounded length, each preceded by its length.
+//! Persistent connections between the processes of the system. Each message is preceded by its length, which is
+//! bounded.
 
 use std::io;
 use std::net::{IpAddr, SocketAddr};
@@ -15,48 +16,50 @@
 
 use crate::messages::{DecodeError, MAX_MESSAGE_BYTES, decode, encode};
 
-/// A connection on which nothing is acknowledged for this long is dead: behind a partition, or from a machine without
-/// power, nothing comes that would end it.
+/// A connection on which nothing is acknowledged for this long is closed. After a network partition or a power failure
+/// of the peer's machine, no packet arrives that would close the connection.
 pub const SILENCE_TIMEOUT: Duration = Duration::from_millis(2000);
-/// Messages that wait to be written at most: a peer that does not read loses its connection.
+/// The maximum number of messages queued for writing. When the queue is full, sending fails, so that a
+/// peer that does not read loses its connection.
 const SEND_QUEUE_CAPACITY: usize = 4096;
-/// Messages written at once.
-const WRITE_BATCH: usize = 64;
-/// Connections that may wait to be accepted.
+/// The maximum number of messages in one write.
+const MAX_BATCH_MESSAGES: usize = 64;
+/// The maximum number of connections that wait to be accepted.
 const LISTEN_BACKLOG: u32 = 1024;
-/// TCP keep-alive probes go out at this interval, and so many may be lost.
+/// The idle time before the first TCP keepalive probe, and the interval between probes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+/// The number of unanswered keepalive probes after which a connection is closed.
 const KEEPALIVE_RETRIES: u32 = 2;
 
-/// Why a connection does not come up, or ends.
+/// The reason why a connection cannot be established, or is closed.
 #[derive(Debug, thiserror::Error)]
 pub enum LinkError {
-    /// An address can't be listened on.
-    #[error("listening on {address}: {source}")]
+    /// Listening on an address failed.
+    #[error("cannot listen on {address}: {source}")]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// What the system says.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// No connection came up in time.
-    #[error("no connection in time")]
+    /// The connection was not established in time.
+    #[error("connection attempt timed out")]
     ConnectTimeout,
-    /// Nothing came for too long.
-    #[error("silent")]
+    /// No message was received in time.
+    #[error("no message received in time")]
     Silent,
-    /// The peer announced a message that is too long.
-    #[error("a message of {0} bytes")]
+    /// The length of the peer's message, in bytes, exceeds [`MAX_MESSAGE_BYTES`].
+    #[error("message of {0} bytes is too long")]
     TooLong(usize),
-    /// What came is no message.
+    /// The received bytes cannot be decoded as a message.
     #[error(transparent)]
     Decode(#[from] DecodeError),
-    /// The connection could not be made, or broke.
+    /// The connection could not be established, or was lost.
     #[error(transparent)]
     Io(#[from] io::Error),
 }
 
-/// Which way a message goes over a connection.
+/// The direction of a message on a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Direction {
     /// Received.
@@ -65,12 +68,12 @@
     Out,
 }
 
-/// Called with the bytes of each message, without their length.
+/// A function that is called with the bytes of each message, without the length prefix.
 pub type Observer = fn(Direction, &[u8]);
 
 static OBSERVER: OnceLock<Observer> = OnceLock::new();
 
-/// Has all messages of this process observed from now on, for tools that measure. The first observer stays.
+/// Sets the observer of all messages of this process, for measurement tools. Only the first call has an effect.
 pub fn observe(observer: Observer) {
     OBSERVER.set(observer).ok();
 }
@@ -81,37 +84,37 @@
     }
 }
 
-/// Connects to a process.
+/// Connects to a process and sets the connection's options.
 ///
 /// # Errors
-/// Where no connection comes up in time.
-pub async fn connect(to: SocketAddr, within: Duration) -> Result<TcpStream, LinkError> {
-    configured(within, TcpStream::connect(to)).await
+/// Returns an error if the connection fails or is not established within `connect_timeout`.
+pub async fn connect(to: SocketAddr, connect_timeout: Duration) -> Result<TcpStream, LinkError> {
+    connect_with_timeout(connect_timeout, TcpStream::connect(to)).await
 }
 
-/// Connects to a process from a given address of this machine, which may have several: the peer identifies the caller
-/// by it.
+/// Connects to a process from the given local address. The machine may have several addresses, and the peer identifies
+/// the caller by its address.
 ///
 /// # Errors
-/// Where no connection comes up in time.
+/// Returns an error if the connection fails or is not established within `connect_timeout`.
 pub async fn connect_from(
     from: IpAddr,
     to: SocketAddr,
-    within: Duration,
+    connect_timeout: Duration,
 ) -> Result<TcpStream, LinkError> {
-    let connecting = async {
+    let connection = async {
         let socket = TcpSocket::new_v4()?;
         socket.bind((from, 0).into())?;
         socket.connect(to).await
     };
-    configured(within, connecting).await
+    connect_with_timeout(connect_timeout, connection).await
 }
 
-async fn configured(
-    within: Duration,
-    connecting: impl Future<Output = io::Result<TcpStream>>,
+async fn connect_with_timeout(
+    connect_timeout: Duration,
+    connection: impl Future<Output = io::Result<TcpStream>>,
 ) -> Result<TcpStream, LinkError> {
-    let connected = timeout(within, connecting).await;
+    let connected = timeout(connect_timeout, connection).await;
     let stream = connected.map_err(|_| LinkError::ConnectTimeout)??;
     configure(&stream);
     Ok(stream)
@@ -120,18 +123,19 @@
 /// Listens on an address.
 ///
 /// # Errors
-/// Where the address can't be listened on.
+/// Returns an error if the address cannot be bound.
 pub fn listen(address: SocketAddr) -> Result<TcpListener, LinkError> {
-    let listening = || {
+    let bind = || {
         let socket = TcpSocket::new_v4()?;
         socket.set_reuseaddr(true)?;
         socket.bind(address)?;
         socket.listen(LISTEN_BACKLOG)
     };
-    listening().map_err(|source| LinkError::Listen { address, source })
+    bind().map_err(|source| LinkError::Listen { address, source })
 }
 
-/// Sets a connection's options: no delay, and an end where the peer acknowledges nothing.
+/// Sets a connection's options: `TCP_NODELAY`, and time-outs that close the connection when the peer acknowledges
+/// nothing.
 pub fn configure(stream: &TcpStream) {
     stream.set_nodelay(true).ok();
     let socket = SockRef::from(stream);
@@ -143,7 +147,8 @@
     socket.set_tcp_keepalive(&keepalive).ok();
 }
 
-/// The two ends of a connection. Messages are written by a task of their own, until either end is dropped.
+/// Splits a connection into a reader and a sender. A separate task writes the queued messages; it ends when all senders
+/// are dropped or a write fails.
 pub fn split(stream: TcpStream) -> (MessageReader, MessageSender) {
     let (read, write) = stream.into_split();
     let (sender, queue) = mpsc::channel(SEND_QUEUE_CAPACITY);
@@ -153,7 +158,7 @@
 
 async fn write_queued(mut write: OwnedWriteHalf, mut queue: mpsc::Receiver<Vec<u8>>) {
     let mut batch = Vec::new();
-    while queue.recv_many(&mut batch, WRITE_BATCH).await > 0 {
+    while queue.recv_many(&mut batch, MAX_BATCH_MESSAGES).await > 0 {
         let length = batch
             .iter()
             .map(|message| message.len() + size_of::<u32>())
@@ -170,41 +175,42 @@
     write.shutdown().await.ok();
 }
 
-/// The end of a connection on which messages are sent.
+/// The sending side of a connection.
 #[derive(Clone)]
 pub struct MessageSender(mpsc::Sender<Vec<u8>>);
 
 impl MessageSender {
-    /// Queues a message; `false` where the peer reads too slowly, or is gone.
+    /// Queues a message. Returns `false` if the queue is full or the connection is closed.
     pub fn send<T: Encode>(&self, message: &T) -> bool {
         self.send_encoded(encode(message))
     }
 
-    /// Queues a message that is encoded already; `false` where the peer reads too slowly, or is gone.
+    /// Queues an encoded message. Returns `false` if the queue is full or the connection is closed.
     pub fn send_encoded(&self, bytes: Vec<u8>) -> bool {
         notify_observer(Direction::Out, &bytes);
         self.0.try_send(bytes).is_ok()
     }
 }
 
-/// The end of a connection on which messages are received.
+/// The receiving side of a connection.
 pub struct MessageReader(BufReader<OwnedReadHalf>);
 
 impl MessageReader {
-    /// The next message.
+    /// Receives the next message.
     ///
     /// # Errors
-    /// Where the connection ends, nothing comes within `silence_timeout`, or what comes is no message.
+    /// Returns an error if the connection is closed, no message arrives within `silence_timeout`, or the received bytes
+    /// cannot be decoded.
     pub async fn next<T: for<'a> Decode<'a>>(
         &mut self,
         silence_timeout: Duration,
     ) -> Result<T, LinkError> {
-        let frame = timeout(silence_timeout, self.frame()).await;
+        let frame = timeout(silence_timeout, self.read_frame()).await;
         let bytes = frame.map_err(|_| LinkError::Silent)??;
         Ok(decode(&bytes)?)
     }
 
-    async fn frame(&mut self) -> Result<Vec<u8>, LinkError> {
+    async fn read_frame(&mut self) -> Result<Vec<u8>, LinkError> {
         let length = self.0.read_u32().await? as usize;
         if length > MAX_MESSAGE_BYTES {
             return Err(LinkError::TooLong(length));
--- a/crates/control/src/messages/backend.rs
+++ b/crates/control/src/messages/backend.rs
@@ -1,4 +1,4 @@
-//! Backends as the platform lists them.
+//! The backends, as listed by the platform.
 
 use bitcode::{Decode, Encode};
 
@@ -7,36 +7,36 @@
 /// A backend in the platform's list.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct Backend {
-    /// The name of this start of the backend: after a restart it has another.
+    /// The id of the backend's process; it changes with each restart.
     pub id: String,
-    /// The service that it provides.
+    /// The service that the backend provides.
     pub service: String,
-    /// Where it takes requests.
+    /// The address at which the backend accepts requests.
     pub address: Endpoint,
-    /// The zone that it stands in.
+    /// The zone of the backend.
     pub zone: String,
-    /// Requests that it works on at a time.
+    /// The number of requests that the backend processes concurrently.
     pub slots: u32,
-    /// It takes no new requests.
+    /// Whether the backend accepts no new requests.
     pub draining: bool,
-    /// How much longer it warms up, in milliseconds.
+    /// The remaining warm-up time, in milliseconds.
     pub warm_up_left_ms: u64,
 }
 
-/// Which reading of the platform's list this is. Versions are ordered by term, then by revision.
+/// The version of a list of backends read from the platform. Versions are ordered by term, then by revision.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct BackendListVersion {
-    /// The term of the coordinator that read it; 0: there is no list.
+    /// The term of the coordinator that read the list; 0 means that there is no list.
     pub term: u64,
-    /// Counts the readings of the term that differed from the one before.
+    /// The number of changes of the list in this term.
     pub revision: u64,
 }
 
-/// The platform's list of backends.
+/// A list of backends read from the platform.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct BackendList {
-    /// Which reading it is.
+    /// The version of the list.
     pub version: BackendListVersion,
-    /// All backends, or those of a page.
+    /// All backends, or the backends of one page.
     pub backends: Vec<Backend>,
 }
--- a/crates/control/src/messages/batch.rs
+++ b/crates/control/src/messages/batch.rs
@@ -1,12 +1,13 @@
-//! Many items in messages of bounded size, so that none holds up the others on its connection for long.
+//! Splits lists of items into messages of bounded size, so that a long list does not delay other messages on the same
+//! connection.
 
 use super::Message;
 use crate::config::Item;
 
-/// Bytes of items in one message at most; an item that is larger goes alone.
+/// The maximum size of the items in one message, in bytes. A larger item is sent in a message of its own.
 pub const CHUNK_BYTES: usize = 64 << 10;
 
-/// Cuts a list of items into chunks of at most [`CHUNK_BYTES`] each.
+/// Splits a list of items into chunks of at most [`CHUNK_BYTES`] each; a larger item is a chunk of its own.
 pub fn split_items(items: Vec<Item>) -> Vec<Vec<Item>> {
     let mut chunks: Vec<Vec<Item>> = Vec::new();
     let mut bytes = 0;
@@ -24,7 +25,8 @@
 }
 
 impl Message {
-    /// Committed items for a registry: at least one message, of which the last says whether these are all.
+    /// Returns the `Committed` messages for a list of items. There is at least one message, and only the last one has
+    /// the given value of `complete`.
     pub fn committed(items: Vec<Item>, complete: bool) -> Vec<Message> {
         let mut chunks = split_items(items);
         let last = chunks.pop().unwrap_or_default();
--- a/crates/control/src/messages/codec.rs
+++ b/crates/control/src/messages/codec.rs
@@ -1,37 +1,37 @@
-//! The bytes of messages: a version, then the message in `bitcode`'s form.
+//! The encoding of messages: a version byte, followed by the message as encoded by `bitcode`.
 
 use bitcode::{Decode, Encode};
 
-/// The version of all messages, the first byte of each.
+/// The version of the message format, sent as the first byte of each message.
 pub const VERSION: u8 = 3;
-/// The size of a message at most; a longer one ends its connection.
+/// The maximum size of a message, in bytes. A longer message closes the connection.
 pub const MAX_MESSAGE_BYTES: usize = 24 << 20;
 
-/// Bytes that are no message of this version.
+/// The reason why bytes cannot be decoded as a message.
 #[derive(Debug, thiserror::Error)]
 pub enum DecodeError {
-    /// There is not even a version.
-    #[error("an empty message")]
+    /// The message is empty, without a version.
+    #[error("empty message")]
     Empty,
-    /// The sender speaks another version.
-    #[error("message of version {0}")]
+    /// The sender uses another version of the message format.
+    #[error("unsupported message version {0}")]
     Version(u8),
-    /// The version is right and the rest is not.
-    #[error("no message: {0}")]
+    /// The version matches, but the rest cannot be decoded.
+    #[error("malformed message: {0}")]
     Malformed(#[from] bitcode::Error),
 }
 
-/// The bytes of a message.
+/// Encodes a message.
 pub fn encode<T: Encode>(message: &T) -> Vec<u8> {
     let mut bytes = vec![VERSION];
     bytes.extend_from_slice(&bitcode::encode(message));
     bytes
 }
 
-/// The message of these bytes.
+/// Decodes a message.
 ///
 /// # Errors
-/// Where the bytes are of another version, or no message.
+/// Returns an error if the bytes have another version or cannot be decoded.
 pub fn decode<'a, T: Decode<'a>>(bytes: &'a [u8]) -> Result<T, DecodeError> {
     match bytes.split_first() {
         Some((&VERSION, rest)) => Ok(bitcode::decode(rest)?),
--- a/crates/control/src/messages/command.rs
+++ b/crates/control/src/messages/command.rs
@@ -1,4 +1,4 @@
-//! What operators command, and what came of it.
+//! Operators' commands to the configuration store, and its replies.
 
 use bitcode::{Decode, Encode};
 
@@ -7,29 +7,29 @@
 /// An operator's command to the configuration store.
 #[derive(Clone, Debug, PartialEq, Hash, Encode, Decode)]
 pub enum Command {
-    /// Set and remove items.
+    /// Sets and removes items.
     Change(ConfigChange),
-    /// Take a zone out of service, or back in.
+    /// Takes a zone out of service, or returns the zone to service.
     Evacuate {
         /// The zone.
         zone: String,
-        /// Whether it is to be out of service.
+        /// Whether the zone is to be out of service.
         evacuated: bool,
     },
-    /// Read all items.
+    /// Reads all items.
     Read,
 }
 
 /// The store's reply to a command.
 #[derive(Clone, Debug, PartialEq, Hash, Encode, Decode)]
 pub enum CommandReply {
-    /// A majority has committed it.
+    /// The change was committed by a majority.
     Done,
-    /// The items that were asked for.
+    /// The requested items.
     Config(Vec<Item>),
-    /// It is rejected, with the reason.
+    /// The command is invalid, for the given reason.
     Invalid(String),
-    /// Too few replicas can be reached, or it took too long: the caller may try again, here or elsewhere.
+    /// Too few replicas are reachable, or the command timed out. The caller may retry at this or another machine.
     Unavailable(String),
 }
 
--- a/crates/control/src/messages/gossip.rs
+++ b/crates/control/src/messages/gossip.rs
@@ -1,4 +1,4 @@
-//! Datagrams among registries: probes, updates of the membership, and the coordinator's lease.
+//! Datagrams between registries: probes, membership updates, and messages about the coordinator's lease.
 
 use bitcode::{Decode, Encode};
 
@@ -7,83 +7,83 @@
 /// A datagram from one registry to another.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct Datagram {
-    /// The sender's machine.
+    /// The IP address of the sender.
     pub from: Ip,
-    /// The epoch of the voters that the sender knows; 0: none.
+    /// The highest epoch of the voter set that the sender knows; 0 means none.
     pub epoch: u64,
-    /// The common time as the sender knows it, in milliseconds.
+    /// The coordinator's time in milliseconds, as known to the sender.
     pub time_ms: Option<u64>,
-    /// What the datagram is sent for.
+    /// The content of the datagram.
     pub body: GossipBody,
-    /// What has changed in the membership of late.
+    /// Recent changes of the membership.
     pub updates: Vec<MemberUpdate>,
 }
 
-/// What a datagram is sent for.
+/// The content of a datagram.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum GossipBody {
     /// A probe.
     Ping {
-        /// Names the probe in its answer.
+        /// The number of the probe, repeated in the answer.
         number: u64,
     },
     /// The answer to a probe.
     Pong {
-        /// The probe's number.
+        /// The number of the probe.
         number: u64,
     },
-    /// A request to probe another registry on the sender's behalf.
+    /// A request to probe another registry on behalf of the sender.
     PingRequest {
-        /// Names the probe in its answer.
+        /// The number of the probe, repeated in the answer.
         number: u64,
-        /// The registry to be probed.
+        /// The registry to probe.
         target: Ip,
     },
-    /// A message of the coordinator's lease.
+    /// A message about the coordinator's lease.
     Lease(LeaseMessage),
 }
 
-/// What is known of a member's state. The later one in this order prevails within an incarnation.
+/// The state of a member. Of two updates with the same incarnation, the one with the later state in this order wins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
 pub enum MemberState {
-    /// It answers.
+    /// The member answers probes.
     Alive,
-    /// It did not answer, and may yet refute that it is dead.
+    /// The member did not answer a probe, and can still refute the suspicion.
     Suspect,
-    /// It did not refute it in time.
+    /// The member did not refute the suspicion in time.
     Dead,
 }
 
-/// News of one member.
+/// An update of the state of one member.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct MemberUpdate {
-    /// The member.
+    /// The IP address of the member.
     pub ip: Ip,
-    /// Raised by the member itself, and by nobody else, to refute a suspicion.
+    /// The incarnation of the member. Only the member itself increments the number, to refute a suspicion.
     pub incarnation: u64,
-    /// Its state.
+    /// The state of the member.
     pub state: MemberState,
 }
 
-/// A message of the election of the coordinator; `crate::lease` explains it. Each bears the sender's epoch.
+/// A message of the coordinator's election; see `crate::lease`. Each message contains the sender's epoch.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub enum LeaseMessage {
-    /// A candidate asks for a grant, or the holder for its renewal.
+    /// A candidate requests the lease, or the holder requests its renewal.
     Claim {
         /// The candidate's epoch.
         epoch: u64,
-        /// The term claimed.
+        /// The claimed term.
         term: u64,
-        /// The candidate's own time, which comes back with the grant.
+        /// The time of sending by the candidate's clock in microseconds, returned with the grant.
         sent_us: u64,
     },
     /// A voter grants a claim.
     Grant {
         /// The voter's epoch.
         epoch: u64,
-        /// The term granted.
+        /// The granted term.
         term: u64,
-        /// As in the claim.
+        /// The value of `sent_us` in the claim.
         sent_us: u64,
     },
     /// A voter refuses a claim.
@@ -93,19 +93,19 @@
         /// The highest term that the voter knows.
         term: u64,
     },
-    /// The holder gives its lease up and names its successor.
+    /// The holder releases its lease and names a successor.
     Transfer {
         /// The holder's epoch.
         epoch: u64,
         /// The holder's term.
         term: u64,
-        /// The successor.
+        /// The IP address of the successor.
         to: Ip,
     },
 }
 
 impl LeaseMessage {
-    /// The sender's epoch.
+    /// Returns the sender's epoch.
     pub fn epoch(&self) -> u64 {
         match *self {
             LeaseMessage::Claim { epoch, .. }
--- a/crates/control/src/messages/message.rs
+++ b/crates/control/src/messages/message.rs
@@ -1,4 +1,4 @@
-//! Everything that goes over a held connection.
+//! The messages on persistent connections.
 
 use bitcode::{Decode, Encode};
 
@@ -9,268 +9,273 @@
 use crate::address::Ip;
 use crate::config::{Item, ProposalNumber};
 
-/// A message on a held connection. New variants are appended; see the module's documentation.
+/// A message on a persistent connection. New variants must be appended at the end; see the documentation of
+/// `crate::messages`.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum Message {
     // From a proxy to a registry.
-    /// What the proxy reports of itself, now and then and at each change.
+    /// The status of the proxy, sent periodically and at each change.
     Status {
-        /// The proxy's status.
+        /// The status of the proxy.
         status: ProxyStatus,
-        /// The common time as the proxy knows it, in milliseconds.
+        /// The coordinator's time in milliseconds, as known to the proxy.
         time_ms: Option<u64>,
     },
-    /// All that the proxy has admitted and was asked for, by name.
+    /// The units that the proxy has admitted and that were requested from it, by name.
     CountReport(Vec<NamedCount>),
-    /// Catching up with the configuration, both ways.
+    /// A message of the configuration transfer, in both directions.
     Transfer(TransferMessage),
-    /// The proxy wants the list of backends.
+    /// Requests the list of backends.
     PullBackends,
-    /// The proxy has got an update.
+    /// Acknowledges an update.
     Ack {
-        /// The update's number.
+        /// The number of the update.
         number: u64,
     },
 
     // From a registry to a proxy.
     /// The state of the system.
     Heartbeat(Heartbeat),
-    /// Items just committed.
+    /// Newly committed items.
     ConfigUpdate {
-        /// Numbers the updates on this connection.
+        /// The number of the update on this connection.
         number: u64,
         /// The items.
         items: Vec<Item>,
     },
     /// A page of the list of backends.
     BackendUpdate {
-        /// Numbers the updates on this connection.
+        /// The number of the update on this connection.
         number: u64,
-        /// The version and the page's backends.
+        /// The version of the list, and the backends of the page.
         list: BackendList,
-        /// The page's number, from 0.
+        /// The number of the page, starting with 0.
         page: u32,
-        /// How many pages the list has.
+        /// The number of pages of the list.
         pages: u32,
     },
-    /// What all proxies together have admitted and were asked for.
+    /// The units that all proxies together have admitted and that were requested from them.
     CountTotals {
         /// The term of the coordinator that keeps the counts.
         term: u64,
         /// The totals, by name.
         totals: Vec<NamedCount>,
     },
-    /// From a proxy: it wants to know other proxies, to exchange load reports with.
+    /// From a proxy: requests the addresses of other proxies, to exchange load reports with.
     PullPartners,
-    /// From a registry: a few ready proxies.
+    /// From a registry: the addresses of a few ready proxies.
     Partners {
-        /// Of the receiver's region.
+        /// Proxies in the receiver's region.
         near: Vec<Ip>,
-        /// Of other regions.
+        /// Proxies in other regions.
         far: Vec<Ip>,
     },
-    /// From a registry: more items were committed than are pushed; the proxy is to catch up.
+    /// From a registry: more items were committed than are sent in updates; the proxy must start a configuration
+    /// transfer.
     ConfigChanged,
 
     // Between a registry and the store on its machine.
-    /// From a registry: the core machines that it takes to be alive. From a store: those that it heard of last.
+    /// From a registry: the core machines that it considers alive. From a store: the last such list that it received.
     Roster {
-        /// The machines.
+        /// The IP addresses of the machines.
         ips: Vec<Ip>,
     },
-    /// From a store, when the connection comes up and at each change: the voters. Majorities of consecutive epochs have a
-    /// member in common.
+    /// From a store, when the connection is established and at each change: the voter set. Majorities of consecutive
+    /// epochs have at least one common member.
     Voters {
         /// The epoch of the voter set.
         epoch: u64,
-        /// The voters' machines.
+        /// The IP addresses of the voters.
         voters: Vec<Ip>,
     },
-    /// From a registry: which is the epoch now?
+    /// From a registry: requests the current epoch.
     ConfirmEpoch {
-        /// Names the question.
+        /// The number of the request.
         number: u64,
     },
-    /// From a store: the epoch when it was asked.
+    /// From a store: the epoch at the time of the request.
     EpochConfirmed {
-        /// The question.
+        /// The number of the request.
         number: u64,
         /// The epoch.
         epoch: u64,
     },
     /// From a registry: an operator's command.
     Submit {
-        /// Names the command.
+        /// The number of the command.
         number: u64,
         /// The command.
         command: Command,
     },
-    /// From a store: what came of a command.
+    /// From a store: the reply to a command.
     Reply {
         /// The command's number.
         number: u64,
         /// The reply.
         reply: CommandReply,
     },
-    /// From a store: is this command still wanted, and how long has its caller waited? Asked of commands that do harm
-    /// when they are late, and may have waited before a store that stood still.
+    /// From a store: asks whether the caller of a command still waits for the reply, and for how long. The store asks
+    /// this about commands that cause damage when executed late, because they may have been queued while the store was
+    /// stalled.
     ConfirmSubmit {
         /// The command's number.
         number: u64,
     },
-    /// From a registry: the command is still wanted.
+    /// From a registry: the caller still waits for the reply.
     SubmitConfirmed {
         /// The command's number.
         number: u64,
-        /// How long its caller has waited, in milliseconds.
+        /// The time that the caller has waited, in milliseconds.
         waited_ms: u64,
     },
-    /// From a store: items that are committed.
+    /// From a store: committed items.
     Committed {
         /// The items.
         items: Vec<Item>,
-        /// With these, everything that is committed has been sent.
+        /// Whether all committed items have been sent with this message.
         complete: bool,
     },
-    /// Both ways: the list as last read, for a registry that starts while there is no coordinator.
+    /// In both directions: the last known list of backends, for a registry that starts while there is no coordinator.
     StoreBackends(BackendList),
 
     // Between stores.
-    /// A command forwarded to the replica that carries out those of many.
+    /// A command forwarded to the replica that executes the commands of several replicas.
     Forward {
-        /// The sender's incarnation, chosen at random at its start. It names the command together with the number.
+        /// The sender's incarnation, a random number chosen when the sender starts. Incarnation and number together
+        /// identify the command.
         incarnation: u64,
-        /// The command's number in that incarnation.
+        /// The number of the command in this incarnation.
         number: u64,
         /// The command.
         command: Command,
     },
-    /// What came of a forwarded command.
+    /// The reply to a forwarded command.
     Forwarded {
-        /// As in the request.
+        /// The incarnation in the `Forward` message.
         incarnation: u64,
-        /// As in the request.
+        /// The number in the `Forward` message.
         number: u64,
-        /// The reply; `None` where the command can't be carried out there.
+        /// The reply; `None` if the receiver of the command cannot execute it.
         reply: Option<CommandReply>,
     },
-    /// A forwarded command has arrived, and will be carried out in its turn.
+    /// Acknowledges a forwarded command, which is queued for execution.
     ForwardAck {
-        /// As in the request.
+        /// The incarnation in the `Forward` message.
         incarnation: u64,
-        /// As in the request.
+        /// The number in the `Forward` message.
         number: u64,
     },
-    /// A proposer asks for a promise. Its number belongs to one round of one proposer in one epoch; answers repeat it.
+    /// A proposer requests a promise. The proposal number belongs to one round of one proposer in one epoch, and is
+    /// repeated in the answers.
     Prepare {
-        /// The number.
+        /// The proposal number.
         proposal_number: ProposalNumber,
-        /// The voter set in which the round counts, as committed.
+        /// The committed voter set of the round.
         voters: Item,
-        /// Of the proposer's items: where the acceptor's is the same it sends none.
+        /// The digest of the proposer's items. If the acceptor's digest is equal, it sends no items.
         digest: StateDigest,
     },
     /// An acceptor's answer to `Prepare`.
     Promise {
-        /// The number that was asked for.
+        /// The requested number.
         proposal_number: ProposalNumber,
-        /// The number promised; the one asked for, unless the acceptor has promised a later one.
+        /// The promised number: the requested one, or a higher one that the acceptor has promised before.
         promised: ProposalNumber,
         /// The id of the acceptor's disk.
         disk_id: u64,
-        /// The acceptor's items; `None` where the digests are the same.
+        /// The acceptor's items; `None` if the digests are equal.
         items: Option<ReplicaItems>,
     },
-    /// A proposer asks to accept items.
+    /// A proposer requests that items be accepted.
     Accept {
-        /// The number.
+        /// The proposal number.
         proposal_number: ProposalNumber,
-        /// Counts the proposals of a round.
+        /// The number of the proposal within the round.
         step: u32,
-        /// The voter set in which the round counts.
+        /// The voter set of the round.
         voters: Item,
-        /// What is proposed.
+        /// The proposed items.
         items: Vec<Item>,
-        /// What is committed of the items that the proposal replaces.
+        /// The committed versions of the items that the proposal replaces.
         committed: Vec<Item>,
-        /// With a change of the voter set: the digest of everything committed, which the acceptor must have too.
+        /// For a change of the voter set: the digest of all committed items, which the acceptor's digest must equal.
         required_digest: Option<u64>,
     },
     /// An acceptor's answer to `Accept`.
     Accepted {
-        /// The number.
+        /// The proposal number.
         proposal_number: ProposalNumber,
-        /// The proposal within the round.
+        /// The number of the proposal within the round.
         step: u32,
         /// The id of the acceptor's disk.
         disk_id: u64,
         /// The answer.
         answer: AcceptAnswer,
     },
-    /// Refuses a `Prepare` or `Accept` of an earlier epoch.
+    /// Rejects a `Prepare` or `Accept` of an earlier epoch.
     NewerVoters {
-        /// The number that was refused.
+        /// The rejected proposal number.
         proposal_number: ProposalNumber,
-        /// The later voter set.
+        /// The voter set of the later epoch.
         voters: Item,
     },
-    /// Items that a majority has accepted.
+    /// Commits items that a majority has accepted.
     Commit {
         /// The items.
         items: Vec<Item>,
     },
-    /// The sender's digests by group of shards, to find what one side lacks.
+    /// The sender's digests by group of shards, to find items that either side lacks.
     CompareDigests {
         /// The digests.
         digests: StateGroupDigests,
-        /// The disk id of a sender that has no vote: once it has everything it wants one.
+        /// The disk id of a sender without a vote, which requests a vote once it has all items; `None` for a voter.
         learner: Option<u64>,
     },
-    /// Items that the receiver lacks, or may lack.
+    /// Items that the receiver lacks or may lack.
     RepairItems {
-        /// Items accepted.
+        /// Accepted items.
         items: Vec<Item>,
-        /// Items committed.
+        /// Committed items.
         committed: Vec<Item>,
-        /// What the sender has promised.
+        /// The highest number that the sender has promised.
         promised: ProposalNumber,
     },
 
     // Allotments, between a proxy and the coordinator.
-    /// From a proxy, when the connection to the coordinator of a term comes up: what it holds.
+    /// From a proxy, when it connects to the coordinator of a term: the allotments that it holds.
     AllotmentsHeld {
-        /// The coordinator's term. The proxy takes nothing of earlier ones any more.
+        /// The coordinator's term. From now on the proxy ignores allotments of earlier terms.
         term: u64,
-        /// What it holds, of each tenant of which it holds anything.
+        /// The allotments of the proxy; tenants without an allotment are not listed.
         allotments: Vec<Allotment>,
     },
-    /// From the coordinator: what the proxy holds from now on, of these tenants.
+    /// From the coordinator: replaces the proxy's allotments of the listed tenants.
     SetAllotments {
         /// The coordinator's term.
         term: u64,
-        /// Numbers the changes of a proxy in a term.
+        /// The number of the change for this proxy in the term.
         revision: u64,
         /// The new allotments.
         allotments: Vec<Allotment>,
     },
-    /// From a proxy: it has taken a change.
+    /// From a proxy: acknowledges a change of its allotments.
     AllotmentsSet {
         /// The coordinator's term.
         term: u64,
-        /// The change's number.
+        /// The number of the change.
         revision: u64,
     },
-    /// From the coordinator, with each heartbeat, to a proxy whose report it has.
+    /// From the coordinator, with each heartbeat, to a proxy whose allotments it has received.
     AllotmentStatus {
         /// The coordinator's term.
         term: u64,
-        /// Proxies that left by plan in this term and are not back.
+        /// The number of proxies that left by a planned shutdown in this term and have not returned.
         departed_proxies: u32,
-        /// What proxies out of contact may hold, by tenant.
+        /// The allotments that may be held by proxies out of contact, as a total for each tenant.
         absent: Vec<Allotment>,
-        /// The parts that they may hold of each tenant that is not listed.
+        /// The parts that proxies out of contact may hold of each tenant not listed in `absent`.
         absent_of_unlisted: u32,
     },
-    /// From a proxy, to all registries: it is ending, and admits nothing any more.
+    /// From a proxy, to all registries: the proxy shuts down and admits no more requests.
     Departed,
 }
--- a/crates/control/src/messages/mod.rs
+++ b/crates/control/src/messages/mod.rs
@@ -1,10 +1,13 @@
-//! What the system's processes send each other on held connections and in datagrams, and what stores keep of it.
+//! The messages between the processes of the system, on persistent connections and in datagrams. Stores also write some
+//! of their parts to disk.
 //!
-//! Messages are encoded by `bitcode`, which goes by the order of fields and variants and not by their names: fields and
-//! variants may be renamed, and new variants appended, but none may move. `tests/wire_format.rs` holds the bytes.
+//! Messages are encoded by `bitcode`, which identifies fields and variants by their order and not by their names:
+//! fields and variants may be renamed and new variants may be appended, but the order must not change.
+//! `tests/wire_format.rs` checks the encoded bytes.
 //!
-//! In reading order: `codec` (bytes), `message` (everything on a connection) with `proxy`, `backend`, `command`, `store`
-//! and `transfer` for its parts, `gossip` (everything in a datagram), and `batch` (messages of bounded size).
+//! In reading order: `codec` (encoding), `message` (messages on connections) with `proxy`, `backend`, `command`,
+//! `store` and `transfer` for their parts, `gossip` (datagrams), and `batch` (splitting lists into messages of bounded
+//! size).
 
 mod backend;
 mod batch;
--- a/crates/control/src/messages/proxy.rs
+++ b/crates/control/src/messages/proxy.rs
@@ -1,78 +1,78 @@
-//! What proxies and registries tell each other of themselves.
+//! Parts of the messages between proxies and registries.
 
 use bitcode::{Decode, Encode};
 
 use super::BackendListVersion;
 use crate::address::{Endpoint, Ip};
 
-/// What a proxy reports of itself.
+/// The status of a proxy, reported by the proxy itself.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct ProxyStatus {
-    /// Its node name.
+    /// The node name of the proxy.
     pub node: String,
-    /// Chosen at random at its start: another after each restart.
+    /// A random number chosen when the proxy starts, so that it differs after a restart.
     pub incarnation: u64,
-    /// The zone that it stands in.
+    /// The zone of the proxy.
     pub zone: String,
-    /// Where clients reach it.
+    /// The address for clients.
     pub address: Endpoint,
-    /// Whether it takes requests.
+    /// Whether the proxy accepts requests.
     pub ready: bool,
-    /// The highest term of a coordinator that it knows.
+    /// The highest coordinator term that the proxy knows.
     pub term: u64,
 }
 
-/// Who holds the coordinator's lease.
+/// The holder of the coordinator's lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 pub struct LeaseHolder {
-    /// The holder's machine.
+    /// The IP address of the holder.
     pub ip: Ip,
-    /// The term of its lease.
+    /// The term of the lease.
     pub term: u64,
 }
 
-/// The state of the system, as a registry reports it to a proxy in each heartbeat.
+/// The state of the system, reported by a registry to a proxy in each heartbeat.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct Heartbeat {
-    /// The system's common time, by which slots of shared counts are named, in milliseconds.
+    /// The coordinator's time in milliseconds, from which the time slots of shared counts are named.
     pub time_ms: u64,
-    /// All registries that are not known to be dead, the sender first.
+    /// All registries that are not known to be dead, starting with the sender.
     pub registries: Vec<Ip>,
-    /// Whether the sender is in contact with a majority of the voters. Where it is not, all that it reports on this
-    /// connection may be outdated.
+    /// Whether the sender is in contact with a majority of the voters. If not, all data that it sends on this
+    /// connection may be stale.
     pub in_contact: bool,
-    /// Who holds the coordinator's lease as far as the sender knows.
+    /// The holder of the coordinator's lease, as known to the sender.
     pub coordinator: Option<LeaseHolder>,
-    /// Proxies seen of late.
+    /// The number of proxies seen recently.
     pub known_proxies: u32,
-    /// Proxies connected to the sender; it means something in the coordinator's heartbeat.
+    /// The number of proxies connected to the sender; only meaningful in the coordinator's heartbeats.
     pub attached_proxies: u32,
-    /// Ready proxies in the receiver's region.
+    /// The number of ready proxies in the receiver's region.
     pub nearby_proxies: u32,
-    /// The receiver's position among them.
+    /// The receiver's position among the ready proxies in its region.
     pub position: u32,
-    /// The digest of the sender's items; 0 where it has not got all that its store has committed.
+    /// The digest of the sender's items; 0 if the sender does not yet have all items committed by its store.
     pub config_digest: u64,
     /// The version of the sender's list of backends.
     pub backend_list: BackendListVersion,
 }
 
-/// A shared count by its name, as admitted and requested by one proxy or by all.
+/// A named count of admitted and requested units, of one proxy or of all proxies.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct NamedCount {
-    /// Names a tenant and a time slot.
+    /// The name, which identifies a tenant and a time slot.
     pub name: String,
-    /// Units admitted.
+    /// The number of admitted units.
     pub admitted: f64,
-    /// Units requested, whether admitted or not.
+    /// The number of requested units, whether admitted or not.
     pub requested: f64,
 }
 
-/// A part of a tenant's quota that a proxy holds; `crate::allotment` explains it.
+/// The share of a tenant's quota that is allotted to a proxy; see `crate::allotment`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Encode, Decode)]
 pub struct Allotment {
-    /// The tenant.
+    /// The name of the tenant.
     pub tenant: String,
-    /// Of [`crate::allotment::PARTS`].
+    /// The allotted parts; the whole quota has [`crate::allotment::PARTS`] parts.
     pub parts: u32,
 }
--- a/crates/control/src/messages/store.rs
+++ b/crates/control/src/messages/store.rs
@@ -1,4 +1,4 @@
-//! Parts of the messages among stores.
+//! Parts of the messages between stores.
 
 use bitcode::{Decode, Encode};
 
@@ -7,37 +7,37 @@
 /// An acceptor's answer to a proposal.
 #[derive(Clone, Copy, Debug, PartialEq, Encode, Decode)]
 pub enum AcceptAnswer {
-    /// The proposal is accepted, and on the acceptor's disk.
+    /// The proposal is accepted and written to the acceptor's disk.
     Accepted,
-    /// The acceptor has promised a later number.
+    /// The proposal is rejected, because the acceptor has promised this higher number.
     Promised(ProposalNumber),
-    /// The acceptor lacks something that was committed before a change of the voter set.
+    /// The change of the voter set is rejected, because the acceptor lacks items that were committed before it.
     Behind,
 }
 
-/// The digest of a replica's accepted items, and that of its committed ones.
+/// The digests of a replica's accepted items and of its committed items.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 pub struct StateDigest {
-    /// Of the items accepted.
+    /// The digest of the accepted items.
     pub accepted: u64,
-    /// Of the items committed.
+    /// The digest of the committed items.
     pub committed: u64,
 }
 
-/// The same by group of shards.
+/// The digests of a replica's accepted and committed items, for each group of shards.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 pub struct StateGroupDigests {
-    /// Of the items accepted.
+    /// The group digests of the accepted items.
     pub accepted: Vec<u32>,
-    /// Of the items committed.
+    /// The group digests of the committed items.
     pub committed: Vec<u32>,
 }
 
 /// All items of a replica.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Encode, Decode)]
 pub struct ReplicaItems {
-    /// The items accepted.
+    /// The accepted items.
     pub accepted: Vec<Item>,
-    /// The items committed.
+    /// The committed items.
     pub committed: Vec<Item>,
 }
--- a/crates/control/src/messages/transfer.rs
+++ b/crates/control/src/messages/transfer.rs
@@ -1,46 +1,47 @@
-//! The messages by which a proxy catches up with a registry's configuration; `crate::transfer` explains their order.
+//! The messages with which a proxy synchronizes its configuration with a registry's; see `crate::transfer` for their
+//! order.
 
 use bitcode::{Decode, Encode};
 
 use crate::config::{Item, ItemKey, ShardId};
 
-/// A message between the receiver, which lacks items, and the provider.
+/// A message between the receiver, which lacks items, and the provider, which has them.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 pub enum TransferMessage {
-    /// From the receiver: begins a round.
+    /// From the receiver: starts a round by comparing digests.
     Compare {
-        /// Numbers the receiver's rounds.
+        /// The number of the receiver's round.
         round: u32,
-        /// The digests of the receiver's groups of shards.
+        /// The receiver's digest of each group of shards.
         group_digests: Vec<u32>,
     },
-    /// From the provider: the digest of its snapshot, and the digests of the shards of each group that differs.
+    /// From the provider: the digest of its snapshot, and the shard digests of each group that differs.
     Differences {
-        /// The round that it answers.
+        /// The round of the `Compare` message.
         round: u32,
-        /// Of the provider's snapshot.
+        /// The digest of the provider's snapshot.
         digest: u64,
-        /// The groups that differ.
+        /// The shard digests of the groups that differ.
         groups: Vec<ShardDigests>,
     },
-    /// From the receiver: what is missing of these shards.
+    /// From the receiver: requests the missing items of some shards.
     Request {
         /// The round.
         round: u32,
-        /// Numbers the requests of the round.
+        /// The number of the request in the round.
         chunk: u32,
-        /// What is asked for.
+        /// The requested shards.
         shards: Vec<ShardRequest>,
     },
-    /// From the provider: the items that are missing, up to `stopped`, or all where it is `None`.
+    /// From the provider: the missing items of the requested shards, up to the position `stopped`.
     Chunk {
         /// The round.
         round: u32,
-        /// The request that it answers.
+        /// The number of the request.
         chunk: u32,
         /// The missing items.
         items: Vec<Item>,
-        /// How far the chunk goes.
+        /// The position up to which the chunk is complete; `None` if it is complete for all requested shards.
         stopped: Option<Position>,
     },
 }
@@ -48,9 +49,9 @@
 /// The digests of the shards of one group.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 pub struct ShardDigests {
-    /// The group's number.
+    /// The number of the group.
     pub group: u8,
-    /// One digest for each of its shards.
+    /// The digest of each shard in the group.
     pub digests: Vec<u32>,
 }
 
@@ -59,15 +60,15 @@
 pub struct Position {
     /// The shard.
     pub shard: ShardId,
-    /// Behind this key; at the shard's beginning where it is `None`.
+    /// The key after which the position is; `None` means the start of the shard.
     pub after: Option<ItemKey>,
 }
 
-/// What the receiver wants of one shard.
+/// The receiver's request for one shard.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 pub struct ShardRequest {
-    /// From there on.
+    /// The position from which on items are requested.
     pub from: Position,
-    /// Fingerprints of the items that the receiver has from there on.
+    /// The fingerprints of the items that the receiver has from this position on.
     pub fingerprints: Vec<u32>,
 }
--- a/crates/control/src/program.rs
+++ b/crates/control/src/program.rs
@@ -1,4 +1,4 @@
-//! The frame of each program: command line, settings, logs, one thread, and an exit code.
+//! The entry point shared by all programs: command line, settings, log, single-threaded runtime, and exit code.
 
 use std::fmt::Display;
 use std::process::ExitCode;
@@ -8,10 +8,10 @@
 
 use crate::settings::Settings;
 
-/// Sets the level of the log: `error`, `warn`, `info` or `debug`.
+/// The environment variable with the log level: `error`, `warn`, `info` or `debug`; `info` is the default.
 const LOG_LEVEL_VARIABLE: &str = "DAMSONBEAM_LOG";
 
-/// Runs a program that has no options of its own until it ends; an error is one line of the log.
+/// Runs a program without command-line options of its own and returns its exit code. An error is logged as one line.
 pub fn run_program<F, E>(
     name: &str,
     about: &'static str,
@@ -21,11 +21,11 @@
     F: Future<Output = Result<(), E>>,
     E: Display,
 {
-    let run_without_options = |settings, ()| run(settings);
-    run_program_with_options(name, about, bpaf::pure(()), run_without_options)
+    let run_ignoring_options = |settings, ()| run(settings);
+    run_program_with_options(name, about, bpaf::pure(()), run_ignoring_options)
 }
 
-/// Runs a program with options of its own until it ends; an error is one line of the log.
+/// Runs a program with its own command-line options and returns its exit code. An error is logged as one line.
 pub fn run_program_with_options<T, F, E>(
     name: &str,
     about: &'static str,
@@ -57,14 +57,14 @@
     runtime.block_on(run(settings)).map_err(|e| e.to_string())
 }
 
-/// A process has one core, so it has one thread.
+/// Returns a single-threaded runtime, because each process has only one core.
 fn single_threaded_runtime() -> std::io::Result<LocalRuntime> {
     Builder::new_current_thread()
         .enable_all()
         .build_local(LocalOptions::default())
 }
 
-/// The log goes to standard error.
+/// Starts logging to standard error.
 fn start_log() {
     let level = match std::env::var(LOG_LEVEL_VARIABLE).as_deref() {
         Ok("error") => Level::Error,
@@ -81,11 +81,14 @@
         .apply();
 }
 
-/// Handles SIGHUP, which says that the settings file has changed. Everything in it is fixed for the life of a process but
-/// for the seeds, which the membership replaces: the file is only checked, and what is wrong with it is logged.
+/// Handles SIGHUP, which signals a change of the settings file. A running process applies no changes: all settings are
+/// fixed at its start, except the seed nodes, which are superseded by the membership. The file is only checked, and the
+/// result is logged.
 pub fn check_reloaded_settings(name: &str) {
     match Settings::from_environment() {
-        Ok(_) => log::info!("{name}: SIGHUP, the settings file is valid."),
-        Err(error) => log::warn!("{name}: SIGHUP, {error}; the old settings stay."),
+        Ok(_) => log::info!(
+            "{name}: SIGHUP: the settings file is valid; changes apply at the next start."
+        ),
+        Err(error) => log::warn!("{name}: SIGHUP: {error}; keeping the current settings."),
     }
 }
--- a/crates/control/src/settings/fields.rs
+++ b/crates/control/src/settings/fields.rs
@@ -1,4 +1,4 @@
-//! Access to the fields of a settings file, with errors that name file and field.
+//! Access to the fields of a settings file. Each error names the file and the field.
 
 use simd_json::owned::Object;
 use simd_json::prelude::*;
@@ -26,10 +26,10 @@
             .ok_or_else(|| self.invalid(field, "missing"))
     }
 
-    pub(super) fn text(&self, field: &str) -> Result<String, SettingsError> {
-        let text = self.get(field)?.as_str();
-        let text = text.ok_or_else(|| self.invalid(field, "not a text"))?;
-        Ok(text.to_string())
+    pub(super) fn string(&self, field: &str) -> Result<String, SettingsError> {
+        let string = self.get(field)?.as_str();
+        let string = string.ok_or_else(|| self.invalid(field, "not a string"))?;
+        Ok(string.to_string())
     }
 
     pub(super) fn list(&self, field: &str) -> Result<&'a Vec<Value>, SettingsError> {
@@ -44,16 +44,16 @@
             .ok_or_else(|| self.invalid(field, "not an object"))
     }
 
-    /// Whether a field is there and true.
-    pub(super) fn flag(&self, field: &str) -> bool {
+    /// Returns whether a field is present and `true`.
+    pub(super) fn is_true(&self, field: &str) -> bool {
         self.value
             .get(field)
             .and_then(|value| value.as_bool())
             .unwrap_or(false)
     }
 
-    /// A count within an object, where both are there.
-    pub(super) fn count_in(&self, object: &str, field: &str) -> Option<u64> {
+    /// Returns an unsigned number in an object, or `None` if the object or the number is missing.
+    pub(super) fn unsigned_in(&self, object: &str, field: &str) -> Option<u64> {
         self.value.get(object)?.get(field)?.as_u64()
     }
 }
--- a/crates/control/src/settings/mod.rs
+++ b/crates/control/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! The settings file of a process, which `DAMSONBEAM_CONFIG` names. Each error names the file and the field.
+//! The settings of a process, read from the file named by `DAMSONBEAM_CONFIG`. Each error names the file and the field.
 
 mod fields;
 mod parse;
@@ -8,104 +8,104 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Holds the path of the settings file.
+/// The environment variable with the path of the settings file.
 const SETTINGS_FILE_VARIABLE: &str = "DAMSONBEAM_CONFIG";
 
-/// What is wrong with a settings file.
+/// An error in a settings file.
 #[derive(Debug, thiserror::Error, PartialEq)]
 pub enum SettingsError {
-    /// The file can't be read, or is not JSON.
+    /// The file cannot be read or is not JSON.
     #[error("{file}: {reason}")]
     File {
         /// The path of the file.
         file: String,
-        /// What is wrong with it.
+        /// The error.
         reason: String,
     },
-    /// A field is missing or wrong.
+    /// A field is missing or invalid.
     #[error("{file}: {field}: {reason}")]
     Field {
         /// The path of the file.
         file: String,
-        /// The field's name.
+        /// The name of the field.
         field: String,
-        /// What is wrong with it.
+        /// The error.
         reason: String,
     },
-    /// The role needs an address that the file does not give it.
-    #[error("listen_addresses: no `{0}`")]
+    /// The file lacks a listen address that the process needs.
+    #[error("listen_addresses: `{0}` is missing")]
     NoListenAddress(String),
 }
 
-/// What may be lost at once while the system still works.
+/// The losses that the system must tolerate at the same time.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct FaultTolerance {
-    /// Machines.
+    /// The number of machines.
     pub machines: u64,
-    /// Zones.
+    /// The number of zones.
     pub zones: u64,
-    /// Regions.
+    /// The number of regions.
     pub regions: u64,
 }
 
-/// The platform's interface, which lists the backends.
+/// The API of the platform, which lists the backends.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CloudApi {
-    /// Its address.
+    /// The address of the API.
     pub address: SocketAddr,
-    /// Calls a second that it takes from the whole system.
+    /// The rate limit of the API for the whole system, in calls per second.
     pub rate_per_s: f64,
 }
 
-/// The settings of one process. Fields are named as in the file, but for `regions`.
+/// The settings of one process. The fields have the names used in the file, except for `regions`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The machine's name.
+    /// The name of the machine.
     pub node_name: String,
-    /// The machine's address.
+    /// The IP address of the machine.
     pub ip_address: IpAddr,
-    /// The machine's zone.
+    /// The zone of the machine.
     pub zone: String,
-    /// The machine's region.
+    /// The region of the machine.
     pub region: String,
     /// The region of each zone (`zones` in the file).
     pub regions: BTreeMap<String, String>,
-    /// What the process serves to others than the system's own processes.
+    /// The names of the interfaces that the process serves to callers outside the system.
     pub serves: Vec<String>,
-    /// Where it serves that, by name.
+    /// The listen addresses of these interfaces, by name.
     pub listen_addresses: BTreeMap<String, SocketAddr>,
-    /// First and last of the ports between the system's own processes.
+    /// The first and last port for connections between the processes of the system.
     pub internal_port_range: (u16, u16),
-    /// Registries that a process asks at its first start.
+    /// The registries that the process contacts at its first start.
     pub seed_nodes: Vec<SocketAddr>,
-    /// Whether this is the very first start of the whole system.
+    /// Whether this is the first start of the whole system.
     pub initial_start: bool,
-    /// Whether the machine's loss counts against the fault tolerance.
+    /// Whether the loss of this machine counts against the fault tolerance.
     pub loss_counted: bool,
-    /// Memory that the process may use, in megabytes.
+    /// The memory limit of the process, in megabytes.
     pub memory_mb: u64,
-    /// File descriptors that the process may use.
+    /// The maximum number of file descriptors of the process.
     pub file_descriptors: u64,
-    /// Where the process may keep files; `None`: nowhere.
+    /// The directory for files of the process; `None` if it must not write files.
     pub data_directory: Option<PathBuf>,
-    /// The platform's interface; `None` where there is none.
+    /// The API of the platform; `None` if the platform has none.
     pub cloud_api: Option<CloudApi>,
-    /// What may be lost at once.
+    /// The losses that the system must tolerate at the same time.
     pub fault_tolerance: FaultTolerance,
-    /// Figures of the deployment, by name; their units are part of the names.
+    /// Parameters of the deployment, by name; each name contains the unit.
     pub timing_bounds: BTreeMap<String, f64>,
 }
 
-/// The ports between the system's processes, counted from the first of the range.
+/// The ports for connections between the processes of the system, as offsets from the first port of the range.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum InternalPort {
-    /// Registries: proxies, stores and other registries connect here.
+    /// TCP port of a registry, for proxies, stores and other registries.
     Registry,
-    /// Stores connect to each other here, and registries to the store on their machine.
+    /// TCP port of a store, for other stores and for the registry on the same machine.
     Store,
-    /// Datagrams among registries.
+    /// UDP port for datagrams between registries.
     Gossip,
-    /// Datagrams among proxies: load reports.
+    /// UDP port for load reports between proxies.
     LoadReports,
 }
 
@@ -121,10 +121,10 @@
 }
 
 impl Settings {
-    /// Reads the file that `DAMSONBEAM_CONFIG` names.
+    /// Reads the file named by `DAMSONBEAM_CONFIG`.
     ///
     /// # Errors
-    /// Where it can't be read, or a field is missing or wrong: the first one found.
+    /// Returns an error if the file cannot be read, or for the first field that is missing or invalid.
     pub fn from_environment() -> Result<Self, SettingsError> {
         let file = std::env::var(SETTINGS_FILE_VARIABLE).unwrap_or_default();
         let text = std::fs::read(&file).map_err(|e| SettingsError::File {
@@ -134,36 +134,36 @@
         Self::parse(&file, text)
     }
 
-    /// A figure of `timing_bounds`, or the default.
+    /// Returns the value of a parameter in `timing_bounds`, or the default.
     pub fn bound(&self, name: &str, default: f64) -> f64 {
         self.timing_bounds.get(name).copied().unwrap_or(default)
     }
 
-    /// A figure of `timing_bounds` that is in milliseconds.
+    /// Returns a parameter in `timing_bounds` that is in milliseconds, or the default; negative values become 0.
     pub fn bound_ms(&self, name: &str, default: u64) -> Duration {
         Duration::from_secs_f64(self.bound(name, default as f64).max(0.0) / 1000.0)
     }
 
-    /// A figure of `timing_bounds` that is in seconds.
+    /// Returns a parameter in `timing_bounds` that is in seconds, or the default; negative values become 0.
     pub fn bound_s(&self, name: &str, default: f64) -> Duration {
         Duration::from_secs_f64(self.bound(name, default).max(0.0))
     }
 
-    /// Where a process of the machine at `ip` listens for the system's own processes.
+    /// Returns the address at which a process on the machine `ip` listens for other processes of the system.
     pub fn internal_address(&self, ip: IpAddr, port: InternalPort) -> SocketAddr {
         SocketAddr::new(ip, self.internal_port_range.0 + port.offset())
     }
 
-    /// The machines of the seeds, this one left out.
+    /// Returns the IP addresses of the seed nodes without this machine's own.
     pub fn seed_ips(&self) -> Vec<IpAddr> {
         let ips = self.seed_nodes.iter().map(SocketAddr::ip);
         ips.filter(|ip| *ip != self.ip_address).collect()
     }
 
-    /// Where the process serves something.
+    /// Returns the listen address with this name.
     ///
     /// # Errors
-    /// Where the file gives no such address.
+    /// Returns an error if the file has no such address.
     pub fn listen_address(&self, name: &str) -> Result<SocketAddr, SettingsError> {
         let address = self.listen_addresses.get(name).copied();
         address.ok_or_else(|| SettingsError::NoListenAddress(name.into()))
--- a/crates/control/tests/mirror_rules.rs
+++ b/crates/control/tests/mirror_rules.rs
@@ -1,9 +1,9 @@
-//! Which mirror rules are taken, and what is said of those that are not.
+//! Validation of mirror rules, and the error messages for invalid ones.
 
 use damsonbeam_control::config::{ConfigChange, ConfigSnapshot};
 
-/// What the configuration with one service and a rule with `fields` is found to be.
-fn verdict(fields: &str) -> String {
+/// Validates a configuration with one service and a mirror rule with `fields`; returns `valid` or the error message.
+fn validation_result(fields: &str) -> String {
     let rule = format!(
         r#"{{{fields}"name":"m","service":"s","trial_service":"t","share":0.5,"config_version":"r1",
             "instances":[{{"id":"x-1","address":"10.0.0.9:80","region":"p"}}]}}"#
@@ -17,7 +17,10 @@
     ];
     let mut snapshot = ConfigSnapshot::default();
     for change in changes {
-        for item in change.expect("reads").items {
+        for item in change
+            .expect("the change is valid JSON with known lists")
+            .items
+        {
             snapshot.merge(item);
         }
     }
@@ -28,15 +31,18 @@
 }
 
 #[test]
-fn rules_that_could_do_harm_are_refused_by_field() {
-    let refused = [
+fn invalid_rules_are_rejected_with_the_field() {
+    let cases = [
         ("", "valid"),
         (r#""share":1.5,"#, "m: share: not from 0 to 1"),
         (
             r#""trial_service":"s","#,
             "m: trial_service: `s` is a real service",
         ),
-        (r#""by":"day","#, "m: by: no `day`: `tenant` or `caller`"),
+        (
+            r#""by":"day","#,
+            "m: by: `day` is neither `tenant` nor `caller`",
+        ),
         (
             r#""from_ms":9,"until_ms":8,"#,
             "m: until_ms: not after from_ms",
@@ -45,15 +51,18 @@
             r#""kinds":["mutating"],"trial_keeps_records_apart":true,"#,
             "valid",
         ),
-        (r#""instances":[],"#, "m: instances: none"),
+        (r#""instances":[],"#, "m: instances: missing or empty"),
     ];
-    for (fields, says) in refused {
-        // The first of two fields of one name counts.
-        assert_eq!(verdict(fields), says, "{fields}");
+    for (fields, expected) in cases {
+        // Of two fields with the same name the parser uses the first, so `fields` take precedence over the defaults.
+        assert_eq!(validation_result(fields), expected, "{fields}");
     }
-    assert!(verdict(r#""kinds":["mutating"],"#).contains("must register nothing a second time"));
+    assert!(
+        validation_result(r#""kinds":["mutating"],"#)
+            .contains("must not modify the same records again")
+    );
     assert!(
         ConfigChange::from_json(br#"{"upserts":{"copy_list":[]}}"#.to_vec()).is_err(),
-        "operators have no such list"
+        "a configuration change has no list of mirror rules"
     );
 }
--- a/crates/control/tests/wire_format.rs
+++ b/crates/control/tests/wire_format.rs
@@ -1,5 +1,6 @@
-//! The bytes of stored and sent types. They were recorded by the version of 2 December 2026 before its types were renamed: a
-//! process of that version and one of this must understand each other, and read each other's records.
+//! Compares the encoding of stored and sent types with recorded bytes. The bytes were recorded with the version of 2
+//! December 2026, before its types were renamed: processes of that version and of this one must understand each other's
+//! messages and read each other's stored data.
 
 use damsonbeam_control::address::Endpoint;
 use damsonbeam_control::config::{ConfigChange, Item, ItemKey, ItemKind, ProposalNumber, ShardId};
@@ -20,19 +21,19 @@
             name: name.into(),
         },
         version,
-        proposal_number: number(version + 2),
+        proposal_number: proposal_number(version + 2),
         body,
     }
 }
 
-fn number(round: u64) -> ProposalNumber {
+fn proposal_number(round: u64) -> ProposalNumber {
     ProposalNumber {
         round,
         proposer: 0x0a00_0007,
     }
 }
 
-/// An item of each kind.
+/// Returns an item of each kind.
 fn items() -> Vec<Item> {
     let kinds = [
         ItemKind::Route,
@@ -49,7 +50,7 @@
         .collect()
 }
 
-fn backends() -> BackendList {
+fn backend_list() -> BackendList {
     let backend = Backend {
         id: "i-1".into(),
         service: "tiles".into(),
@@ -92,7 +93,7 @@
     }
 }
 
-fn status() -> ProxyStatus {
+fn proxy_status() -> ProxyStatus {
     ProxyStatus {
         node: "edge-manila-a-1".into(),
         incarnation: 0x1234_5678_9abc_def0,
@@ -106,7 +107,7 @@
     }
 }
 
-fn counts() -> Vec<NamedCount> {
+fn named_counts() -> Vec<NamedCount> {
     vec![NamedCount {
         name: "12/house".into(),
         admitted: 3.5,
@@ -114,7 +115,7 @@
     }]
 }
 
-fn messages_of_proxies_and_registries() -> Vec<Message> {
+fn proxy_registry_messages() -> Vec<Message> {
     let position = Position {
         shard: ShardId::in_group(3, 5),
         after: Some(items()[0].key.clone()),
@@ -129,10 +130,10 @@
     }];
     vec![
         Message::Status {
-            status: status(),
+            status: proxy_status(),
             time_ms: Some(99),
         },
-        Message::CountReport(counts()),
+        Message::CountReport(named_counts()),
         Message::Transfer(TransferMessage::Compare {
             round: 1,
             group_digests: vec![7, 8],
@@ -162,13 +163,13 @@
         },
         Message::BackendUpdate {
             number: 5,
-            list: backends(),
+            list: backend_list(),
             page: 0,
             pages: 1,
         },
         Message::CountTotals {
             term: 9,
-            totals: counts(),
+            totals: named_counts(),
         },
         Message::PullPartners,
         Message::Partners {
@@ -179,7 +180,7 @@
     ]
 }
 
-fn messages_about_allotments() -> Vec<Message> {
+fn allotment_messages() -> Vec<Message> {
     let allotments = vec![Allotment {
         tenant: "house".into(),
         parts: 0x4_0000,
@@ -208,7 +209,7 @@
     ]
 }
 
-fn messages_of_registry_and_store() -> Vec<Message> {
+fn registry_store_messages() -> Vec<Message> {
     let change = Command::Change(ConfigChange { items: items() });
     let invalid = CommandReply::Invalid("r-1: path_prefix: must start and end with a slash".into());
     vec![
@@ -264,14 +265,14 @@
             items: items(),
             complete: true,
         },
-        Message::StoreBackends(backends()),
+        Message::StoreBackends(backend_list()),
     ]
 }
 
-fn messages_among_stores() -> Vec<Message> {
+fn store_messages() -> Vec<Message> {
     let voters = item(ItemKind::Voters, "voters", 3);
     let accepted = |answer| Message::Accepted {
-        proposal_number: number(5),
+        proposal_number: proposal_number(5),
         step: 2,
         disk_id: 77,
         answer,
@@ -292,7 +293,7 @@
             number: 2,
         },
         Message::Prepare {
-            proposal_number: number(5),
+            proposal_number: proposal_number(5),
             voters: voters.clone(),
             digest: StateDigest {
                 accepted: 1,
@@ -300,8 +301,8 @@
             },
         },
         Message::Promise {
-            proposal_number: number(5),
-            promised: number(6),
+            proposal_number: proposal_number(5),
+            promised: proposal_number(6),
             disk_id: 77,
             items: Some(ReplicaItems {
                 accepted: items(),
@@ -309,7 +310,7 @@
             }),
         },
         Message::Accept {
-            proposal_number: number(5),
+            proposal_number: proposal_number(5),
             step: 2,
             voters: voters.clone(),
             items: items(),
@@ -317,10 +318,10 @@
             required_digest: Some(8),
         },
         accepted(AcceptAnswer::Accepted),
-        accepted(AcceptAnswer::Promised(number(9))),
+        accepted(AcceptAnswer::Promised(proposal_number(9))),
         accepted(AcceptAnswer::Behind),
         Message::NewerVoters {
-            proposal_number: number(5),
+            proposal_number: proposal_number(5),
             voters,
         },
         Message::Commit { items: items() },
@@ -334,7 +335,7 @@
         Message::RepairItems {
             items: items(),
             committed: items(),
-            promised: number(5),
+            promised: proposal_number(5),
         },
     ]
 }
@@ -384,8 +385,8 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// The lines that begin with a word, without it.
-fn recorded(section: &str) -> Vec<&'static str> {
+/// Returns the recorded lines of a section, without the section's name.
+fn recorded_lines(section: &str) -> Vec<&'static str> {
     RECORDED
         .lines()
         .filter_map(|line| line.strip_prefix(section)?.strip_prefix(' '))
@@ -393,44 +394,44 @@
 }
 
 fn assert_messages(section: &str, messages: &[Message]) {
-    let recorded = recorded(section);
+    let recorded = recorded_lines(section);
     assert_eq!(recorded.len(), messages.len(), "{section}");
-    for (message, recorded) in messages.iter().zip(recorded) {
+    for (message, expected) in messages.iter().zip(recorded) {
         let bytes = encode(message);
-        assert_eq!(hex(&bytes), recorded, "{message:?}");
+        assert_eq!(hex(&bytes), expected, "{message:?}");
         assert_eq!(decode::<Message>(&bytes).ok().as_ref(), Some(message));
     }
 }
 
 #[test]
-fn messages_have_the_bytes_of_the_version_before() {
-    assert_messages("proxy-registry", &messages_of_proxies_and_registries());
-    assert_messages("registry-store", &messages_of_registry_and_store());
-    assert_messages("store-store", &messages_among_stores());
+fn messages_encode_to_the_recorded_bytes() {
+    assert_messages("proxy-registry", &proxy_registry_messages());
+    assert_messages("registry-store", &registry_store_messages());
+    assert_messages("store-store", &store_messages());
 }
 
-/// Recorded when they were appended.
+/// The bytes were recorded when these messages were appended to `Message`.
 #[test]
-fn messages_about_allotments_have_the_bytes_of_their_first_version() {
-    assert_messages("allotment", &messages_about_allotments());
+fn allotment_messages_encode_to_the_recorded_bytes() {
+    assert_messages("allotment", &allotment_messages());
 }
 
 #[test]
-fn datagrams_have_the_bytes_of_the_version_before() {
-    let recorded = recorded("datagram");
+fn datagrams_encode_to_the_recorded_bytes() {
+    let recorded = recorded_lines("datagram");
     assert_eq!(recorded.len(), datagrams().len());
-    for (datagram, recorded) in datagrams().iter().zip(recorded) {
+    for (datagram, expected) in datagrams().iter().zip(recorded) {
         let bytes = encode(datagram);
-        assert_eq!(hex(&bytes), recorded, "{datagram:?}");
+        assert_eq!(hex(&bytes), expected, "{datagram:?}");
         assert_eq!(decode::<Datagram>(&bytes).ok().as_ref(), Some(datagram));
     }
 }
 
 #[test]
-fn stored_items_have_the_bytes_of_the_version_before() {
-    let recorded = recorded("item");
+fn stored_items_encode_to_the_recorded_bytes() {
+    let recorded = recorded_lines("item");
     assert_eq!(recorded.len(), items().len());
-    for (item, recorded) in items().iter().zip(recorded) {
-        assert_eq!(hex(&bitcode::encode(item)), recorded, "{item:?}");
+    for (item, expected) in items().iter().zip(recorded) {
+        assert_eq!(hex(&bitcode::encode(item)), expected, "{item:?}");
     }
 }
