--- a/crates/control/examples/catch_up.rs
+++ b/crates/control/examples/catch_up.rs
@@ -1,6 +1,6 @@
 //! Measures the cost of a configuration transfer: the time on a modelled link of 100 Mbit/s, the bytes sent, the CPU
-//! time of both sides, and the memory of the receiver. Prints CSV; `docs/results/catch-up/README.md` explains
-//! the columns.
+//! time of both sides, and the memory of the receiver. Prints CSV; `docs/results/catch-up/README.md` explains the
+//! columns.
 
 use std::alloc::System;
 use std::collections::BTreeMap;
@@ -68,7 +68,7 @@
 }
 
 fn tenant(n: usize, version: u64) -> String {
-    // API keys are pseudo-random, so that they do not compress.
+    // API keys are pseudo-random, so that they contain no repetition.
     let key = |salt: u64| {
         (n as u64 + salt)
             .wrapping_mul(0x9e37_79b9_7f4a_7c15)
--- a/crates/control/src/config/change.rs
+++ b/crates/control/src/config/change.rs
@@ -87,9 +87,9 @@
     lists: &[NamedList],
     read_item: fn(ItemKind, &Value) -> Result<Item, InvalidConfig>,
 ) -> Result<Vec<Item>, InvalidConfig> {
-    let known = lists.iter().find(|(list, _)| *list == name);
+    let list = lists.iter().find(|(list_name, _)| *list_name == name);
     let (_, kind) =
-        known.ok_or_else(|| InvalidConfig::malformed(format!("{name}: unknown list")))?;
+        list.ok_or_else(|| InvalidConfig::malformed(format!("{name}: unknown list")))?;
     let values = value.as_array();
     let values = values.ok_or_else(|| InvalidConfig::malformed(format!("{name}: not a list")))?;
     values.iter().map(|value| read_item(*kind, value)).collect()
--- a/crates/control/src/link.rs
+++ b/crates/control/src/link.rs
@@ -47,10 +47,10 @@
     ConnectTimeout,
     /// No message was received in time.
     #[error("no message received in time")]
-    Silent,
+    ReceiveTimeout,
     /// The length of the peer's message, in bytes, exceeds [`MAX_MESSAGE_BYTES`].
     #[error("message of {0} bytes is too long")]
-    TooLong(usize),
+    MessageTooLong(usize),
     /// The received bytes cannot be decoded as a message.
     #[error(transparent)]
     Decode(#[from] DecodeError),
@@ -206,14 +206,14 @@
         silence_timeout: Duration,
     ) -> Result<T, LinkError> {
         let frame = timeout(silence_timeout, self.read_frame()).await;
-        let bytes = frame.map_err(|_| LinkError::Silent)??;
+        let bytes = frame.map_err(|_| LinkError::ReceiveTimeout)??;
         Ok(decode(&bytes)?)
     }
 
     async fn read_frame(&mut self) -> Result<Vec<u8>, LinkError> {
         let length = self.0.read_u32().await? as usize;
         if length > MAX_MESSAGE_BYTES {
-            return Err(LinkError::TooLong(length));
+            return Err(LinkError::MessageTooLong(length));
         }
         let mut bytes = vec![0; length];
         self.0.read_exact(&mut bytes).await?;
--- a/crates/control/src/messages/backend.rs
+++ b/crates/control/src/messages/backend.rs
@@ -28,7 +28,7 @@
 pub struct BackendListVersion {
     /// The term of the coordinator that read the list; 0 means that there is no list.
     pub term: u64,
-    /// The number of changes of the list in this term.
+    /// The number of readings in this term that differed from the previous reading.
     pub revision: u64,
 }
 
--- a/crates/control/src/messages/message.rs
+++ b/crates/control/src/messages/message.rs
@@ -172,7 +172,7 @@
         proposal_number: ProposalNumber,
         /// The committed voter set of the round.
         voters: Item,
-        /// The digest of the proposer's items. If the acceptor's digest is equal, it sends no items.
+        /// The digest of the proposer's items. If the acceptor's digest is equal, the acceptor sends no items.
         digest: StateDigest,
     },
     /// An acceptor's answer to `Prepare`.
