--- a/crates/control/src/link.rs
+++ b/crates/control/src/link.rs
@@ -19,8 +19,8 @@
 /// A connection on which nothing is acknowledged for this long is closed. After a network partition or a power failure
 /// of the peer's machine, no packet arrives that would close the connection.
 pub const SILENCE_TIMEOUT: Duration = Duration::from_millis(2000);
-/// The maximum number of messages queued for writing. When the queue is full, sending fails, so that a
-/// peer that does not read loses its connection.
+/// The maximum number of messages queued for writing. When the queue is full, sending fails, so that a peer that does
+/// not read loses its connection.
 const SEND_QUEUE_CAPACITY: usize = 4096;
 /// The maximum number of messages in one write.
 const MAX_BATCH_MESSAGES: usize = 64;
--- a/crates/control/src/messages/gossip.rs
+++ b/crates/control/src/messages/gossip.rs
@@ -9,7 +9,7 @@
 pub struct Datagram {
     /// The IP address of the sender.
     pub from: Ip,
-    /// The highest epoch of the voter set that the sender knows; 0 means none.
+    /// The epoch of the voter set known to the sender; 0 means none.
     pub epoch: u64,
     /// The coordinator's time in milliseconds, as known to the sender.
     pub time_ms: Option<u64>,
--- a/crates/control/src/messages/mod.rs
+++ b/crates/control/src/messages/mod.rs
@@ -1,5 +1,5 @@
-//! The messages between the processes of the system, on persistent connections and in datagrams. Stores also write some
-//! of their parts to disk.
+//! The messages between the processes of the system, on persistent connections and in datagrams. Stores also write
+//! parts of the messages to disk.
 //!
 //! Messages are encoded by `bitcode`, which identifies fields and variants by their order and not by their names:
 //! fields and variants may be renamed and new variants may be appended, but the order must not change.
