--- a/crates/control/src/allotment/holding.rs
+++ b/crates/control/src/allotment/holding.rs
@@ -1,4 +1,4 @@
-//! A proxy's side: what it was allotted, and for how long.
+//! The proxy's side: the allotments it holds and their expiry.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,20 +6,21 @@
 use super::HOLDING_LEASE;
 use crate::messages::Allotment;
 
-/// What a proxy was allotted.
+/// The allotments of one proxy.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct AllotmentHolding {
-    /// The highest term of a coordinator that is known.
+    /// The highest coordinator term seen.
     term: u64,
-    /// The last change that was taken in that term.
+    /// The revision of the latest change applied in `term`; 0 if none was.
     revision: u64,
+    /// By tenant, in units of `1 / PARTS` of the divided quota.
     parts: BTreeMap<String, u32>,
-    /// When its coordinator was last known to have its report.
+    /// When the coordinator last confirmed that it has this proxy's report. The lease runs from then.
     renewed_at: Duration,
 }
 
 impl AllotmentHolding {
-    /// A coordinator of a term is known: what earlier ones send is refused from now on.
+    /// Records a coordinator's term. Changes from coordinators of earlier terms are rejected from then on.
     pub fn observe_term(&mut self, term: u64) {
         if term > self.term {
             self.term = term;
@@ -31,7 +32,8 @@
         now >= self.renewed_at + HOLDING_LEASE
     }
 
-    /// Takes a change of the coordinator's; returns whether it is to be acknowledged.
+    /// Applies a coordinator's change unless it is outdated or the lease has expired. Returns whether the change was applied
+    /// and must be acknowledged.
     pub fn change(
         &mut self,
         term: u64,
@@ -50,14 +52,15 @@
         true
     }
 
-    /// The coordinator of a term has this proxy's report of that term.
+    /// Renews the lease: the coordinator of `term` has this proxy's report for that term. An expired lease is not renewed.
     pub fn renew(&mut self, term: u64, now: Duration) {
         if term == self.term && !self.is_expired(now) {
             self.renewed_at = now;
         }
     }
 
-    /// What is reported to a coordinator when the connection to it comes up. What has expired is given up for good.
+    /// Returns the allotments to report to a coordinator when the connection to it is established. Expired allotments are
+    /// discarded permanently.
     pub fn report(&mut self, now: Duration) -> Vec<Allotment> {
         if self.is_expired(now) {
             self.parts.clear();
@@ -71,7 +74,7 @@
         report.collect()
     }
 
-    /// The parts of a tenant's quota that are held now.
+    /// Returns the parts of a tenant's quota that this proxy holds at `now`.
     pub fn parts(&self, tenant: &str, now: Duration) -> u32 {
         if self.is_expired(now) {
             return 0;
--- a/crates/control/src/allotment/ledger.rs
+++ b/crates/control/src/allotment/ledger.rs
@@ -1,4 +1,4 @@
-//! The coordinator's side: what each proxy may hold at most, and how it is divided anew.
+//! The coordinator's side: an upper bound of what each proxy holds, and the division of quotas by demand.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -6,49 +6,52 @@
 use super::{HOLDER_EXPIRY, PARTS};
 use crate::messages::Allotment;
 
-/// A holder not heard of for this long is taken to be out of contact, and to use what it holds.
-const PRESENT_TIMEOUT: Duration = Duration::from_millis(1300);
-/// Changes smaller than this part of the whole wait, or smaller than half of an equal share.
-const LEAST_CHANGE: u32 = PARTS / 64;
-/// Changes smaller than this part of what is held wait.
-const LEAST_RELATIVE_CHANGE: f64 = 0.25;
+/// A holder that has sent nothing for this long counts as out of contact, and as using all that it holds.
+const CONTACT_TIMEOUT: Duration = Duration::from_millis(1300);
+/// The smallest change that is sent, in parts. Half of an equal share (`PARTS / (2 * holders)`) applies instead where that is
+/// smaller.
+const MIN_CHANGE: u32 = PARTS / 64;
+/// The smallest change that is sent, as a fraction of what the holder holds.
+const MIN_RELATIVE_CHANGE: f64 = 0.25;
 
-/// How much of a tenant each proxy was asked for of late, by incarnation.
+/// The recent demand for a tenant's quota at each proxy.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TenantDemand {
-    /// The tenant.
+    /// The tenant's name.
     pub tenant: String,
-    /// Units by incarnation.
+    /// Demanded units, by the proxy's incarnation.
     pub by_incarnation: BTreeMap<u64, f64>,
 }
 
-/// A change to be sent to a holder.
+/// A change of allotments to send to a holder.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AllotmentChange {
     /// The holder's incarnation.
     pub incarnation: u64,
-    /// Numbers the changes of a holder in a term.
+    /// The number of the change among those sent to this holder in this term, from 1.
     pub revision: u64,
-    /// What the holder holds from now on, of these tenants.
+    /// The holder's new allotments; tenants not listed keep theirs.
     pub allotments: Vec<Allotment>,
 }
 
-/// What holders out of contact may hold.
+/// The allotments that holders out of contact may still be using.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct AbsentAllotments {
-    /// By tenant.
+    /// The sum over these holders, by tenant.
     pub by_tenant: Vec<Allotment>,
-    /// The parts of each tenant that is not listed.
+    /// The parts assumed for each tenant that `by_tenant` does not list.
     pub of_unlisted: u32,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Holder {
-    /// At most, by tenant.
+    /// Upper bound of the parts held, by tenant.
     held: BTreeMap<String, u32>,
-    last_seen: Duration,
+    /// When the holder last sent a message.
+    last_heard_at: Duration,
+    /// The revision of the latest change sent.
     revision: u64,
-    /// The change that is not acknowledged yet.
+    /// The latest change, until it is acknowledged.
     in_flight: Option<Vec<Allotment>>,
 }
 
@@ -57,46 +60,50 @@
         self.held.get(tenant).copied().unwrap_or(0)
     }
 
-    fn raise(&mut self, allotment: &Allotment) {
+    /// Raises the upper bound of one tenant; never lowers it.
+    fn raise_bound(&mut self, allotment: &Allotment) {
         let held = self.held.entry(allotment.tenant.clone()).or_default();
         *held = (*held).max(allotment.parts);
     }
 
-    fn is_present(&self, now: Duration) -> bool {
-        now < self.last_seen + PRESENT_TIMEOUT
+    fn is_in_contact(&self, now: Duration) -> bool {
+        now < self.last_heard_at + CONTACT_TIMEOUT
     }
 }
 
-/// What each proxy may hold, as the coordinator of one term knows it.
+/// The coordinator's record, for one term, of what each proxy may hold.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct AllotmentLedger {
-    began: Duration,
-    /// No coordinator before may have allotted anything.
+    /// When the term began.
+    began_at: Duration,
+    /// Whether no earlier coordinator can have allotted anything.
     is_first: bool,
+    /// By incarnation.
     holders: BTreeMap<u64, Holder>,
-    /// What holders reported when they were first heard of in this term, by tenant.
+    /// Sum of the parts in the first report of each holder in this term, by tenant.
     reported: BTreeMap<String, u32>,
 }
 
 impl AllotmentLedger {
-    /// A term begins. `is_first`: no coordinator before may have allotted anything.
+    /// Resets the ledger for a new term. `is_first` states that no earlier coordinator can have allotted anything.
     pub fn begin_term(&mut self, is_first: bool, now: Duration) {
         *self = AllotmentLedger {
-            began: now,
+            began_at: now,
             is_first,
             ..AllotmentLedger::default()
         };
     }
 
-    /// A proxy reports what it holds, when its connection comes up.
+    /// Records the allotments that a proxy reports when its connection is established.
     pub fn report(&mut self, incarnation: u64, allotments: &[Allotment], now: Duration) {
         let is_new = !self.holders.contains_key(&incarnation);
         let holder = self.holders.entry(incarnation).or_default();
-        holder.last_seen = now;
-        // A change that was lost with the connection before may have been taken.
+        holder.last_heard_at = now;
+        // The change was sent over the previous connection. The holder may have applied it or not, so the raised upper bound
+        // stays.
         holder.in_flight = None;
         for allotment in allotments {
-            holder.raise(allotment);
+            holder.raise_bound(allotment);
             if is_new {
                 let reported = self.reported.entry(allotment.tenant.clone()).or_default();
                 *reported = reported.saturating_add(allotment.parts);
@@ -104,21 +111,22 @@
         }
     }
 
-    /// A holder was heard of.
+    /// Records that a holder has sent a message.
     pub fn see(&mut self, incarnation: u64, now: Duration) {
         if let Some(holder) = self.holders.get_mut(&incarnation) {
-            holder.last_seen = now;
+            holder.last_heard_at = now;
         }
     }
 
-    /// Whether a holder's lease may be renewed: its report is known here, and it was heard of just now. Were a holder told
-    /// so that is heard of no more, it would keep what is taken back from it.
+    /// Returns whether a holder's lease may be renewed: the ledger has its report and the holder is in contact. A renewal sent
+    /// to a holder that is out of contact would let it keep allotments that the coordinator reclaims after [`HOLDER_EXPIRY`].
     pub fn may_renew(&self, incarnation: u64, now: Duration) -> bool {
         let holder = self.holders.get(&incarnation);
-        holder.is_some_and(|holder| holder.is_present(now))
+        holder.is_some_and(|holder| holder.is_in_contact(now))
     }
 
-    /// A holder has taken its last change.
+    /// Records that a holder has applied the change of that revision. Lowers the upper bounds to the acknowledged values if it
+    /// is the holder's latest change.
     pub fn acknowledge(&mut self, incarnation: u64, revision: u64) {
         let Some(holder) = self.holders.get_mut(&incarnation) else {
             return;
@@ -131,50 +139,51 @@
         }
     }
 
-    /// A holder is gone for good: it left with its last word, or another incarnation runs in its place.
+    /// Removes a holder that is gone permanently: it announced its exit, or another incarnation runs in its place.
     pub fn release(&mut self, incarnation: u64) {
         self.holders.remove(&incarnation);
     }
 
-    /// Parts of a tenant that may be held, by holders known and unknown.
+    /// Returns an upper bound of the parts of a tenant that known and unknown holders hold together.
     pub fn allotted(&self, tenant: &str, now: Duration) -> u32 {
         let held = self.holders.values().map(|holder| holder.parts(tenant));
         let held = held.fold(0u32, u32::saturating_add);
-        held.saturating_add(self.set_aside(tenant, now))
+        held.saturating_add(self.reserved_parts(tenant, now))
     }
 
-    /// Parts that holders may have which were not heard of in this term.
-    fn set_aside(&self, tenant: &str, now: Duration) -> u32 {
-        if self.is_accounted(now) {
+    /// Returns the parts that holders not yet seen in this term may hold.
+    fn reserved_parts(&self, tenant: &str, now: Duration) -> u32 {
+        if self.is_complete(now) {
             return 0;
         }
         let reported = self.reported.get(tenant).copied().unwrap_or(0);
         PARTS.saturating_sub(reported)
     }
 
-    /// What holders out of contact may hold. `missing_part`: the part of the known proxies that is not in contact, and may have
-    /// what is set aside.
+    /// Returns the allotments that holders out of contact may still be using. `missing_part` is the fraction of the known
+    /// proxies that is not in contact; these proxies may hold the reserved parts.
     pub fn absent(&self, missing_part: f64, now: Duration) -> AbsentAllotments {
-        let misses_proxies = missing_part > 0.0;
+        let are_proxies_missing = missing_part > 0.0;
         let mut absent: BTreeMap<&str, u32> = BTreeMap::new();
         let holders = self.holders.values();
-        for holder in holders.filter(|holder| !holder.is_present(now)) {
+        for holder in holders.filter(|holder| !holder.is_in_contact(now)) {
             for (tenant, parts) in &holder.held {
                 *absent.entry(tenant).or_default() += parts;
             }
         }
-        if misses_proxies {
+        if are_proxies_missing {
             for tenant in self.reported.keys() {
-                *absent.entry(tenant).or_default() += self.set_aside(tenant, now);
+                *absent.entry(tenant).or_default() += self.reserved_parts(tenant, now);
             }
         }
         let allotment = |(tenant, parts): (&str, u32)| Allotment {
             tenant: tenant.to_owned(),
             parts,
         };
-        // Of a tenant that nobody has reported, those that are missing are taken to hold as much as their number is of all: after
-        // a restart of everything nobody holds anything, and the first that lags must not cost the others all of it.
-        let of_unlisted = if self.is_accounted(now) {
+        // For a tenant that no proxy has reported, the missing proxies are assumed to hold the fraction `missing_part`. After a
+        // restart of the whole system no proxy holds any allotment, and one proxy that connects late must not block the whole
+        // quota for the others.
+        let of_unlisted = if self.is_complete(now) {
             0
         } else {
             (missing_part * f64::from(PARTS)) as u32
@@ -185,20 +194,20 @@
         }
     }
 
-    /// Whether all that may be held is known here.
-    fn is_accounted(&self, now: Duration) -> bool {
-        self.is_first || now >= self.began + HOLDER_EXPIRY
+    /// Whether the ledger covers every allotment that may still be held.
+    fn is_complete(&self, now: Duration) -> bool {
+        self.is_first || now >= self.began_at + HOLDER_EXPIRY
     }
 
-    /// Divides the quotas anew by demand; returns the changes to be sent. Less goes out first: what it sets free is allotted
-    /// once it is acknowledged.
+    /// Divides the quotas by demand and returns the changes to send. Parts freed by a decrease are allotted to other holders
+    /// only after the decrease is acknowledged.
     pub fn divide(&mut self, demands: &[TenantDemand], now: Duration) -> Vec<AllotmentChange> {
         self.holders
-            .retain(|_, holder| now < holder.last_seen + HOLDER_EXPIRY);
+            .retain(|_, holder| now < holder.last_heard_at + HOLDER_EXPIRY);
         let ready: BTreeSet<u64> = self
             .holders
             .iter()
-            .filter(|(_, holder)| holder.is_present(now) && holder.in_flight.is_none())
+            .filter(|(_, holder)| holder.is_in_contact(now) && holder.in_flight.is_none())
             .map(|(incarnation, _)| *incarnation)
             .collect();
         let mut changes: BTreeMap<u64, Vec<Allotment>> = BTreeMap::new();
@@ -213,11 +222,12 @@
             .collect()
     }
 
+    /// Builds the next change for a holder and records it as in flight. The upper bounds are raised before the change is sent.
     fn send(&mut self, incarnation: u64, allotments: Vec<Allotment>) -> AllotmentChange {
         let holder = self.holders.entry(incarnation).or_default();
         holder.revision += 1;
         for allotment in &allotments {
-            holder.raise(allotment);
+            holder.raise_bound(allotment);
         }
         holder.in_flight = Some(allotments.clone());
         AllotmentChange {
@@ -227,7 +237,7 @@
         }
     }
 
-    /// The changes of one tenant's allotments.
+    /// Returns the changes of one tenant's allotments. Increases share the unallotted parts in proportion to the parts lacking.
     fn divide_tenant(
         &self,
         demand: &TenantDemand,
@@ -235,27 +245,32 @@
         now: Duration,
     ) -> Vec<(u64, Allotment)> {
         let tenant = &demand.tenant;
-        let wishes = self.wishes(demand, ready, now);
-        let wanted: u64 = wishes.iter().map(Wish::wanted).sum();
-        if wanted == 0 {
+        let rebalances = self.rebalances(demand, ready, now);
+        let lacking: u64 = rebalances.iter().map(Rebalance::lacking_parts).sum();
+        if lacking == 0 {
             return vec![];
         }
-        let free = u64::from(PARTS.saturating_sub(self.allotted(tenant, now)));
-        let granted = free.min(wanted);
-        let changes = wishes.into_iter().filter_map(|wish| {
-            let share = (granted * wish.wanted() / wanted) as u32;
-            let parts = wish.target.min(wish.held + share);
+        let unallotted = u64::from(PARTS.saturating_sub(self.allotted(tenant, now)));
+        let granted = unallotted.min(lacking);
+        let changes = rebalances.into_iter().filter_map(|rebalance| {
+            let share = (granted * rebalance.lacking_parts() / lacking) as u32;
+            let parts = rebalance.target.min(rebalance.held + share);
             let allotment = Allotment {
                 tenant: tenant.clone(),
                 parts,
             };
-            (parts != wish.held).then_some((wish.incarnation, allotment))
+            (parts != rebalance.held).then_some((rebalance.incarnation, allotment))
         });
         changes.collect()
     }
 
-    /// What each ready holder is to hold by the demand, where that differs enough from what it holds.
-    fn wishes(&self, demand: &TenantDemand, ready: &BTreeSet<u64>, now: Duration) -> Vec<Wish> {
+    /// Returns the target of each ready holder by demand, for those whose target differs enough from what they hold.
+    fn rebalances(
+        &self,
+        demand: &TenantDemand,
+        ready: &BTreeSet<u64>,
+        now: Duration,
+    ) -> Vec<Rebalance> {
         let demand_at = |incarnation: &u64| {
             let units = demand.by_incarnation.get(incarnation);
             units.copied().unwrap_or(0.0)
@@ -263,38 +278,42 @@
         let present = self
             .holders
             .iter()
-            .filter(|(_, holder)| holder.is_present(now));
+            .filter(|(_, holder)| holder.is_in_contact(now));
         let total: f64 = present.map(|(incarnation, _)| demand_at(incarnation)).sum();
         if total <= 0.0 {
             return vec![];
         }
-        let least = LEAST_CHANGE.min(PARTS / (2 * self.holders.len().max(1) as u32));
-        let wish = |incarnation: &u64| Wish {
+        let min_change = MIN_CHANGE.min(PARTS / (2 * self.holders.len().max(1) as u32));
+        let rebalance = |incarnation: &u64| Rebalance {
             incarnation: *incarnation,
             held: self.holders[incarnation].parts(&demand.tenant),
             target: (demand_at(incarnation) / total * f64::from(PARTS)) as u32,
         };
-        let wishes = ready.iter().map(wish);
-        wishes.filter(|wish| wish.is_worth_it(least)).collect()
+        let rebalances = ready.iter().map(rebalance);
+        rebalances
+            .filter(|rebalance| rebalance.is_significant(min_change))
+            .collect()
     }
 }
 
-/// What a holder is to hold.
-struct Wish {
+/// The difference between the parts that a holder holds and its share by demand, for one tenant.
+struct Rebalance {
     incarnation: u64,
+    /// Upper bound of the parts held.
     held: u32,
+    /// The holder's share by demand, in parts.
     target: u32,
 }
 
-impl Wish {
-    /// Whether the change is large enough to be sent.
-    fn is_worth_it(&self, least: u32) -> bool {
-        let least_of_held = (f64::from(self.held) * LEAST_RELATIVE_CHANGE) as u32;
-        self.target.abs_diff(self.held) >= least.max(least_of_held)
+impl Rebalance {
+    /// Whether the change is large enough to send; `min_change` is in parts.
+    fn is_significant(&self, min_change: u32) -> bool {
+        let min_change_of_held = (f64::from(self.held) * MIN_RELATIVE_CHANGE) as u32;
+        self.target.abs_diff(self.held) >= min_change.max(min_change_of_held)
     }
 
-    /// The parts that it lacks.
-    fn wanted(&self) -> u64 {
+    /// The parts that the holder lacks.
+    fn lacking_parts(&self) -> u64 {
         u64::from(self.target.saturating_sub(self.held))
     }
 }
--- a/crates/control/src/allotment/mod.rs
+++ b/crates/control/src/allotment/mod.rs
@@ -1,22 +1,22 @@
-//! What each proxy may admit of a tenant's quota while it hears nothing of the others: its allotment, which outlives the
-//! coordinator that gave it. Free of I/O.
+//! Allotments: the part of a tenant's quota that each proxy may admit without contact with the other proxies. An allotment
+//! stays valid when the coordinator that granted it fails. This module does no I/O.
 //!
-//! A part of each quota is shared equally among the proxies. The rest the coordinator divides among them by the tenant's
-//! demand at each, as in published work on escrow transactions and on hierarchical rate limiters of the kind of Doorman.
-//! [`AllotmentLedger`] is the coordinator's side, [`AllotmentHolding`] a proxy's.
+//! A fixed part of each quota ([`EQUAL_PART`]) is shared equally among the proxies. The coordinator divides the rest among
+//! them in proportion to the tenant's demand at each proxy, as in published work on escrow transactions and on hierarchical
+//! rate limiters such as Doorman. [`AllotmentLedger`] is the coordinator's side, [`AllotmentHolding`] the proxy's side.
 //!
-//! At any time the allotments that proxies hold of a tenant add up to [`PARTS`] at most, whichever messages are lost, late
-//! or doubled, and whoever is the coordinator:
+//! Invariant: at any time the allotments that all proxies hold of one tenant add up to [`PARTS`] at most, even if messages
+//! are lost, delayed or duplicated, and across changes of coordinator. The following rules ensure this:
 //!
-//! - The ledger has an upper bound of what each holder may hold. It raises it before it sends more, and lowers it only when
-//!   the holder has acknowledged less, or is gone for good: it left with its last word, or another incarnation runs in
-//!   its place.
-//! - The ledger of a new term knows nothing. What a proxy reports to it the proxy can't hold more of: it refuses what
-//!   coordinators of earlier terms send it from then on. What no proxy has reported stays set aside, as if a holder out of
-//!   contact had it.
-//! - A holder that does not hear for [`HOLDING_LEASE`] that its coordinator has its report gives up what it was allotted,
-//!   by its own clock. After [`HOLDER_EXPIRY`] the coordinator takes back what such a holder had, and what was set
-//!   aside. The equal part has no end.
+//! - The ledger keeps an upper bound of what each holder may hold. It raises the bound before it sends an increase, and
+//!   lowers the bound only when the holder has acknowledged the decrease or is gone permanently: the holder announced its
+//!   exit, or another incarnation runs in its place.
+//! - The ledger of a new term starts empty. A proxy can't hold more than it reports to this ledger, because it rejects
+//!   changes from coordinators of earlier terms from then on. Parts that no proxy has reported stay reserved, as if a
+//!   holder out of contact had them.
+//! - A holder that gets no confirmation within [`HOLDING_LEASE`], by its own clock, that the coordinator has its report
+//!   gives up its allotments. After [`HOLDER_EXPIRY`] the coordinator reclaims the parts of such a holder and the reserved
+//!   parts. The equal part does not expire.
 
 mod holding;
 mod ledger;
@@ -26,13 +26,13 @@
 pub use holding::AllotmentHolding;
 pub use ledger::{AbsentAllotments, AllotmentChange, AllotmentLedger, TenantDemand};
 
-/// All that is divided of a quota by demand.
+/// The part of a quota that is divided by demand, expressed in parts: allotments are multiples of `1 / PARTS` of it.
 pub const PARTS: u32 = 1 << 20;
-/// The part of a quota that is shared equally, and not divided by demand.
+/// The fraction of a quota that is shared equally among the proxies instead of being divided by demand.
 pub const EQUAL_PART: f64 = 0.3;
-/// A holder keeps what it was allotted for this long after its coordinator's last word: longer than outages of the core
-/// last, for then nobody else can serve by it.
+/// How long a holder keeps its allotments after the coordinator's last confirmation. The lease is longer than outages of
+/// the core, during which no other proxy could be allotted these parts.
 pub const HOLDING_LEASE: Duration = Duration::from_secs(600);
-/// A holder unheard of for this long has given up what it was allotted: longer than the lease by more than a connection
-/// lives that delivers nothing, and by clocks of different rates.
+/// After this long without a message from a holder, the holder has given up its allotments. The value exceeds
+/// [`HOLDING_LEASE`] by more than the lifetime of a connection that delivers nothing plus the difference in clock rates.
 pub const HOLDER_EXPIRY: Duration = Duration::from_secs(660);
--- a/crates/control/src/contact.rs
+++ b/crates/control/src/contact.rs
@@ -1,8 +1,10 @@
-//! Contact with a majority of the voters: whether a registry may answer for the whole system. Free of I/O.
+//! Contact of a registry with a majority of the voters, which decides whether it may answer for the whole system. This module
+//! does no I/O.
 //!
-//! Every voter is probed once in [`PROBE_INTERVAL`]; an answer counts from when the probe was sent. A registry is in
-//! contact while a majority of the voters, itself among them where it is one, has answered probes of the last
-//! [`CONTACT_TIMEOUT`]. Old answers count for nothing, so a registry that was frozen is out of contact when it wakes.
+//! A registry probes every voter once per [`PROBE_INTERVAL`]; an answer counts from the time the probe was sent. The
+//! registry is in contact while a majority of the voters has answered probes sent within the last [`CONTACT_TIMEOUT`]. A
+//! registry that is a voter itself counts toward the majority. Older answers do not count, so a registry whose process was
+//! suspended is out of contact when it resumes.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,64 +12,64 @@
 use crate::address::Ip;
 use crate::voters::VoterSet;
 
-/// Between two probes of one voter.
+/// Time between two probes of one voter.
 pub const PROBE_INTERVAL: Duration = Duration::from_millis(500);
-/// A registry that no majority has answered for this long is out of contact.
+/// Maximum age of the latest contact with a majority: a registry whose contact is older is out of contact.
 pub const CONTACT_TIMEOUT: Duration = Duration::from_millis(3000);
-/// Set in the numbers of these probes, to distinguish them from those of the membership.
+/// Flag in the probe number that distinguishes contact probes from membership probes.
 const CONTACT_PROBE_FLAG: u64 = 1 << 63;
 
-/// The contact of one registry with the voters.
+/// Tracks the contact of one registry with the voters.
 #[derive(Debug)]
 pub struct Contact {
     own_ip: Ip,
     voters: Option<VoterSet>,
-    next_number: u64,
-    next_probe: Duration,
-    /// When each probe was sent that may yet be answered, by number. One number goes to all voters.
+    last_number: u64,
+    next_probe_at: Duration,
+    /// Send times of the probes whose answers still count, by number. A round of probes to all voters shares one number.
     pending: BTreeMap<u64, Duration>,
-    /// By voter, when the latest probe was sent that it answered.
+    /// Send time of the latest answered probe, by voter.
     answered: BTreeMap<Ip, Duration>,
 }
 
 impl Contact {
-    /// A registry that knows no voters yet.
+    /// Creates the state of a registry that knows no voters yet.
     pub fn new(own_ip: Ip) -> Self {
         Contact {
             own_ip,
             voters: None,
-            next_number: 0,
-            next_probe: Duration::ZERO,
+            last_number: 0,
+            next_probe_at: Duration::ZERO,
             pending: BTreeMap::new(),
             answered: BTreeMap::new(),
         }
     }
 
-    /// Takes a new voter set; the answers of voters that remain still count.
+    /// Sets the voters. Answers of voters that stay in the set still count.
     pub fn set_voters(&mut self, voters: VoterSet) {
         self.answered.retain(|ip, _| voters.contains(*ip));
-        self.next_probe = Duration::ZERO;
+        self.next_probe_at = Duration::ZERO;
         self.voters = Some(voters);
     }
 
-    /// The voters to be probed now, and the probe's number.
+    /// Returns the voters to probe now, each with the probe's number.
     pub fn tick(&mut self, now: Duration) -> Vec<(Ip, u64)> {
         let Some(voters) = &self.voters else {
             return vec![];
         };
-        if now < self.next_probe {
+        if now < self.next_probe_at {
             return vec![];
         }
-        self.next_probe = now + PROBE_INTERVAL;
-        self.next_number += 1;
-        let number = self.next_number | CONTACT_PROBE_FLAG;
+        self.next_probe_at = now + PROBE_INTERVAL;
+        self.last_number += 1;
+        let number = self.last_number | CONTACT_PROBE_FLAG;
         self.pending.insert(number, now);
         self.pending.retain(|_, sent| now < *sent + CONTACT_TIMEOUT);
         let others = voters.voters().iter().filter(|ip| **ip != self.own_ip);
         others.map(|ip| (*ip, number)).collect()
     }
 
-    /// Takes the answer to a probe.
+    /// Records the answer to a probe. Ignores answers from machines that are not voters and answers to expired probes.
     pub fn receive_answer(&mut self, from: Ip, number: u64) {
         let is_voter = self
             .voters
@@ -79,20 +81,20 @@
         }
     }
 
-    /// The time since the latest contact with a majority; `None`: there never was any.
+    /// Returns the time since the latest contact with a majority, or `None` if there was none yet.
     pub fn age(&self, now: Duration) -> Option<Duration> {
-        let time_of = |ip: Ip| {
+        let answered_at = |ip: Ip| {
             if ip == self.own_ip {
                 Some(now)
             } else {
                 self.answered.get(&ip).copied()
             }
         };
-        let latest = self.voters.as_ref()?.majority_time(time_of)?;
+        let latest = self.voters.as_ref()?.majority_time(answered_at)?;
         Some(now.saturating_sub(latest))
     }
 
-    /// Whether the registry is in contact now.
+    /// Returns whether the registry is in contact with a majority at `now`.
     pub fn is_in_contact(&self, now: Duration) -> bool {
         self.age(now).is_some_and(|age| age < CONTACT_TIMEOUT)
     }
--- a/crates/control/src/lease/election.rs
+++ b/crates/control/src/lease/election.rs
@@ -1,4 +1,4 @@
-//! The election of the coordinator, as one registry takes part in it. Free of I/O.
+//! The election of the coordinator, from the point of view of one registry. This module does no I/O.
 
 use std::time::Duration;
 
@@ -8,30 +8,32 @@
 use crate::messages::{LeaseHolder, LeaseMessage};
 use crate::voters::VoterSet;
 
-/// One registry's part in the election: as a voter, a candidate, or the holder of the lease.
+/// One registry's state in the election, as a voter, a candidate or the holder of the lease.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseElection {
     own_ip: Ip,
-    /// A process that has just started may have granted before its restart: it grants and claims nothing for a lease.
+    /// The registry neither grants nor claims before this time. After a start this is one [`LEASE`], because the process may
+    /// have granted a claim before it restarted.
     abstains_until: Duration,
     voters: Option<VoterSet>,
-    /// When the store was asked that confirmed the epoch last.
+    /// When the store was asked for its latest confirmation of the epoch.
     epoch_confirmed_at: Option<Duration>,
     /// The highest epoch seen, from the store or in messages.
     highest_epoch: u64,
     /// The highest term seen.
     highest_term: u64,
     vote: Option<Vote>,
-    /// The last holder known.
+    /// The candidate of the latest grant, or the claimant of this registry's latest own claim.
     last_holder: Option<LeaseHolder>,
+    /// Whether the previous holder named this registry its successor; a successor claims without delay.
     is_named_successor: bool,
     claim: Option<Claim>,
-    /// Since when no grant of this registry's binds it to another.
+    /// Since when no grant binds this registry to another candidate. A later time postpones the next claim.
     unbound_since: Duration,
 }
 
 impl LeaseElection {
-    /// A registry that has just started, and knows no voters yet.
+    /// Creates the state of a registry that has just started and knows no voters yet.
     pub fn new(own_ip: Ip, now: Duration) -> Self {
         LeaseElection {
             own_ip,
@@ -48,22 +50,22 @@
         }
     }
 
-    /// The voters, once the store has named them.
+    /// Returns the voters, or `None` until the store has reported them.
     pub fn voters(&self) -> Option<&VoterSet> {
         self.voters.as_ref()
     }
 
-    /// The epoch of the voters; 0: none is known.
+    /// Returns the epoch of the voters, or 0 if no voters are known.
     pub fn epoch(&self) -> u64 {
         self.voters.as_ref().map_or(0, |voters| voters.epoch)
     }
 
-    /// Whether others are more than one epoch ahead: what is known here of the voters is of no use.
+    /// Returns whether other registries are more than one epoch ahead. The voter set known here is obsolete then.
     pub fn is_behind(&self) -> bool {
         self.highest_epoch > self.epoch() + 1
     }
 
-    /// The store on this machine names the voters.
+    /// Sets the voters that the store on this machine reports. Ignores epochs that are not later than the present one.
     pub fn set_voters(&mut self, voters: VoterSet) {
         if voters.epoch <= self.epoch() {
             return;
@@ -80,7 +82,7 @@
         self.voters = Some(voters);
     }
 
-    /// The store on this machine, asked at that time, confirms its epoch.
+    /// Records that the store on this machine, asked at `asked_at`, confirmed its epoch.
     pub fn confirm_epoch(&mut self, epoch: u64, asked_at: Duration) {
         self.observe_epoch(epoch);
         if self.voters.is_some() && epoch == self.epoch() {
@@ -88,7 +90,7 @@
         }
     }
 
-    /// An epoch is seen in a message of another registry.
+    /// Records an epoch seen in a message of another registry. Gives up the claim if this registry is behind.
     pub fn observe_epoch(&mut self, epoch: u64) {
         self.highest_epoch = self.highest_epoch.max(epoch);
         if self.is_behind() {
@@ -96,14 +98,14 @@
         }
     }
 
-    /// A term is seen elsewhere, from before this process's start or through others: claims are above it.
+    /// Records a term seen elsewhere, from before this process started or from other registries. Later claims use higher terms.
     pub fn observe_term(&mut self, term: u64) {
         if self.claim.is_none() {
             self.highest_term = self.highest_term.max(term);
         }
     }
 
-    /// Whether this registry may claim and grant.
+    /// Whether this registry may claim and grant at `now`.
     fn is_current(&self, now: Duration) -> bool {
         let is_valid = |at: Duration| now < at + EPOCH_CONFIRMATION_VALIDITY;
         let is_confirmed = self.epoch_confirmed_at.is_some_and(is_valid);
@@ -116,19 +118,19 @@
             .is_some_and(|voters| voters.contains(ip))
     }
 
-    /// The end of this registry's lease, if it ever had one by its present claim.
+    /// The end of this registry's lease, or `None` if no majority has granted the present claim.
     fn valid_until(&self) -> Option<Duration> {
         self.claim.as_ref()?.valid_until(self.voters.as_ref()?)
     }
 
-    /// The term of the lease that this registry holds now.
+    /// Returns the term of the lease that this registry holds at `now`, or `None` if it holds none.
     pub fn held_term(&self, now: Duration) -> Option<u64> {
         let claim = self.claim.as_ref()?;
         let until = self.valid_until()?;
         (now < until).then_some(claim.term)
     }
 
-    /// Who holds the lease as far as known here.
+    /// Returns the holder of the lease as far as this registry knows.
     pub fn holder(&self, now: Duration) -> Option<LeaseHolder> {
         if let Some(term) = self.held_term(now) {
             let ip = self.own_ip;
@@ -138,14 +140,14 @@
         self.last_holder.filter(|_| is_bound_to_other)
     }
 
-    /// Whether a grant of this registry's binds it to another than this candidate.
+    /// Whether a valid grant binds this registry to a candidate other than `candidate`.
     fn is_bound_to_other(&self, candidate: Ip, now: Duration) -> bool {
         let binds = |vote: Vote| now < vote.until && vote.candidate != candidate;
         self.vote.is_some_and(binds)
     }
 
-    /// Gives up its claim, and its vote for itself. A term by which it never held the lease it may grant to another that
-    /// claimed with the same one.
+    /// Gives up this registry's claim and its vote for itself. If the claim never had a majority, this registry may afterwards
+    /// grant a claim of the same term to another candidate.
     fn drop_claim(&mut self, unbound_since: Duration) {
         let own_ip = self.own_ip;
         let is_last_holder = self.last_holder.is_some_and(|holder| holder.ip == own_ip);
@@ -157,7 +159,7 @@
         self.unbound_since = unbound_since;
     }
 
-    /// What to send now, to all that are alive.
+    /// Returns the message to send to all registries that are alive, if one is due.
     pub fn tick(&mut self, now: Duration, alive: &[Ip]) -> Option<LeaseMessage> {
         if self.is_bound_to_other(self.own_ip, now) {
             self.claim = None;
@@ -165,8 +167,8 @@
             return None;
         }
         if self.claim.is_some() && self.valid_until().is_some_and(|until| now >= until) {
-            // Expired though it claims all the time: others may hear it while it hears nobody, and its claims would
-            // bind all voters for good. It claims nothing until another has had the time to.
+            // The lease expired although this registry kept claiming. Possibly the other registries receive its messages while
+            // it receives none; its claims would then bind all voters indefinitely. The pause lets another candidate claim.
             self.drop_claim(now + BACKOFF);
         }
         if !self.is_current(now) || !self.is_voter(self.own_ip) {
@@ -185,21 +187,22 @@
             .as_ref()
             .is_some_and(|claim| claim.has_timed_out(now));
         if !has_majority && has_timed_out {
-            // Given up, so that another's may succeed.
+            // The claim is given up so that another candidate's claim can succeed.
             self.drop_claim(now + BACKOFF);
             return None;
         }
         self.send_claim(now)
     }
 
-    /// Each candidate waits longer than those before it in order. The last holder is no candidate.
+    /// The delay before this registry claims: [`CANDIDATE_DELAY`] for each living candidate with a lower address. The last holder
+    /// does not count as a candidate.
     fn candidate_delay(&self, alive: &[Ip]) -> Duration {
         let last_holder = self.last_holder.map(|holder| holder.ip);
         let is_candidate = |ip: Ip| self.is_voter(ip) && Some(ip) != last_holder;
-        let before = alive
+        let candidates_before = alive
             .iter()
             .filter(|ip| **ip < self.own_ip && is_candidate(**ip));
-        CANDIDATE_DELAY * before.count() as u32
+        CANDIDATE_DELAY * candidates_before.count() as u32
     }
 
     fn send_claim(&mut self, now: Duration) -> Option<LeaseMessage> {
@@ -227,7 +230,7 @@
         });
     }
 
-    /// Takes a message of another registry; returns the answer.
+    /// Processes a message of another registry and returns the answer, if there is one.
     pub fn receive(
         &mut self,
         from: Ip,
@@ -268,7 +271,7 @@
         sent_us: u64,
         now: Duration,
     ) -> LeaseMessage {
-        // A term belongs to one candidate: late acts of an earlier holder are recognised by it.
+        // A term belongs to one candidate, so that late messages of an earlier holder can be recognised by their term.
         let claimant = LeaseHolder { ip: from, term };
         let is_free = |holder: LeaseHolder| term > holder.term || holder == claimant;
         let is_term_free = self.last_holder.is_none_or(is_free);
@@ -280,7 +283,7 @@
                 term: self.highest_term,
             };
         }
-        // A later term of another: this registry's own claim is over.
+        // Another candidate's claim prevails, so this registry's own claim ends.
         self.claim = None;
         self.highest_term = term;
         self.vote_for(from, term, now);
@@ -300,14 +303,16 @@
         }
     }
 
+    /// Processes a refusal: `term` is the highest term that the voter knows.
     fn receive_refusal(&mut self, term: u64, now: Duration) {
         let holds = self.held_term(now).is_some();
         self.highest_term = self.highest_term.max(term);
-        // Behind: the next claim is above the refusal's term, once whoever has that term has had the time to be heard. A
-        // registry that holds the lease by that very term is not behind.
+        // This registry is behind if its claim's term is lower than the refusal's term, or equal without the lease. It drops the
+        // claim and claims next with a higher term, after a pause in which the candidate with that term can be heard. A
+        // registry that holds the lease with exactly that term is not behind.
         let is_behind = |claim: &Claim| claim.term < term || (claim.term == term && !holds);
         if self.claim.as_ref().is_some_and(is_behind) {
-            // Who held it claims anew at once: the other voters are bound to it.
+            // A registry that holds the lease claims again at once, because the other voters are bound to it.
             self.drop_claim(if holds { now } else { now + LEASE });
         }
     }
@@ -321,8 +326,9 @@
         }
     }
 
-    /// Out of contact with the voters: claims would only raise the term, and break the holder's lease once they are
-    /// heard. Back in contact, the holder is given the time to be heard first.
+    /// Postpones claims by one [`LEASE`]; called while the registry is out of contact with the voters. Claims sent in that state
+    /// would only raise the term and break the holder's lease once contact returns. The delay lets this registry hear the
+    /// holder first.
     pub fn defer_claims(&mut self, now: Duration) {
         if self.claim.is_some() && self.held_term(now).is_none() {
             self.drop_claim(now + LEASE);
@@ -330,8 +336,8 @@
         self.unbound_since = now + LEASE;
     }
 
-    /// Gives the lease up, naming the first other voter that is alive. `None` where this registry does not hold it, or
-    /// nobody could follow.
+    /// Gives up the lease and returns the message that names the first other living voter as successor. Returns `None` and
+    /// changes nothing if this registry does not hold the lease or no other voter is alive.
     pub fn transfer(&mut self, now: Duration, alive: &[Ip]) -> Option<LeaseMessage> {
         let term = self.held_term(now)?;
         let voters = self.voters.as_ref()?;
--- a/crates/control/src/membership.rs
+++ b/crates/control/src/membership.rs
@@ -1,10 +1,10 @@
-//! Which registries there are, by the SWIM protocol: each probes one other at a time, asks a few more to probe it where
-//! it does not answer, and suspects it before it declares it dead. Free of I/O: time and datagrams come in, datagrams go
-//! out.
+//! Membership of the registries by the SWIM protocol. A registry probes the other members in turn. If a member does not
+//! answer, the registry asks a few others to probe it, then marks it as suspect, and declares it dead only after a further
+//! timeout. This module does no I/O: its input is the time and received datagrams, its output datagrams to send.
 //!
-//! A registry is known by its machine's address. Every update on it bears an incarnation, which only the registry itself
-//! raises: one that hears that it is suspected or dead refutes it with the next incarnation, and so does one that comes
-//! back after a restart.
+//! A registry is identified by its machine's address. Every update about a registry carries an incarnation number that only
+//! this registry itself increments. A registry that receives an update marking it as suspect or dead refutes the update
+//! with the next incarnation. A registry that has restarted does the same.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,23 +12,24 @@
 use crate::address::Ip;
 use crate::messages::{GossipBody, MemberState, MemberUpdate};
 
-/// Between two probes of one registry.
+/// Time between two probes sent by one registry.
 const PROBE_INTERVAL: Duration = Duration::from_millis(300);
-/// Others are asked to probe a member that has not answered by then: twice the round trip between regions.
+/// Other members are asked to probe a member that has not answered after this time, which is twice the round trip between
+/// regions.
 const INDIRECT_PROBE_AFTER: Duration = Duration::from_millis(250);
-/// A member that has not answered by then, to nobody, is suspected.
+/// A member that has answered neither the direct nor the indirect probes after this time becomes suspect.
 const SUSPECT_AFTER: Duration = Duration::from_millis(700);
-/// A suspected member may refute it for this long before it is declared dead.
+/// How long a suspect member has to refute the suspicion before it is declared dead.
 const SUSPICION_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Members that are asked to probe another.
+/// Number of members that are asked to probe a member that does not answer.
 const INDIRECT_PROBES: usize = 2;
-/// An update is sent along with this many datagrams.
+/// Number of datagrams that carry an update.
 const TRANSMISSIONS: u32 = 8;
-/// Updates in one datagram, which stays below a packet's size.
+/// Maximum number of recent updates in one datagram, so that the datagram fits into one packet.
 const MAX_UPDATES: usize = 16;
-/// Dead members are probed once in this many probes: partitions heal, machines come back.
-const PROBES_PER_REVISIT: u32 = 4;
-/// A member that has been dead for this long is forgotten.
+/// Dead members and unknown seeds are probed in one of this many probe rounds, because partitions heal and machines return.
+const ROUNDS_PER_DEAD_PROBE: u32 = 4;
+/// How long a dead member is remembered.
 const DEAD_RETENTION: Duration = Duration::from_secs(60);
 
 /// A member whose state changed, for the log.
@@ -36,14 +37,14 @@
 pub struct MembershipChange {
     /// The member.
     pub ip: Ip,
-    /// Its new state.
+    /// The member's new state.
     pub state: MemberState,
 }
 
-/// What a call to the membership brought about.
+/// The result of a call to [`Membership`].
 #[derive(Debug, Default)]
 pub struct MembershipOutput {
-    /// Datagrams to send, and to whom.
+    /// Datagrams to send, each with its receiver.
     pub datagrams: Vec<(Ip, GossipBody)>,
     /// Members whose state changed.
     pub changes: Vec<MembershipChange>,
@@ -59,8 +60,9 @@
 struct Member {
     incarnation: u64,
     state: MemberState,
+    /// When the member entered the state.
     since: Duration,
-    /// How many more datagrams its update goes along with.
+    /// Number of further datagrams that will carry the update about this member.
     transmissions_left: u32,
 }
 
@@ -72,7 +74,7 @@
     }
 }
 
-/// On whose behalf a probe is made, and by which number it is answered there.
+/// The registry on whose behalf a probe is made, and the probe number that this registry expects in the answer.
 #[derive(Clone, Copy, Debug)]
 struct ProbeRequester {
     ip: Ip,
@@ -83,31 +85,31 @@
 struct Probe {
     target: Ip,
     sent_at: Duration,
-    /// Others were asked to probe the target, too.
+    /// Whether other members were asked to probe the target as well.
     is_indirect: bool,
-    /// `None`: the probe is this registry's own.
+    /// `None` if the probe is this registry's own.
     requester: Option<ProbeRequester>,
 }
 
-/// The members as one registry knows them.
+/// One registry's view of the members.
 #[derive(Debug)]
 pub struct Membership {
     own_ip: Ip,
     own_incarnation: u64,
     members: BTreeMap<Ip, Member>,
-    /// Addresses to be probed like the dead as long as they are no members.
+    /// Addresses that are probed like dead members as long as they are not members.
     seeds: Vec<Ip>,
-    /// Probes without an answer, by number.
+    /// Unanswered probes, by number.
     probes: BTreeMap<u64, Probe>,
     last_number: u64,
     next_probe_at: Duration,
-    /// Counts the members probed, which are taken in turn.
-    turn: usize,
+    /// Number of regular probes so far; selects the next member in round-robin order.
+    probe_count: usize,
     probe_rounds: u32,
 }
 
 impl Membership {
-    /// A registry that knows nobody but its seeds.
+    /// Creates the view of a registry that knows no members but its seeds.
     pub fn new(own_ip: Ip, seeds: Vec<Ip>, now: Duration) -> Self {
         let seeds = seeds.into_iter().filter(|seed| *seed != own_ip).collect();
         Membership {
@@ -118,12 +120,12 @@
             probes: BTreeMap::new(),
             last_number: 0,
             next_probe_at: now,
-            turn: 0,
+            probe_count: 0,
             probe_rounds: 0,
         }
     }
 
-    /// Those that are not dead, this one among them, in order.
+    /// Returns the members that are not dead, including this registry, in ascending order.
     pub fn alive(&self) -> Vec<Ip> {
         let members = self.members.iter();
         let alive = members.filter(|(_, member)| member.state != MemberState::Dead);
@@ -133,7 +135,7 @@
         alive
     }
 
-    /// Adds addresses known from elsewhere, to be probed like the dead.
+    /// Adds addresses known from another source; they are probed like dead members.
     pub fn add_seeds(&mut self, ips: impl IntoIterator<Item = Ip>) {
         for ip in ips {
             let is_known = self.members.contains_key(&ip) || self.seeds.contains(&ip);
@@ -143,8 +145,8 @@
         }
     }
 
-    /// The updates to send along with a datagram: of this registry, of its receiver where that is not taken to be alive,
-    /// for it alone can refute that, and of the members that changed last.
+    /// Returns the updates to send with a datagram to `receiver`: about this registry, about the receiver if it is not marked as
+    /// alive, because only the receiver can refute this, and about the members that changed most recently.
     pub fn updates_for(&mut self, receiver: Ip) -> Vec<MemberUpdate> {
         let mut updates = vec![MemberUpdate {
             ip: self.own_ip,
@@ -171,7 +173,7 @@
         updates
     }
 
-    /// Takes an update in if it is later than what is known.
+    /// Applies an update if it is newer than the known state. Returns the change, if the member's state changed.
     fn apply(&mut self, update: &MemberUpdate, now: Duration) -> Option<MembershipChange> {
         let MemberUpdate {
             ip,
@@ -201,7 +203,7 @@
         has_changed.then_some(MembershipChange { ip, state })
     }
 
-    /// Takes a datagram of another registry.
+    /// Processes a datagram of another registry.
     pub fn receive(
         &mut self,
         from: Ip,
@@ -238,8 +240,8 @@
         }
     }
 
-    /// A member that answers is alive, whatever the updates say. It will refute them with an incarnation of its own; here
-    /// it counts at once.
+    /// Marks a suspect member that answered a probe as alive. The member will refute the suspicion with its next incarnation, but
+    /// this registry need not wait for that. The change is not sent to other members.
     fn clear_suspicion(&mut self, ip: Ip, now: Duration) -> Option<MembershipChange> {
         let member = self.members.get_mut(&ip)?;
         if member.state != MemberState::Suspect {
@@ -264,7 +266,7 @@
         self.last_number
     }
 
-    /// Time has passed.
+    /// Handles timeouts and sends the probes that are due at `now`.
     pub fn tick(&mut self, now: Duration) -> MembershipOutput {
         let mut output = MembershipOutput::default();
         let alive = self.alive();
@@ -278,7 +280,7 @@
         output
     }
 
-    /// Probes that have had no answer for some time: others are asked to probe the target, then it is suspected.
+    /// Handles unanswered probes: first asks other members to probe the target, then marks the target as suspect.
     fn check_probes(&mut self, now: Duration, alive: &[Ip], output: &mut MembershipOutput) {
         let overdue = self
             .probes
@@ -297,10 +299,10 @@
             } else if is_own && !probe.is_indirect {
                 self.probes
                     .get_mut(&number)
-                    .expect("seen above")
+                    .expect("probe is pending")
                     .is_indirect = true;
-                for helper in self.probe_helpers(target, alive) {
-                    output.send(helper, GossipBody::PingRequest { number, target });
+                for prober in self.indirect_probers(target, alive) {
+                    output.send(prober, GossipBody::PingRequest { number, target });
                 }
             }
         }
@@ -316,14 +318,14 @@
         Some(MembershipChange { ip, state })
     }
 
-    /// A few members that are asked to probe another, taken in turn.
-    fn probe_helpers(&self, target: Ip, alive: &[Ip]) -> Vec<Ip> {
+    /// Returns up to [`INDIRECT_PROBES`] members to ask for an indirect probe of `target`, in round-robin order.
+    fn indirect_probers(&self, target: Ip, alive: &[Ip]) -> Vec<Ip> {
         let others = alive
             .iter()
             .filter(|ip| **ip != self.own_ip && **ip != target);
         let others: Vec<Ip> = others.copied().collect();
         let count = INDIRECT_PROBES.min(others.len());
-        let first = self.turn % others.len().max(1);
+        let first = self.probe_count % others.len().max(1);
         others
             .iter()
             .cycle()
@@ -333,6 +335,7 @@
             .collect()
     }
 
+    /// Declares members dead that have been suspect for [`SUSPICION_TIMEOUT`], and forgets members dead for [`DEAD_RETENTION`].
     fn declare_dead(&mut self, now: Duration, output: &mut MembershipOutput) {
         for (ip, member) in &mut self.members {
             if member.state == MemberState::Suspect && now >= member.since + SUSPICION_TIMEOUT {
@@ -346,17 +349,17 @@
         });
     }
 
-    /// Probes the next living member, and now and then all that are lost.
+    /// Probes the next living member, and in some rounds all dead members and unknown seeds.
     fn probe_members(&mut self, now: Duration, alive: Vec<Ip>, output: &mut MembershipOutput) {
         let others: Vec<Ip> = alive.into_iter().filter(|ip| *ip != self.own_ip).collect();
         if !others.is_empty() {
-            self.turn += 1;
-            self.probe(others[self.turn % others.len()], now, output);
+            self.probe_count += 1;
+            self.probe(others[self.probe_count % others.len()], now, output);
         }
-        let is_revisit = self.probe_rounds.is_multiple_of(PROBES_PER_REVISIT);
-        if others.is_empty() || is_revisit {
-            for lost in self.lost_members(&others) {
-                self.probe(lost, now, output);
+        let is_dead_probe_due = self.probe_rounds.is_multiple_of(ROUNDS_PER_DEAD_PROBE);
+        if others.is_empty() || is_dead_probe_due {
+            for ip in self.unreachable_addresses(&others) {
+                self.probe(ip, now, output);
             }
         }
     }
@@ -366,8 +369,8 @@
         output.send(target, GossipBody::Ping { number });
     }
 
-    /// Dead members, and seeds that are no members.
-    fn lost_members(&self, alive: &[Ip]) -> Vec<Ip> {
+    /// Returns the dead members and the seeds that are not members.
+    fn unreachable_addresses(&self, alive: &[Ip]) -> Vec<Ip> {
         let members = self.members.iter();
         let dead = members.filter(|(_, member)| member.state == MemberState::Dead);
         let is_member = |ip: &Ip| alive.contains(ip) || self.members.contains_key(ip);
--- a/crates/control/src/transfer/mod.rs
+++ b/crates/control/src/transfer/mod.rs
@@ -1,16 +1,16 @@
-//! Catching up with a snapshot of items in messages of bounded size, free of I/O.
+//! Synchronization of a receiver with a provider's snapshot of items, in messages of bounded size. This module does no I/O.
 //!
-//! The receiver drives. It sends the digests of its groups of shards ([`TransferMessage::Compare`]); the provider answers
-//! with the digests of the shards of those that differ ([`TransferMessage::Differences`]). The receiver then asks for the
-//! shards that differ, with fingerprints of the items that it has ([`TransferMessage::Request`]), and the provider answers
-//! each request with one chunk of the items missing there ([`TransferMessage::Chunk`]), at most [`CHUNK_BYTES`] of them.
+//! The receiver controls the exchange. It sends the digests of its groups of shards ([`TransferMessage::Compare`]). The
+//! provider answers with the shard digests of the groups that differ ([`TransferMessage::Differences`]). The receiver then
+//! requests the shards that differ, with fingerprints of the items that it has ([`TransferMessage::Request`]). The provider
+//! answers each request with one chunk of the items that the receiver lacks ([`TransferMessage::Chunk`]), which has
+//! [`CHUNK_BYTES`] at most.
 //!
-//! - Pacing: at most [`CHUNKS_IN_FLIGHT`] requests are unanswered; a chunk received is the permission for another.
-//! - Resuming: what was received stays in the receiver's snapshot, and the next comparison, with the same provider or
-//!   another, leaves it out. The provider keeps no state between messages.
-//! - A chunk that comes twice, late, or in another order than its request changes nothing: requests are numbered
-//!   within a round, rounds within a receiver.
-//! - Changes at the provider during a round are in the chunks sent afterwards, or found by the next comparison.
+//! - Flow control: at most [`CHUNKS_IN_FLIGHT`] requests are unanswered; each chunk received permits one more request.
+//! - Resumption: received items stay in the receiver's snapshot, so the next comparison, with the same provider or another
+//!   one, excludes them. The provider keeps no state between messages.
+//! - Duplicate, late or reordered chunks do no harm: requests are numbered within a round, and rounds within a receiver.
+//! - Changes at the provider during a round are contained in the chunks sent afterwards, or found by the next comparison.
 //!
 //! [`TransferMessage::Compare`]: crate::messages::TransferMessage::Compare
 //! [`TransferMessage::Differences`]: crate::messages::TransferMessage::Differences
@@ -24,12 +24,14 @@
 pub use provider::answer;
 pub use receiver::{Received, Receiver};
 
-/// Chunks asked for and not received at most: what other messages on the connection may have to wait for.
+/// Maximum number of chunks requested and not yet received. It bounds how long other messages on the connection wait behind
+/// chunks.
 pub const CHUNKS_IN_FLIGHT: usize = 4;
 
-/// 32 bits of a digest or fingerprint. Each round has others, so that two which are alike by chance differ in the next.
+/// Returns 32 bits of a digest or fingerprint. The bits depend on the round, so that two hashes that collide in one round
+/// differ in the next.
 fn shorten(hash: u64, round: u32) -> u32 {
     const GOLDEN_RATIO: u64 = 0x9e37_79b9_7f4a_7c15;
-    let spread = (hash ^ u64::from(round)).wrapping_mul(GOLDEN_RATIO);
-    (spread >> 32) as u32
+    let mixed = (hash ^ u64::from(round)).wrapping_mul(GOLDEN_RATIO);
+    (mixed >> 32) as u32
 }
--- a/crates/control/src/transfer/provider.rs
+++ b/crates/control/src/transfer/provider.rs
@@ -1,4 +1,4 @@
-//! The side that has the items: each message is answered from the snapshot as it is now.
+//! The provider's side: answers each message from the current snapshot.
 
 use std::collections::HashSet;
 
@@ -6,7 +6,7 @@
 use crate::config::{ConfigSnapshot, GROUPS, Item};
 use crate::messages::{CHUNK_BYTES, Position, ShardDigests, ShardRequest, TransferMessage};
 
-/// The answer to a receiver's message; `None` to a provider's.
+/// Returns the answer to a receiver's message, or `None` if the message is one that a provider sends.
 pub fn answer(snapshot: &ConfigSnapshot, message: &TransferMessage) -> Option<TransferMessage> {
     match message {
         TransferMessage::Compare {
@@ -30,10 +30,11 @@
     }
 }
 
-fn differences(snapshot: &ConfigSnapshot, round: u32, theirs: &[u32]) -> TransferMessage {
+fn differences(snapshot: &ConfigSnapshot, round: u32, receiver_digests: &[u32]) -> TransferMessage {
     let index = snapshot.index();
     let own = index.group_digests();
-    let differs = |group: &usize| theirs.get(*group) != Some(&shorten(own[*group], round));
+    let differs =
+        |group: &usize| receiver_digests.get(*group) != Some(&shorten(own[*group], round));
     let digests = |group: usize| ShardDigests {
         group: group as u8,
         digests: index
@@ -48,7 +49,8 @@
     }
 }
 
-/// As many of the missing items as fit into a chunk, and where they stop if these are not all.
+/// Returns as many of the missing items as fit into one chunk, and the position where they stop if some are left. The first
+/// item is included even if it exceeds [`CHUNK_BYTES`] by itself.
 fn missing_items(
     snapshot: &ConfigSnapshot,
     round: u32,
--- a/crates/control/src/transfer/receiver.rs
+++ b/crates/control/src/transfer/receiver.rs
@@ -1,4 +1,4 @@
-//! The side that catches up: compares, asks for what differs, and knows when a round is complete.
+//! The receiver's side: compares snapshots, requests the shards that differ, and detects when a round is complete.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -7,21 +7,21 @@
 use crate::config::{ConfigSnapshot, Item, ShardId};
 use crate::messages::{Position, ShardDigests, ShardRequest, TransferMessage};
 
-/// Shards asked for in one request at most.
+/// Maximum number of shards in one request.
 const SHARDS_PER_REQUEST: usize = 64;
-/// Fingerprints in one request, beyond which no shard is added to it: those of shards that don't fit into the chunk are
-/// sent again.
+/// Number of fingerprints from which on no further shard is added to a request. The fingerprints of shards that do not fit
+/// into the chunk have to be sent again.
 const FINGERPRINTS_PER_REQUEST: usize = 2048;
-/// A round in which nothing came for this long is given up.
+/// A round counts as stalled if no message for it has arrived for this long.
 const STALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What a message brought.
+/// The result of processing a provider's message.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Received {
-    /// To be merged into the snapshot before [`Receiver::requests`] is called.
+    /// Items to merge into the snapshot before [`Receiver::requests`] is called.
     pub items: Vec<Item>,
-    /// In the message that completes the round, the provider's digest when the round began: with these items merged, the
-    /// receiver has all that the provider had then.
+    /// The provider's digest at the beginning of the round, if this message completes the round. Once `items` are merged, the
+    /// receiver has every item that the provider had then.
     pub complete: Option<u64>,
 }
 
@@ -33,31 +33,32 @@
     Fetching(Fetch),
 }
 
-/// What is left to be fetched in a round.
+/// The state of a round after the comparison.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Fetch {
     /// The provider's digest when the round began.
     digest: u64,
+    /// Positions that are yet to be requested.
     pending: VecDeque<Position>,
-    /// Requests that are not answered, by number.
+    /// Positions of each unanswered request, by the request's number.
     in_flight: BTreeMap<u32, Vec<Position>>,
     next_chunk: u32,
 }
 
-/// One receiver's rounds, each with one provider.
+/// The state of one receiver. Each round is with one provider.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Receiver {
     round: u32,
     phase: Phase,
-    last_progress: Duration,
+    last_progress_at: Duration,
 }
 
 impl Receiver {
-    /// Begins a round in place of any before it: the comparison to be sent to the provider.
+    /// Begins a round, abandoning any earlier one. Returns the comparison to send to the provider.
     pub fn begin(&mut self, snapshot: &ConfigSnapshot, now: Duration) -> TransferMessage {
         self.round = self.round.wrapping_add(1);
         self.phase = Phase::Comparing;
-        self.last_progress = now;
+        self.last_progress_at = now;
         let digests = snapshot.index().group_digests().iter();
         TransferMessage::Compare {
             round: self.round,
@@ -65,22 +66,22 @@
         }
     }
 
-    /// Gives the round up, as when the provider is gone.
+    /// Abandons the round, for example because the connection to the provider is lost.
     pub fn abort(&mut self) {
         self.phase = Phase::Idle;
     }
 
-    /// Whether no round is under way.
+    /// Returns whether no round is in progress.
     pub fn is_idle(&self) -> bool {
         self.phase == Phase::Idle
     }
 
-    /// Whether a round is under way in which nothing has come for long: the messages may be lost.
+    /// Returns whether a round is in progress that made no progress for `STALL_TIMEOUT`; its messages may be lost.
     pub fn is_stalled(&self, now: Duration) -> bool {
-        !self.is_idle() && now >= self.last_progress + STALL_TIMEOUT
+        !self.is_idle() && now >= self.last_progress_at + STALL_TIMEOUT
     }
 
-    /// Takes a message of the provider. What is not of this round, or was received before, brings nothing.
+    /// Processes a message of the provider. Messages of other rounds and duplicates give an empty result.
     pub fn receive(
         &mut self,
         snapshot: &ConfigSnapshot,
@@ -116,17 +117,17 @@
                 let Some(requested) = fetch.in_flight.remove(&chunk) else {
                     return Received::default();
                 };
-                fetch.request_rest(requested, stopped);
+                fetch.requeue_rest(requested, stopped);
                 (items, fetch.digest)
             }
             _ => return Received::default(),
         };
-        self.last_progress = now;
+        self.last_progress_at = now;
         let complete = self.finish_if_complete().then_some(digest);
         Received { items, complete }
     }
 
-    /// Requests that may be sent now; the snapshot holds all items received.
+    /// Returns the requests that may be sent now. `snapshot` must contain all items received so far.
     pub fn requests(&mut self, snapshot: &ConfigSnapshot) -> Vec<TransferMessage> {
         let round = self.round;
         let Phase::Fetching(fetch) = &mut self.phase else {
@@ -139,7 +140,7 @@
         requests
     }
 
-    /// Ends the round where nothing is missing any more; returns whether it did.
+    /// Ends the round if no request is pending or in flight. Returns whether the round ended.
     fn finish_if_complete(&mut self) -> bool {
         let complete = match &self.phase {
             Phase::Fetching(fetch) => fetch.pending.is_empty() && fetch.in_flight.is_empty(),
@@ -176,8 +177,8 @@
         }
     }
 
-    /// The shards of a request that its chunk did not complete are asked for again, from where it stopped.
-    fn request_rest(&mut self, requested: Vec<Position>, stopped: Option<Position>) {
+    /// Requeues the part of a request that its chunk did not cover, from the position where the chunk stopped.
+    fn requeue_rest(&mut self, requested: Vec<Position>, stopped: Option<Position>) {
         let Some(stopped) = stopped else { return };
         let rest = requested
             .into_iter()
--- a/crates/control/src/voters.rs
+++ b/crates/control/src/voters.rs
@@ -1,55 +1,57 @@
-//! The voters of the system and their epoch, as the configuration store agreed upon them.
+//! The voters of the system and their epoch, as decided by the configuration store.
 //!
-//! The set is changed one member at a time, and every change raises the epoch. The lease of the coordinator rests on
-//! two properties of these changes:
+//! The set changes by one member at a time, and every change increments the epoch. The coordinator's lease is safe only if
+//! these changes have two properties:
 //!
-//! - majorities of consecutive epochs have a member in common ([`VoterSet::majorities_meet`]), which the store ensures;
-//! - a store accepts a change of epoch only [`crate::lease::EPOCH_SPACING`] after the one before, which it does not ensure
-//!   yet: two changes that follow each other more quickly are not covered.
+//! - Majorities of consecutive epochs have a member in common ([`VoterSet::majorities_meet`]). The store ensures this.
+//! - A store accepts a change of epoch no earlier than [`crate::lease::EPOCH_SPACING`] after the previous change. The store
+//!   does not enforce this yet: the lease is not safe if two changes follow each other within a shorter time.
 
 use crate::address::Ip;
 
-/// The voters of one epoch, by machine.
+/// The voters of one epoch, identified by the addresses of their machines.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct VoterSet {
-    /// Counts the changes of the set.
+    /// The number of the set; every change increments it.
     pub epoch: u64,
     /// Sorted, without duplicates.
     voters: Vec<Ip>,
 }
 
 impl VoterSet {
-    /// The set of these voters.
+    /// Creates the voter set of an epoch. The order and duplicates of `voters` do not matter.
     pub fn new(epoch: u64, mut voters: Vec<Ip>) -> Self {
         voters.sort_unstable();
         voters.dedup();
         VoterSet { epoch, voters }
     }
 
-    /// The voters in order.
+    /// Returns the voters in ascending order.
     pub fn voters(&self) -> &[Ip] {
         &self.voters
     }
 
-    /// Whether that machine is a voter.
+    /// Returns whether the machine is a voter.
     pub fn contains(&self, ip: Ip) -> bool {
         self.voters.binary_search(&ip).is_ok()
     }
 
-    /// How many voters make a majority.
+    /// Returns the size of a majority of this set.
     pub fn majority(&self) -> usize {
         majority(self.voters.len())
     }
 
-    /// Whether every majority of this set has a member in common with every majority of the other. Adding or removing
-    /// one member keeps this; replacing one does in sets of an even number only.
+    /// Returns whether every majority of this set has a member in common with every majority of `other`. This holds where the
+    /// sets differ by one added or removed member. Where one member was replaced by another, it holds for sets of even size
+    /// only.
     pub fn majorities_meet(&self, other: &VoterSet) -> bool {
         let common = self.voters.iter().filter(|ip| other.contains(**ip)).count();
         let union = self.voters.len() + other.voters.len() - common;
         self.majority() + other.majority() > union
     }
 
-    /// The latest time that a majority has reached, each of its members by its own time; `None` counts as never.
+    /// Returns the latest time `t` such that `time_of(voter) >= t` for a majority of the voters. `time_of` returns `None` for a
+    /// voter without a time; the result is `None` if fewer voters than a majority have one.
     pub fn majority_time<T: Ord + Copy>(&self, time_of: impl Fn(Ip) -> Option<T>) -> Option<T> {
         let mut times: Vec<T> = self.voters.iter().filter_map(|ip| time_of(*ip)).collect();
         times.sort_unstable_by(|a, b| b.cmp(a));
@@ -57,7 +59,7 @@
     }
 }
 
-/// How many of so many voters make a majority.
+/// Returns the size of a majority of `voters` voters.
 pub fn majority(voters: usize) -> usize {
     voters / 2 + 1
 }
