--- a/crates/control/tests/allotment_model.rs
+++ b/crates/control/tests/allotment_model.rs
@@ -1,6 +1,7 @@
-//! Allotments explored exhaustively over the ledger and the holdings themselves: two proxies and coordinators of several
-//! terms, messages lost, late, reordered and doubled, proxies restarted, time that passes. What is held of a tenant never
-//! exceeds the whole. `MODEL=all` explores more steps.
+//! Exhaustive model check of `AllotmentLedger` and `AllotmentHolding` with two proxies and coordinators of several terms.
+//! Messages are lost, delayed, reordered and duplicated, proxies restart, and leases expire.
+//!
+//! Invariant: the parts that all proxies hold of a tenant never exceed `PARTS`. `MODEL=all` explores more events.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -12,18 +13,18 @@
 use stateright::{Checker, Model, Property};
 
 const TENANT: &str = "x";
-/// Longer than any message lives, and half of a holder's lease and a bit.
-const PASS: Duration = Duration::from_secs(HOLDING_LEASE.as_secs() / 2 + 20);
+/// Longer than the lifetime of any message, and slightly more than half of a holder's lease.
+const TIME_STEP: Duration = Duration::from_secs(HOLDING_LEASE.as_secs() / 2 + 20);
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Body {
-    Held(Vec<u32>),
-    Set(u64, Vec<u32>),
-    Taken(u64),
-    Status,
+    Report(Vec<u32>),
+    Change(u64, Vec<u32>),
+    Acknowledge(u64),
+    Renew,
 }
 
-/// A message from or to a proxy's incarnation, under a coordinator's term.
+/// A message between a proxy's incarnation and the coordinator of a term.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 struct Envelope {
     incarnation: u64,
@@ -43,43 +44,45 @@
     term: u64,
     ledger: AllotmentLedger,
     proxies: Vec<Proxy>,
-    /// Incarnations that have ended, and that the coordinator may learn of.
+    /// Incarnations that have ended, whose end the coordinator may still learn of.
     ended: BTreeSet<u64>,
     network: BTreeSet<Envelope>,
     budget: Budget,
 }
 
-/// What may yet happen.
+/// How many more events of each kind may happen.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Budget {
     divisions: u8,
     terms: u8,
     restarts: u8,
-    passes: u8,
-    statuses: u8,
+    time_steps: u8,
+    renewals: u8,
     connections: u8,
-    doubled: u8,
+    duplicates: u8,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-enum Step {
+enum Event {
     NewTerm,
-    /// A proxy connects to the coordinator, and reports.
+    /// The proxy connects to the coordinator and reports its allotments.
     Connect(usize),
-    /// All demand is at one proxy.
+    /// The coordinator divides the quota, with all demand at this proxy.
     Divide(usize),
-    Status(usize),
+    /// The coordinator renews the proxy's lease.
+    Renew(usize),
     Deliver(Envelope),
-    /// It is delivered, and will come once more.
-    DeliverDoubled(Envelope),
+    /// The message is delivered, and may be delivered again.
+    DeliverAndKeep(Envelope),
+    /// The proxy restarts with a new incarnation.
     Restart(usize),
     /// The coordinator learns that an incarnation has ended.
     Release(u64),
-    /// Time passes; what was on its way is lost.
-    Pass,
+    /// Time advances by `TIME_STEP`; messages in flight are lost.
+    AdvanceTime,
 }
 
-struct Scene {
+struct AllotmentModel {
     budget: Budget,
 }
 
@@ -115,26 +118,26 @@
         } = *envelope;
         let now = self.now;
         match &envelope.body {
-            Body::Held(held) if term == self.term => {
+            Body::Report(held) if term == self.term => {
                 self.ledger.report(incarnation, &allotments(held), now);
             }
-            Body::Taken(revision) if term == self.term => {
+            Body::Acknowledge(revision) if term == self.term => {
                 self.ledger.acknowledge(incarnation, *revision);
             }
-            Body::Set(revision, set) => {
-                let is_taken = self.proxy(incarnation).is_some_and(|proxy| {
+            Body::Change(revision, set) => {
+                let is_applied = self.proxy(incarnation).is_some_and(|proxy| {
                     proxy.holding.change(term, *revision, &allotments(set), now)
                 });
-                if is_taken {
-                    self.send(incarnation, term, Body::Taken(*revision));
+                if is_applied {
+                    self.send(incarnation, term, Body::Acknowledge(*revision));
                 }
             }
-            Body::Status => {
+            Body::Renew => {
                 if let Some(proxy) = self.proxy(incarnation) {
                     proxy.holding.renew(term, now);
                 }
             }
-            Body::Held(_) | Body::Taken(_) => {}
+            Body::Report(_) | Body::Acknowledge(_) => {}
         }
     }
 
@@ -143,14 +146,14 @@
         proxies.find(|proxy| proxy.incarnation == incarnation)
     }
 
-    fn divide(&mut self, asked: usize) {
+    fn divide(&mut self, demanding: usize) {
         let demand = TenantDemand {
             tenant: TENANT.into(),
-            by_incarnation: BTreeMap::from([(self.proxies[asked].incarnation, 1.0)]),
+            by_incarnation: BTreeMap::from([(self.proxies[demanding].incarnation, 1.0)]),
         };
         let (now, term) = (self.now, self.term);
         for change in self.ledger.divide(&[demand], now) {
-            let body = Body::Set(change.revision, parts(&change.allotments));
+            let body = Body::Change(change.revision, parts(&change.allotments));
             self.send(change.incarnation, term, body);
         }
     }
@@ -161,7 +164,7 @@
         proxy.holding.observe_term(term);
         let held = parts(&proxy.holding.report(now));
         let incarnation = proxy.incarnation;
-        self.send(incarnation, term, Body::Held(held));
+        self.send(incarnation, term, Body::Report(held));
     }
 
     fn restart(&mut self, index: usize) {
@@ -174,9 +177,9 @@
     }
 }
 
-impl Model for Scene {
+impl Model for AllotmentModel {
     type State = State;
-    type Action = Step;
+    type Action = Event;
 
     fn init_states(&self) -> Vec<State> {
         let mut ledger = AllotmentLedger::default();
@@ -196,81 +199,81 @@
         }]
     }
 
-    fn actions(&self, state: &State, steps: &mut Vec<Step>) {
+    fn actions(&self, state: &State, events: &mut Vec<Event>) {
         let budget = &state.budget;
         for index in 0..state.proxies.len() {
             if budget.connections > 0 {
-                steps.push(Step::Connect(index));
+                events.push(Event::Connect(index));
             }
             if budget.divisions > 0 {
-                steps.push(Step::Divide(index));
+                events.push(Event::Divide(index));
             }
             if budget.restarts > 0 {
-                steps.push(Step::Restart(index));
+                events.push(Event::Restart(index));
             }
             let incarnation = state.proxies[index].incarnation;
             let may_renew = state.ledger.may_renew(incarnation, state.now);
-            if budget.statuses > 0 && may_renew {
-                steps.push(Step::Status(index));
+            if budget.renewals > 0 && may_renew {
+                events.push(Event::Renew(index));
             }
         }
         if budget.terms > 0 {
-            steps.push(Step::NewTerm);
+            events.push(Event::NewTerm);
         }
-        if budget.passes > 0 {
-            steps.push(Step::Pass);
+        if budget.time_steps > 0 {
+            events.push(Event::AdvanceTime);
         }
-        steps.extend(state.ended.iter().map(|ended| Step::Release(*ended)));
+        events.extend(state.ended.iter().map(|ended| Event::Release(*ended)));
         for envelope in &state.network {
-            steps.push(Step::Deliver(envelope.clone()));
-            if budget.doubled > 0 {
-                steps.push(Step::DeliverDoubled(envelope.clone()));
+            events.push(Event::Deliver(envelope.clone()));
+            if budget.duplicates > 0 {
+                events.push(Event::DeliverAndKeep(envelope.clone()));
             }
         }
     }
 
-    fn next_state(&self, before: &State, step: Step) -> Option<State> {
+    fn next_state(&self, before: &State, event: Event) -> Option<State> {
         let mut state = before.clone();
-        match step {
-            Step::NewTerm => {
+        match event {
+            Event::NewTerm => {
                 state.budget.terms -= 1;
                 state.term += 1;
                 let now = state.now;
                 state.ledger.begin_term(false, now);
             }
-            Step::Connect(index) => {
+            Event::Connect(index) => {
                 state.budget.connections -= 1;
                 state.connect(index);
             }
-            Step::Divide(asked) => {
+            Event::Divide(demanding) => {
                 state.budget.divisions -= 1;
-                state.divide(asked);
+                state.divide(demanding);
             }
-            Step::Status(index) => {
-                state.budget.statuses -= 1;
+            Event::Renew(index) => {
+                state.budget.renewals -= 1;
                 let (incarnation, term) = (state.proxies[index].incarnation, state.term);
-                state.send(incarnation, term, Body::Status);
+                state.send(incarnation, term, Body::Renew);
             }
-            Step::Deliver(envelope) => {
+            Event::Deliver(envelope) => {
                 state.network.remove(&envelope);
                 state.receive(&envelope);
             }
-            Step::DeliverDoubled(envelope) => {
-                state.budget.doubled -= 1;
+            Event::DeliverAndKeep(envelope) => {
+                state.budget.duplicates -= 1;
                 state.receive(&envelope);
             }
-            Step::Restart(index) => {
+            Event::Restart(index) => {
                 state.budget.restarts -= 1;
                 state.restart(index);
             }
-            Step::Release(ended) => {
+            Event::Release(ended) => {
                 state.ended.remove(&ended);
                 state.ledger.release(ended);
             }
-            Step::Pass => {
-                state.budget.passes -= 1;
+            Event::AdvanceTime => {
+                state.budget.time_steps -= 1;
                 state.network.clear();
-                state.now += PASS;
+                state.now += TIME_STEP;
             }
         }
         Some(state)
@@ -278,14 +281,14 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("no more than the whole is held", |_, state: &State| {
+            Property::always("allotments never exceed the whole", |_, state: &State| {
                 state.held() <= u64::from(PARTS)
             }),
-            Property::sometimes("a proxy holds the whole", |_, state: &State| {
+            Property::sometimes("one proxy holds the whole", |_, state: &State| {
                 state.held() == u64::from(PARTS)
             }),
             Property::sometimes(
-                "the second takes over from the first",
+                "all parts move from the first to the second proxy",
                 |_, state: &State| {
                     let held = |index: usize| state.proxies[index].holding.parts(TENANT, state.now);
                     held(0) == 0 && held(1) == PARTS && state.budget.divisions == 0
@@ -295,56 +298,61 @@
     }
 }
 
-fn explore(name: &str, budget: Budget) {
-    let checker = Scene { budget }.checker().threads(4).spawn_bfs().join();
+fn check(name: &str, budget: Budget) {
+    let checker = AllotmentModel { budget }
+        .checker()
+        .threads(4)
+        .spawn_bfs()
+        .join();
     println!("{name}: {} states", checker.unique_state_count());
-    checker.assert_no_discovery("no more than the whole is held");
-    checker.assert_any_discovery("a proxy holds the whole");
-    checker.assert_any_discovery("the second takes over from the first");
+    checker.assert_no_discovery("allotments never exceed the whole");
+    checker.assert_any_discovery("one proxy holds the whole");
+    checker.assert_any_discovery("all parts move from the first to the second proxy");
 }
 
-fn is_full() -> bool {
+/// Whether the environment asks for the extended exploration (`MODEL=all`).
+fn is_extended() -> bool {
     std::env::var("MODEL").is_ok_and(|model| model == "all")
 }
 
 #[test]
-fn over_a_change_of_coordinator_no_more_than_the_whole_is_held() {
+fn allotments_never_exceed_the_whole_across_a_change_of_coordinator() {
     let budget = Budget {
         divisions: 3,
         terms: 1,
         restarts: 0,
-        passes: 0,
-        statuses: 0,
-        connections: if is_full() { 5 } else { 4 },
-        doubled: 1,
+        time_steps: 0,
+        renewals: 0,
+        connections: if is_extended() { 5 } else { 4 },
+        duplicates: 1,
     };
-    explore("change of coordinator", budget);
+    check("change of coordinator", budget);
 }
 
 #[test]
-fn over_restarts_no_more_than_the_whole_is_held() {
+fn allotments_never_exceed_the_whole_across_proxy_restarts() {
     let budget = Budget {
         divisions: 3,
-        terms: if is_full() { 1 } else { 0 },
+        terms: if is_extended() { 1 } else { 0 },
         restarts: 1,
-        passes: 0,
-        statuses: 0,
+        time_steps: 0,
+        renewals: 0,
         connections: 4,
-        doubled: 0,
+        duplicates: 0,
     };
-    explore("restarts", budget);
+    check("proxy restarts", budget);
 }
 
 #[test]
-fn over_expired_leases_no_more_than_the_whole_is_held() {
+fn allotments_never_exceed_the_whole_when_leases_expire() {
     let budget = Budget {
         divisions: 3,
         terms: 1,
         restarts: 0,
-        passes: 3,
-        statuses: 2,
-        connections: if is_full() { 4 } else { 3 },
-        doubled: 0,
+        time_steps: 3,
+        renewals: 2,
+        connections: if is_extended() { 4 } else { 3 },
+        duplicates: 0,
     };
-    explore("expired leases", budget);
+    check("expired leases", budget);
 }
--- a/crates/control/tests/contact.rs
+++ b/crates/control/tests/contact.rs
@@ -1,4 +1,4 @@
-//! Contact with a majority of the voters, over lossy links and cuts.
+//! Contact with a majority of the voters, with datagram loss, a network partition and a process pause.
 
 use std::time::Duration;
 
@@ -16,18 +16,20 @@
     VoterSet::new(1, (1..=n).map(|i| [10, 0, 0, i]).collect())
 }
 
-/// Plays the first of `n` voters; `reached` says whether a question to that voter is answered. Tells when it was in contact.
-fn play(
+/// Simulates the first of `n` voters over the time range `ms`, with a round trip of 110 ms. `is_answered` states whether a
+/// probe to that voter at that time is answered. Returns, every 50 ms, the time and whether the registry is
+/// in contact.
+fn simulate(
     n: u8,
     ms: std::ops::Range<u64>,
-    reached: &mut dyn FnMut(Ip, u64) -> bool,
+    is_answered: &mut dyn FnMut(Ip, u64) -> bool,
 ) -> Vec<(u64, bool)> {
     let mut contact = Contact::new([10, 0, 0, 1]);
     contact.set_voters(voters(n));
-    let (mut answers, mut seen) = (Vec::new(), Vec::new());
+    let (mut answers, mut samples) = (Vec::new(), Vec::new());
     for t in ms.step_by(50) {
         for (to, number) in contact.tick(at(t)) {
-            if reached(to, t) {
+            if is_answered(to, t) {
                 answers.push((t + 110, to, number));
             }
         }
@@ -37,52 +39,61 @@
             }
             *due > t
         });
-        seen.push((t, contact.is_in_contact(at(t))));
+        samples.push((t, contact.is_in_contact(at(t))));
     }
-    seen
+    samples
 }
 
 #[test]
-fn a_cut_ends_contact_within_the_bound_and_joining_brings_it_back_at_once() {
-    // Two of six on this side of the cut.
-    let seen = play(6, 0..30_000, &mut |to, t| {
+fn a_partition_ends_contact_within_the_timeout_and_healing_restores_it() {
+    // Two of the six voters are on the registry's side of the partition.
+    let samples = simulate(6, 0..30_000, &mut |to, t| {
         to[3] <= 2 || !(5000..25_000).contains(&t)
     });
-    let is = |t: u64| seen.iter().find(|s| s.0 == t).expect("played").1;
-    assert!(!is(0) && is(300), "contact takes long at the start");
-    assert!(is(4950) && is(7000));
+    let in_contact_at = |t: u64| samples.iter().find(|s| s.0 == t).expect("a sample").1;
     assert!(
-        !is(5000 + CONTACT_TIMEOUT.as_millis() as u64) && !is(24_950),
-        "in contact with two of six"
+        !in_contact_at(0) && in_contact_at(300),
+        "no contact 300 ms after the start"
+    );
+    assert!(in_contact_at(4950) && in_contact_at(7000));
+    assert!(
+        !in_contact_at(5000 + CONTACT_TIMEOUT.as_millis() as u64) && !in_contact_at(24_950),
+        "in contact with two of six voters"
+    );
+    assert!(
+        in_contact_at(25_700),
+        "no contact 700 ms after the partition healed"
     );
-    assert!(is(25_700), "the cut healed and contact did not");
 }
 
 #[test]
-fn lost_datagrams_do_not_end_contact() {
+fn loss_of_30_percent_of_the_probes_does_not_end_contact() {
     for n in [3, 6, 9] {
         let mut rng = SmallRng::seed_from_u64(n.into());
-        // Three of ten round trips are lost, for ten minutes.
-        let seen = play(n, 0..600_000, &mut |_, _| rng.random::<f64>() < 0.7);
-        let out = seen.iter().filter(|s| s.0 > 1000 && !s.1).count();
-        assert_eq!(out, 0, "{n} voters");
+        // 30 % of the round trips are lost for ten minutes.
+        let samples = simulate(n, 0..600_000, &mut |_, _| rng.random::<f64>() < 0.7);
+        let out_of_contact = samples
+            .iter()
+            .filter(|sample| sample.0 > 1000 && !sample.1)
+            .count();
+        assert_eq!(out_of_contact, 0, "{n} voters");
     }
 }
 
 #[test]
-fn without_voters_or_behind_a_freeze_there_is_no_contact() {
+fn a_registry_without_voters_or_after_a_process_pause_is_out_of_contact() {
     let mut contact = Contact::new([10, 0, 0, 1]);
     assert!(contact.tick(at(100)).is_empty() && !contact.is_in_contact(at(100)));
     contact.set_voters(voters(3));
-    let questions = contact.tick(at(200));
-    assert_eq!(questions.len(), 2);
-    questions
+    let probes = contact.tick(at(200));
+    assert_eq!(probes.len(), 2);
+    probes
         .iter()
         .for_each(|(to, number)| contact.receive_answer(*to, *number));
     assert!(contact.is_in_contact(at(200)));
-    // Frozen for ten seconds: answers to old questions, and of those who are no voters, count for nothing.
+    // The process was paused for ten seconds: answers to old probes and answers from other machines than voters do not count.
     assert!(!contact.is_in_contact(at(10_200)));
-    questions
+    probes
         .iter()
         .for_each(|(to, number)| contact.receive_answer(*to, *number));
     let (_, number) = contact.tick(at(10_250))[0];
--- a/crates/control/tests/transfer.rs
+++ b/crates/control/tests/transfer.rs
@@ -1,5 +1,8 @@
-//! Catching up over a connection that loses, doubles and reorders messages and breaks off, while the provider's items
-//! change: what a complete round promises holds, and without further losses both sides become alike.
+//! The transfer protocol over a connection that loses, duplicates and reorders messages and is interrupted, while the
+//! provider's items change.
+//!
+//! Invariants: after a complete round the receiver has every item that the provider had at the round's comparison, in the
+//! same version or a later one. Once messages are no longer lost, both snapshots become equal.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -35,75 +38,82 @@
 }
 
 #[derive(Default)]
-struct World {
-    provider: ConfigSnapshot,
-    held: ConfigSnapshot,
+struct Simulation {
+    provider_snapshot: ConfigSnapshot,
+    receiver_snapshot: ConfigSnapshot,
     receiver: Receiver,
     to_provider: Vec<TransferMessage>,
     to_receiver: Vec<TransferMessage>,
-    /// What the provider had when it answered each round's comparison.
-    compared: HashMap<u32, ConfigSnapshot>,
+    /// The provider's snapshot when it first answered the comparison of each round.
+    provider_at_comparison: HashMap<u32, ConfigSnapshot>,
     round: u32,
     completed: bool,
 }
 
-impl World {
+impl Simulation {
     fn reconnect(&mut self) {
         self.to_provider.clear();
         self.to_receiver.clear();
         self.begin_round();
     }
 
-    /// Another round while messages of the one before are still on their way.
+    /// Begins a round while messages of the previous round may still be in flight.
     fn begin_round(&mut self) {
         self.completed = false;
         self.round += 1;
-        self.to_provider.push(self.receiver.begin(&self.held, NOW));
+        self.to_provider
+            .push(self.receiver.begin(&self.receiver_snapshot, NOW));
     }
 
     fn provide(&mut self, message: &TransferMessage) {
         if let TransferMessage::Compare { round, .. } = message {
-            self.compared
+            self.provider_at_comparison
                 .entry(*round)
-                .or_insert_with(|| self.provider.clone());
+                .or_insert_with(|| self.provider_snapshot.clone());
         }
-        let reply = answer(&self.provider, message).expect("a receiver's message has an answer");
+        let reply =
+            answer(&self.provider_snapshot, message).expect("a receiver's message has an answer");
         if let TransferMessage::Chunk { items, .. } = &reply {
             let bytes: usize = items.iter().map(Item::wire_bytes).sum();
-            assert!(bytes <= CHUNK_BYTES, "a chunk of {bytes} bytes");
+            assert!(bytes <= CHUNK_BYTES, "a chunk has {bytes} bytes");
         }
         self.to_receiver.push(reply);
     }
 
     fn receive(&mut self, message: TransferMessage) {
-        let Received { items, complete } = self.receiver.receive(&self.held, message, NOW);
-        merge_all(&mut self.held, items);
-        self.to_provider.extend(self.receiver.requests(&self.held));
-        let asked = |m: &&TransferMessage| matches!(m, TransferMessage::Request { round, .. } if *round == self.round);
-        let requests = self.to_provider.iter().filter(asked).count();
+        let Received { items, complete } =
+            self.receiver.receive(&self.receiver_snapshot, message, NOW);
+        merge_all(&mut self.receiver_snapshot, items);
+        self.to_provider
+            .extend(self.receiver.requests(&self.receiver_snapshot));
+        let is_request = |message: &&TransferMessage| matches!(message, TransferMessage::Request { round, .. } if *round == self.round);
+        let requests = self.to_provider.iter().filter(is_request).count();
         assert!(
             requests <= CHUNKS_IN_FLIGHT,
-            "{requests} requests of one round"
+            "{requests} queued requests in one round"
         );
         if complete.is_some() {
             self.completed = true;
-            for (key, item) in self.compared[&self.round].items() {
-                let held = self.held.get(key).map_or(0, |held| held.version);
+            for (key, item) in self.provider_at_comparison[&self.round].items() {
+                let held = self
+                    .receiver_snapshot
+                    .get(key)
+                    .map_or(0, |held| held.version);
                 assert!(
                     held >= item.version,
-                    "complete without {key:?} {}",
+                    "the round is complete without {key:?} version {}",
                     item.version
                 );
             }
         }
     }
 
-    /// One event, by a number.
+    /// Applies one random event, selected by `choice`.
     fn step(&mut self, choice: u16) {
         let pick = usize::from(choice / 8);
         match choice % 8 {
             0 => merge_all(
-                &mut self.provider,
+                &mut self.provider_snapshot,
                 vec![item(choice / 8 % 400, u64::from(choice % 23))],
             ),
             1 if pick % 8 == 0 => self.reconnect(),
@@ -112,12 +122,14 @@
                 drop(self.to_receiver.remove(pick % self.to_receiver.len()));
             }
             3 if !self.to_receiver.is_empty() => {
-                let doubled = self.to_receiver[pick % self.to_receiver.len()].clone();
-                self.receive(doubled.clone());
-                let again = self.receiver.receive(&self.held, doubled, NOW);
+                let duplicate = self.to_receiver[pick % self.to_receiver.len()].clone();
+                self.receive(duplicate.clone());
+                let again = self
+                    .receiver
+                    .receive(&self.receiver_snapshot, duplicate, NOW);
                 assert!(
                     again == Received::default(),
-                    "the second of two alike brings something"
+                    "a duplicate message has a result"
                 );
             }
             4 | 5 if !self.to_provider.is_empty() => {
@@ -132,7 +144,8 @@
         }
     }
 
-    fn run_without_losses(&mut self) {
+    /// Reconnects and runs one round in which every message is delivered.
+    fn run_without_loss(&mut self) {
         self.reconnect();
         while let Some(message) = self.to_provider.pop() {
             self.provide(&message);
@@ -143,32 +156,42 @@
     }
 }
 
-fn converges(theirs: Versions, ours: Versions, choices: Vec<u16>) -> TestResult {
-    let mut world = World::default();
-    let provided = theirs
+fn converges(
+    provider_versions: Versions,
+    receiver_versions: Versions,
+    choices: Vec<u16>,
+) -> TestResult {
+    let mut simulation = Simulation::default();
+    let provided = provider_versions
         .iter()
         .map(|(n, version)| item(n % 400, (*version).into()));
-    merge_all(&mut world.provider, provided.collect());
-    // The receiver lacks some, has older ones of others, and has none that the provider never had.
-    for (n, version) in ours {
-        let known = world
-            .provider
+    merge_all(&mut simulation.provider_snapshot, provided.collect());
+    // The receiver lacks some items, has older versions of others, and has no item that the provider never had.
+    for (n, version) in receiver_versions {
+        let known = simulation
+            .provider_snapshot
             .get(&item(n % 400, 0).key)
             .map(|known| known.version);
         let older = known.map(|known| item(n % 400, known.min(version.into())));
-        merge_all(&mut world.held, older.into_iter().collect());
+        merge_all(
+            &mut simulation.receiver_snapshot,
+            older.into_iter().collect(),
+        );
     }
-    world.reconnect();
-    choices.into_iter().for_each(|choice| world.step(choice));
-    world.run_without_losses();
-    assert!(world.completed && world.receiver.is_idle());
+    simulation.reconnect();
+    choices
+        .into_iter()
+        .for_each(|choice| simulation.step(choice));
+    simulation.run_without_loss();
+    assert!(simulation.completed && simulation.receiver.is_idle());
     TestResult::from_bool(
-        world.held == world.provider && world.held.digest() == world.provider.digest(),
+        simulation.receiver_snapshot == simulation.provider_snapshot
+            && simulation.receiver_snapshot.digest() == simulation.provider_snapshot.digest(),
     )
 }
 
 #[test]
-fn a_lossy_connection_delays_but_a_complete_round_has_all() {
+fn complete_rounds_have_all_items_and_snapshots_converge_over_a_lossy_connection() {
     QuickCheck::new()
         .tests(400)
         .rng(quickcheck::Gen::new(300))
@@ -176,51 +199,51 @@
 }
 
 #[test]
-fn an_older_item_of_the_provider_does_not_stop_a_round() {
-    let mut world = World::default();
-    // All in the provider are older than what the receiver has, and more than one chunk's worth.
+fn a_round_completes_although_the_provider_has_older_items() {
+    let mut simulation = Simulation::default();
+    // All of the provider's items are older than the receiver's, and they do not fit into one chunk.
     for n in 0..400 {
-        merge_all(&mut world.provider, vec![item(n, 1)]);
-        merge_all(&mut world.held, vec![item(n, 2)]);
+        merge_all(&mut simulation.provider_snapshot, vec![item(n, 1)]);
+        merge_all(&mut simulation.receiver_snapshot, vec![item(n, 2)]);
     }
-    world.run_without_losses();
+    simulation.run_without_loss();
     assert!(
-        world.completed
-            && world
-                .held
+        simulation.completed
+            && simulation
+                .receiver_snapshot
                 .get(&item(6, 0).key)
                 .is_some_and(|item| item.version == 2)
     );
 }
 
 #[test]
-fn one_changed_item_of_many_costs_little() {
-    let mut world = World::default();
+fn one_changed_item_of_many_transfers_less_than_1000_bytes() {
+    let mut simulation = Simulation::default();
     for n in 0..20_000 {
-        world.provider.insert(item(n - n % 7, 1));
+        simulation.provider_snapshot.insert(item(n - n % 7, 1));
     }
-    world.held = world.provider.clone();
-    merge_all(&mut world.provider, vec![item(7, 2)]);
+    simulation.receiver_snapshot = simulation.provider_snapshot.clone();
+    merge_all(&mut simulation.provider_snapshot, vec![item(7, 2)]);
     let bytes = |message: &TransferMessage| damsonbeam_control::messages::encode(message).len();
-    let mut sent = 0;
-    world.reconnect();
-    while let Some(message) = world.to_provider.pop() {
-        sent += bytes(&message);
-        world.provide(&message);
-        while let Some(message) = world.to_receiver.pop() {
-            sent += bytes(&message);
-            world.receive(message);
+    let mut transferred = 0;
+    simulation.reconnect();
+    while let Some(message) = simulation.to_provider.pop() {
+        transferred += bytes(&message);
+        simulation.provide(&message);
+        while let Some(message) = simulation.to_receiver.pop() {
+            transferred += bytes(&message);
+            simulation.receive(message);
         }
     }
-    assert!(world.completed && world.held == world.provider);
-    assert!(sent < 1_000, "{sent} bytes");
+    assert!(simulation.completed && simulation.receiver_snapshot == simulation.provider_snapshot);
+    assert!(transferred < 1_000, "transferred {transferred} bytes");
 }
 
 #[test]
-fn a_list_is_cut_into_pieces_that_together_are_the_list() {
+fn split_items_returns_bounded_chunks_that_concatenate_to_the_list() {
     let all: Vec<Item> = (0..200).map(|n| item(n, 1)).collect();
-    let pieces = split_items(all.clone());
-    let size = |piece: &Vec<Item>| piece.iter().map(Item::wire_bytes).sum::<usize>();
-    assert!(pieces.len() > 10 && pieces.iter().all(|piece| size(piece) <= CHUNK_BYTES));
-    assert_eq!(pieces.concat(), all);
+    let chunks = split_items(all.clone());
+    let size = |chunk: &Vec<Item>| chunk.iter().map(Item::wire_bytes).sum::<usize>();
+    assert!(chunks.len() > 10 && chunks.iter().all(|chunk| size(chunk) <= CHUNK_BYTES));
+    assert_eq!(chunks.concat(), all);
 }
