--- a/crates/control/src/allotment/ledger.rs
+++ b/crates/control/src/allotment/ledger.rs
@@ -8,10 +8,10 @@
 
 /// A holder that has sent nothing for this long counts as out of contact, and as using all that it holds.
 const CONTACT_TIMEOUT: Duration = Duration::from_millis(1300);
-/// The smallest change that is sent, in parts. Half of an equal share (`PARTS / (2 * holders)`) applies instead where that is
-/// smaller.
+/// The smallest change that is sent, in parts. Half of an equal share (`PARTS / (2 * holders)`) applies instead where that
+/// is smaller.
 const MIN_CHANGE: u32 = PARTS / 64;
-/// The smallest change that is sent, as a fraction of what the holder holds.
+/// The smallest change that is sent, as a fraction of what the holder holds. A change must reach both minimums.
 const MIN_RELATIVE_CHANGE: f64 = 0.25;
 
 /// The recent demand for a tenant's quota at each proxy.
@@ -118,15 +118,16 @@
         }
     }
 
-    /// Returns whether a holder's lease may be renewed: the ledger has its report and the holder is in contact. A renewal sent
-    /// to a holder that is out of contact would let it keep allotments that the coordinator reclaims after [`HOLDER_EXPIRY`].
+    /// Returns whether a holder's lease may be renewed: the ledger has its report and the holder is in contact. A renewal
+    /// sent to a holder that is out of contact would let it keep allotments that the coordinator reclaims after
+    /// [`HOLDER_EXPIRY`].
     pub fn may_renew(&self, incarnation: u64, now: Duration) -> bool {
         let holder = self.holders.get(&incarnation);
         holder.is_some_and(|holder| holder.is_in_contact(now))
     }
 
-    /// Records that a holder has applied the change of that revision. Lowers the upper bounds to the acknowledged values if it
-    /// is the holder's latest change.
+    /// Records that a holder has applied the change of that revision. Lowers the upper bounds to the acknowledged values if
+    /// it is the holder's latest change.
     pub fn acknowledge(&mut self, incarnation: u64, revision: u64) {
         let Some(holder) = self.holders.get_mut(&incarnation) else {
             return;
@@ -161,7 +162,7 @@
     }
 
     /// Returns the allotments that holders out of contact may still be using. `missing_part` is the fraction of the known
-    /// proxies that is not in contact; these proxies may hold the reserved parts.
+    /// proxies that is not in contact; these proxies may hold the reserved parts, which no proxy has reported in this term.
     pub fn absent(&self, missing_part: f64, now: Duration) -> AbsentAllotments {
         let are_proxies_missing = missing_part > 0.0;
         let mut absent: BTreeMap<&str, u32> = BTreeMap::new();
@@ -180,9 +181,9 @@
             tenant: tenant.to_owned(),
             parts,
         };
-        // For a tenant that no proxy has reported, the missing proxies are assumed to hold the fraction `missing_part`. After a
-        // restart of the whole system no proxy holds any allotment, and one proxy that connects late must not block the whole
-        // quota for the others.
+        // For a tenant that no proxy has reported, the missing proxies are assumed to hold the fraction `missing_part`.
+        // After a restart of the whole system no proxy holds any allotment, and one proxy that connects late must not block
+        // the whole quota for the others.
         let of_unlisted = if self.is_complete(now) {
             0
         } else {
@@ -222,7 +223,8 @@
             .collect()
     }
 
-    /// Builds the next change for a holder and records it as in flight. The upper bounds are raised before the change is sent.
+    /// Builds the next change for a holder and records it as in flight. The upper bounds are raised before the change is
+    /// sent.
     fn send(&mut self, incarnation: u64, allotments: Vec<Allotment>) -> AllotmentChange {
         let holder = self.holders.entry(incarnation).or_default();
         holder.revision += 1;
@@ -237,7 +239,8 @@
         }
     }
 
-    /// Returns the changes of one tenant's allotments. Increases share the unallotted parts in proportion to the parts lacking.
+    /// Returns the changes of one tenant's allotments. Increases share the unallotted parts in proportion to the parts
+    /// lacking.
     fn divide_tenant(
         &self,
         demand: &TenantDemand,
--- a/crates/control/src/contact.rs
+++ b/crates/control/src/contact.rs
@@ -1,10 +1,10 @@
-//! Contact of a registry with a majority of the voters, which decides whether it may answer for the whole system. This module
-//! does no I/O.
+//! Contact of a registry with a majority of the voters, which decides whether it may answer for the whole system. This
+//! module does no I/O.
 //!
 //! A registry probes every voter once per [`PROBE_INTERVAL`]; an answer counts from the time the probe was sent. The
 //! registry is in contact while a majority of the voters has answered probes sent within the last [`CONTACT_TIMEOUT`]. A
 //! registry that is a voter itself counts toward the majority. Older answers do not count, so a registry whose process was
-//! suspended is out of contact when it resumes.
+//! paused is out of contact when it resumes.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/crates/control/src/lease/claim.rs
+++ b/crates/control/src/lease/claim.rs
@@ -65,8 +65,8 @@
         now > self.started + CLAIM_TIMEOUT
     }
 
-    /// Records that the claim is sent and that this registry grants the claim itself. Returns the send time for the message, in
-    /// microseconds. Grants echo this time, so the remembered time is rounded to whole microseconds, too.
+    /// Records that the claim is sent and that this registry grants the claim itself. Returns the send time for the
+    /// message, in microseconds. Grants echo this time, so the remembered time is rounded to whole microseconds, too.
     pub(super) fn send(&mut self, own_ip: Ip, now: Duration) -> u64 {
         self.next_at = now + CLAIM_INTERVAL;
         let sent_us = now.as_micros() as u64;
--- a/crates/control/src/lease/election.rs
+++ b/crates/control/src/lease/election.rs
@@ -98,7 +98,8 @@
         }
     }
 
-    /// Records a term seen elsewhere, from before this process started or from other registries. Later claims use higher terms.
+    /// Records a term seen elsewhere, from before this process started or from other registries. Later claims use higher
+    /// terms.
     pub fn observe_term(&mut self, term: u64) {
         if self.claim.is_none() {
             self.highest_term = self.highest_term.max(term);
@@ -146,8 +147,8 @@
         self.vote.is_some_and(binds)
     }
 
-    /// Gives up this registry's claim and its vote for itself. If the claim never had a majority, this registry may afterwards
-    /// grant a claim of the same term to another candidate.
+    /// Gives up this registry's claim and its vote for itself. If the claim never had a majority, this registry may
+    /// afterwards grant a claim of the same term to another candidate.
     fn drop_claim(&mut self, unbound_since: Duration) {
         let own_ip = self.own_ip;
         let is_last_holder = self.last_holder.is_some_and(|holder| holder.ip == own_ip);
@@ -167,8 +168,9 @@
             return None;
         }
         if self.claim.is_some() && self.valid_until().is_some_and(|until| now >= until) {
-            // The lease expired although this registry kept claiming. Possibly the other registries receive its messages while
-            // it receives none; its claims would then bind all voters indefinitely. The pause lets another candidate claim.
+            // The lease expired although this registry kept claiming. Possibly the other registries receive its messages
+            // while it receives none; its claims would then bind all voters indefinitely. The pause lets another candidate
+            // claim.
             self.drop_claim(now + BACKOFF);
         }
         if !self.is_current(now) || !self.is_voter(self.own_ip) {
@@ -194,8 +196,8 @@
         self.send_claim(now)
     }
 
-    /// The delay before this registry claims: [`CANDIDATE_DELAY`] for each living candidate with a lower address. The last holder
-    /// does not count as a candidate.
+    /// The delay before this registry claims: [`CANDIDATE_DELAY`] for each living candidate with a lower address. The last
+    /// holder does not count as a candidate.
     fn candidate_delay(&self, alive: &[Ip]) -> Duration {
         let last_holder = self.last_holder.map(|holder| holder.ip);
         let is_candidate = |ip: Ip| self.is_voter(ip) && Some(ip) != last_holder;
@@ -283,7 +285,7 @@
                 term: self.highest_term,
             };
         }
-        // Another candidate's claim prevails, so this registry's own claim ends.
+        // The claim of another candidate is granted, so this registry gives up its own claim.
         self.claim = None;
         self.highest_term = term;
         self.vote_for(from, term, now);
@@ -307,9 +309,9 @@
     fn receive_refusal(&mut self, term: u64, now: Duration) {
         let holds = self.held_term(now).is_some();
         self.highest_term = self.highest_term.max(term);
-        // This registry is behind if its claim's term is lower than the refusal's term, or equal without the lease. It drops the
-        // claim and claims next with a higher term, after a pause in which the candidate with that term can be heard. A
-        // registry that holds the lease with exactly that term is not behind.
+        // This registry is behind if its claim's term is lower than the refusal's term, or equal without the lease. It
+        // drops the claim and claims next with a higher term, after a pause in which the candidate with that term can be
+        // heard. A registry that holds the lease with exactly that term is not behind.
         let is_behind = |claim: &Claim| claim.term < term || (claim.term == term && !holds);
         if self.claim.as_ref().is_some_and(is_behind) {
             // A registry that holds the lease claims again at once, because the other voters are bound to it.
@@ -326,9 +328,9 @@
         }
     }
 
-    /// Postpones claims by one [`LEASE`]; called while the registry is out of contact with the voters. Claims sent in that state
-    /// would only raise the term and break the holder's lease once contact returns. The delay lets this registry hear the
-    /// holder first.
+    /// Postpones claims by one [`LEASE`]; called while the registry is out of contact with the voters. Claims sent in that
+    /// state would only raise the term and break the holder's lease once contact returns. The delay lets this registry hear
+    /// the holder first.
     pub fn defer_claims(&mut self, now: Duration) {
         if self.claim.is_some() && self.held_term(now).is_none() {
             self.drop_claim(now + LEASE);
--- a/crates/control/src/lease/mod.rs
+++ b/crates/control/src/lease/mod.rs
@@ -1,16 +1,17 @@
-//! The coordinator's lease: one registry at a time reads the instance list of the cloud platform and keeps the shared counts.
+//! The coordinator's lease: one registry at a time reads the instance list of the cloud platform and keeps the shared
+//! counts.
 //!
-//! A registry claims the lease for a term. A voter that grants a claim grants no other candidate's claim until that grant has
-//! expired. The holder has the lease while grants of a majority of the voters are valid. The holder counts a grant from the
-//! time it sent the claim, so its lease ends before any of these voters may grant another candidate's claim. A holder whose
-//! process was suspended therefore no longer holds the lease when it resumes. A holder that shuts down names its successor.
-//! The successor needs grants of a majority as well, but the voters may grant its claim at once.
+//! A registry claims the lease for a term. A voter that grants a claim grants no other candidate's claim until that grant
+//! has expired. The holder has the lease while grants of a majority of the voters are valid. The holder counts a grant from
+//! the time it sent the claim, so its lease ends before any of these voters may grant another candidate's claim. A holder
+//! whose process was paused therefore no longer holds the lease when it resumes. A holder that shuts down names its
+//! successor. The successor needs grants of a majority as well, but the voters may grant its claim at once.
 //!
 //! # Epochs
 //!
 //! A registry gets the voters from the store on its machine ([`VoterSet`]). A registry that knows no voters neither claims
-//! nor grants. Every message carries the epoch of its sender. A voter grants a claim, and a candidate counts a grant, only if
-//! both sides are in the same epoch. Across a change of epoch:
+//! nor grants. Every message carries the epoch of its sender. A voter grants a claim, and a candidate counts a grant, only
+//! if both sides are in the same epoch. Across a change of epoch:
 //!
 //! - A grant stays binding: a voter that learns of a new epoch grants no other candidate's claim until the grant has expired.
 //! - The holder keeps its term and the rest of its lease, and claims in the new epoch with the same term. The holder gives up
@@ -19,11 +20,11 @@
 //! - A registry claims and grants only while its store's latest confirmation of the epoch is no older than
 //!   [`EPOCH_CONFIRMATION_VALIDITY`], counted from the time the store was asked.
 //!
-//! Why at most one registry holds the lease: majorities of the same epoch or of consecutive epochs have a voter in common, and
-//! that voter's grant binds it. Majorities of epochs `e` and `e + 2` need not have a voter in common. However, epoch `e + 2`
-//! is decided by a majority of the stores of `e + 1`, each of which has been in `e + 1` for [`EPOCH_SPACING`], and one of
-//! these stores belongs to a voter that granted the lease in `e`. That voter's registry stopped granting in `e` at most
-//! `EPOCH_CONFIRMATION_VALIDITY` after its store left `e`, and the lease ended at most [`LEASE`] later.
+//! Why at most one registry holds the lease: majorities of the same epoch or of consecutive epochs have a voter in common,
+//! and that voter's grant binds it. Majorities of epochs `e` and `e + 2` need not have a voter in common. However, epoch
+//! `e + 2` is decided by a majority of the stores of `e + 1`, each of which has been in `e + 1` for [`EPOCH_SPACING`], and
+//! one of these stores belongs to a voter that granted the lease in `e`. That voter's registry stopped granting in `e` at
+//! most `EPOCH_CONFIRMATION_VALIDITY` after its store left `e`, and the lease ended at most [`LEASE`] later.
 //! `tests/lease_model.rs` checks this.
 //!
 //! Clocks are monotonic and may differ in rate: `CLOCK_RATE_MARGIN` (100 ms) covers a deviation of 5 % in either direction.
--- a/crates/control/src/membership.rs
+++ b/crates/control/src/membership.rs
@@ -145,8 +145,8 @@
         }
     }
 
-    /// Returns the updates to send with a datagram to `receiver`: about this registry, about the receiver if it is not marked as
-    /// alive, because only the receiver can refute this, and about the members that changed most recently.
+    /// Returns the updates to send with a datagram to `receiver`: about this registry, about the receiver if it is not
+    /// marked as alive, because only the receiver can refute this, and about the members that changed most recently.
     pub fn updates_for(&mut self, receiver: Ip) -> Vec<MemberUpdate> {
         let mut updates = vec![MemberUpdate {
             ip: self.own_ip,
@@ -240,8 +240,8 @@
         }
     }
 
-    /// Marks a suspect member that answered a probe as alive. The member will refute the suspicion with its next incarnation, but
-    /// this registry need not wait for that. The change is not sent to other members.
+    /// Marks a suspect member that answered a probe as alive. The member will refute the suspicion with its next
+    /// incarnation, but this registry need not wait for that. The change is not sent to other members.
     fn clear_suspicion(&mut self, ip: Ip, now: Duration) -> Option<MembershipChange> {
         let member = self.members.get_mut(&ip)?;
         if member.state != MemberState::Suspect {
@@ -335,7 +335,8 @@
             .collect()
     }
 
-    /// Declares members dead that have been suspect for [`SUSPICION_TIMEOUT`], and forgets members dead for [`DEAD_RETENTION`].
+    /// Declares members dead that have been suspect for [`SUSPICION_TIMEOUT`], and forgets members dead for
+    /// [`DEAD_RETENTION`].
     fn declare_dead(&mut self, now: Duration, output: &mut MembershipOutput) {
         for (ip, member) in &mut self.members {
             if member.state == MemberState::Suspect && now >= member.since + SUSPICION_TIMEOUT {
--- a/crates/control/src/transfer/receiver.rs
+++ b/crates/control/src/transfer/receiver.rs
@@ -20,8 +20,8 @@
 pub struct Received {
     /// Items to merge into the snapshot before [`Receiver::requests`] is called.
     pub items: Vec<Item>,
-    /// The provider's digest at the beginning of the round, if this message completes the round. Once `items` are merged, the
-    /// receiver has every item that the provider had then.
+    /// The provider's digest at the beginning of the round, if this message completes the round. Once `items` are merged,
+    /// the receiver has every item that the provider had then.
     pub complete: Option<u64>,
 }
 
--- a/crates/control/src/voters.rs
+++ b/crates/control/src/voters.rs
@@ -3,7 +3,7 @@
 //! The set changes by one member at a time, and every change increments the epoch. The coordinator's lease is safe only if
 //! these changes have two properties:
 //!
-//! - Majorities of consecutive epochs have a member in common ([`VoterSet::majorities_meet`]). The store ensures this.
+//! - Majorities of consecutive epochs have a member in common ([`VoterSet::majorities_intersect`]). The store ensures this.
 //! - A store accepts a change of epoch no earlier than [`crate::lease::EPOCH_SPACING`] after the previous change. The store
 //!   does not enforce this yet: the lease is not safe if two changes follow each other within a shorter time.
 
@@ -41,17 +41,17 @@
         majority(self.voters.len())
     }
 
-    /// Returns whether every majority of this set has a member in common with every majority of `other`. This holds where the
-    /// sets differ by one added or removed member. Where one member was replaced by another, it holds for sets of even size
-    /// only.
-    pub fn majorities_meet(&self, other: &VoterSet) -> bool {
+    /// Returns whether every majority of this set has a member in common with every majority of `other`. This holds where
+    /// the sets differ by one added or removed member. Where one member was replaced by another, it holds for sets of even
+    /// size only.
+    pub fn majorities_intersect(&self, other: &VoterSet) -> bool {
         let common = self.voters.iter().filter(|ip| other.contains(**ip)).count();
         let union = self.voters.len() + other.voters.len() - common;
         self.majority() + other.majority() > union
     }
 
-    /// Returns the latest time `t` such that `time_of(voter) >= t` for a majority of the voters. `time_of` returns `None` for a
-    /// voter without a time; the result is `None` if fewer voters than a majority have one.
+    /// Returns the latest time `t` such that `time_of(voter) >= t` for a majority of the voters. `time_of` returns `None`
+    /// for a voter without a time; the result is `None` if fewer voters than a majority have one.
     pub fn majority_time<T: Ord + Copy>(&self, time_of: impl Fn(Ip) -> Option<T>) -> Option<T> {
         let mut times: Vec<T> = self.voters.iter().filter_map(|ip| time_of(*ip)).collect();
         times.sort_unstable_by(|a, b| b.cmp(a));
--- a/crates/control/tests/contact.rs
+++ b/crates/control/tests/contact.rs
@@ -91,7 +91,8 @@
         .iter()
         .for_each(|(to, number)| contact.receive_answer(*to, *number));
     assert!(contact.is_in_contact(at(200)));
-    // The process was paused for ten seconds: answers to old probes and answers from other machines than voters do not count.
+    // The process was paused for ten seconds: answers to old probes and answers from other machines than voters do not
+    // count.
     assert!(!contact.is_in_contact(at(10_200)));
     probes
         .iter()
--- a/crates/control/tests/lease.rs
+++ b/crates/control/tests/lease.rs
@@ -109,7 +109,8 @@
         let (due, rest): (Vec<_>, Vec<_>) = in_flight.drain(..).partition(|m| m.0 <= t);
         in_flight = rest;
         for (_, from, to, message) in due {
-            // From 5 s on the first registry, the preferred coordinator, receives nothing, but the others receive its messages.
+            // From 5 s on the first registry, the preferred coordinator, receives nothing, but the others receive its
+            // messages.
             let is_receive_broken = to == 0 && t > 5000;
             if !is_receive_broken
                 && let Some(answer) = registries[to].receive(ips[from], &message, at(t))
--- a/crates/control/tests/lease_model.rs
+++ b/crates/control/tests/lease_model.rs
@@ -1,8 +1,10 @@
-//! The lease explored exhaustively over `lease.rs` itself: datagrams lost, late or doubled, registries that stand
-//! still, clocks of different rates, epochs that change, stores that tell their registries late. At any time one
-//! registry at most holds the lease.
+//! Exhaustive model check of `LeaseElection`. Datagrams are lost, delayed and duplicated, processes are paused, clocks run
+//! at different rates, epochs change, and registries learn the epoch of their stores late.
 //!
-//! One action is a whole pass of time: who ticks, and the fate of each claim and its answer. `MODEL=all` explores more passes.
+//! Invariant: at most one registry holds the lease at any time.
+//!
+//! One action of the model covers a whole round of time: which registries tick, and the outcome of each claim and its
+//! answer. `MODEL=all` explores more rounds.
 
 use std::time::Duration;
 
@@ -12,115 +14,120 @@
 use damsonbeam_control::voters::VoterSet;
 use stateright::{Checker, Model, Property};
 
-/// Stores have been in their first epoch for long when a scene begins.
+/// Clock reading at the beginning: the stores entered the first epoch at time 0, longer than `EPOCH_SPACING` ago.
 const BEGIN: Duration = Duration::from_secs(4);
 
 fn ip(n: usize) -> Ip {
     [10, 0, 0, n as u8 + 1]
 }
 
-/// What the store on a machine knows: its epoch, and since when by its clock.
+/// The store on one machine: the index of its epoch, and when the store entered the epoch by the machine's clock.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Store {
     epoch: usize,
     since: Duration,
 }
 
-/// A datagram that stays on its way until that many passes have been made.
+/// A datagram that is delivered in round `due`.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Late {
+struct DelayedDatagram {
     due: u32,
     from: usize,
     to: usize,
     message: LeaseMessage,
 }
 
-/// Troubles that may yet happen.
+/// How many more faults and transfers of each kind may happen.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Budget {
-    freezes: u8,
-    unheard: u8,
-    late: u8,
-    leaves: u8,
+    pauses: u8,
+    /// Rounds in which a registry gets no answer from its store.
+    without_store: u8,
+    /// Delayed or duplicated datagrams.
+    delayed: u8,
+    transfers: u8,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
-    passes: u32,
+    rounds: u32,
     elections: Vec<LeaseElection>,
     stores: Vec<Option<Store>>,
+    /// The index of the latest epoch that the stores have decided.
     decided: usize,
-    late: Vec<Late>,
+    delayed: Vec<DelayedDatagram>,
     budget: Budget,
 }
 
-/// What becomes of a claim, and of the answer to it.
+/// The outcome of a claim and of the answer to it. Delays are in rounds.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Fate {
+enum Outcome {
     Answered,
     AnswerLost,
-    Lost,
-    ClaimLate(u32),
-    AnswerLate(u32),
-    /// Answered, and the claim comes once more, later.
-    Doubled(u32),
+    ClaimLost,
+    ClaimDelayed(u32),
+    AnswerDelayed(u32),
+    /// The claim is answered, and delivered again after the delay.
+    Duplicated(u32),
 }
 
-impl Fate {
-    fn is_late(self) -> bool {
+impl Outcome {
+    fn is_delayed(self) -> bool {
         matches!(
             self,
-            Fate::ClaimLate(_) | Fate::AnswerLate(_) | Fate::Doubled(_)
+            Outcome::ClaimDelayed(_) | Outcome::AnswerDelayed(_) | Outcome::Duplicated(_)
         )
     }
 }
 
 #[derive(Clone, Debug, PartialEq)]
-struct Pass {
-    /// The machine that stands still meanwhile.
-    frozen: Option<usize>,
-    /// The machine whose registry does not hear its store. An answer of a store that comes late is worth no more than one
-    /// that came at once, for it counts from the question.
-    unheard: Option<usize>,
-    /// Whose claims come first.
+struct Round {
+    /// The machine that is paused during the round.
+    paused: Option<usize>,
+    /// The machine whose registry gets no answer from its store. Delayed answers of a store need no separate case, because
+    /// an answer counts from the time of the request.
+    without_store: Option<usize>,
+    /// Whether claims arrive in the reverse order of the claimants.
     reversed: bool,
-    /// Of each claim, by claimant and receiver.
-    fates: Vec<Fate>,
+    /// The outcome of each claim, by claimant and receiver.
+    outcomes: Vec<Outcome>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-enum Step {
-    Pass(Pass),
-    /// A holder that is told to end names its successor; these machines hear it.
-    Leave(usize, Vec<usize>),
-    /// The stores agree upon the next epoch.
-    Decide,
-    /// A store learns of the decided epoch.
-    Learn(usize),
+enum Action {
+    Round(Round),
+    /// The holder on the first machine shuts down and names its successor; the listed machines receive the message.
+    Transfer(usize, Vec<usize>),
+    /// The stores decide the next epoch.
+    DecideEpoch,
+    /// The store on this machine learns of the decided epoch.
+    LearnEpoch(usize),
 }
 
 #[derive(Clone)]
-struct Scene {
-    /// Time goes on by this much at once.
-    step: Duration,
-    passes: u32,
+struct LeaseModel {
+    /// Duration of one round.
+    round_duration: Duration,
+    /// Number of rounds explored.
+    rounds: u32,
     budget: Budget,
-    /// Rates of the machines' clocks.
+    /// The rate of each machine's clock.
     rates: Vec<f64>,
     /// The voters of each epoch, by machine.
     epochs: Vec<Vec<usize>>,
-    /// Machines whose stores know no voters, and which reach nobody.
-    fresh: Vec<usize>,
-    spacing: Duration,
+    /// Machines whose stores know no voters and which exchange no messages with others.
+    isolated: Vec<usize>,
+    /// Minimum time between two changes of epoch at a store.
+    epoch_spacing: Duration,
 }
 
-impl Scene {
-    fn clock(&self, s: &State, n: usize) -> Duration {
-        BEGIN + (self.step * s.passes).mul_f64(self.rates[n])
+impl LeaseModel {
+    fn clock(&self, state: &State, n: usize) -> Duration {
+        BEGIN + (self.round_duration * state.rounds).mul_f64(self.rates[n])
     }
 
     fn machines(&self) -> impl Iterator<Item = usize> + '_ {
-        (0..self.rates.len()).filter(|n| !self.fresh.contains(n))
+        (0..self.rates.len()).filter(|n| !self.isolated.contains(n))
     }
 
     fn alive(&self) -> Vec<Ip> {
@@ -134,74 +141,85 @@
         )
     }
 
-    fn holders(&self, s: &State) -> Vec<usize> {
-        (0..s.elections.len())
-            .filter(|n| s.elections[*n].held_term(self.clock(s, *n)).is_some())
+    fn holders(&self, state: &State) -> Vec<usize> {
+        (0..state.elections.len())
+            .filter(|n| {
+                state.elections[*n]
+                    .held_term(self.clock(state, *n))
+                    .is_some()
+            })
             .collect()
     }
 
-    /// Whether a majority of the voters could accept a change of epoch now.
-    fn may_decide(&self, s: &State) -> bool {
-        let voters = &self.epochs[s.decided];
+    /// Whether the stores of a majority of the voters would accept a change of epoch now.
+    fn may_decide(&self, state: &State) -> bool {
+        let voters = &self.epochs[state.decided];
         let accepts = |n: &&usize| {
-            s.stores[**n].as_ref().is_some_and(|store| {
-                store.epoch == s.decided && self.clock(s, **n) >= store.since + self.spacing
+            state.stores[**n].as_ref().is_some_and(|store| {
+                store.epoch == state.decided
+                    && self.clock(state, **n) >= store.since + self.epoch_spacing
             })
         };
-        s.decided + 1 < self.epochs.len()
+        state.decided + 1 < self.epochs.len()
             && voters.iter().filter(accepts).count() > voters.len() / 2
     }
 
     fn deliver(
         &self,
-        s: &mut State,
+        state: &mut State,
         from: usize,
         to: usize,
         message: &LeaseMessage,
     ) -> Option<LeaseMessage> {
-        let now = self.clock(s, to);
-        s.elections[to].receive(ip(from), message, now)
+        let now = self.clock(state, to);
+        state.elections[to].receive(ip(from), message, now)
     }
 
-    /// Time goes on, what was late comes, and registries hear their stores and tick: claims, by claimant.
+    /// Begins a round: advances the time, delivers the delayed datagrams that are due, and ticks the registries. Returns the
+    /// claims, each with its claimant.
     fn advance(
         &self,
-        s: &mut State,
-        frozen: Option<usize>,
-        unheard: Option<usize>,
+        state: &mut State,
+        paused: Option<usize>,
+        without_store: Option<usize>,
     ) -> Vec<(usize, LeaseMessage)> {
-        s.passes += 1;
-        s.budget.freezes -= u8::from(frozen.is_some());
-        s.budget.unheard -= u8::from(unheard.is_some());
-        let passes = s.passes;
-        let (due, late) = std::mem::take(&mut s.late)
+        state.rounds += 1;
+        state.budget.pauses -= u8::from(paused.is_some());
+        state.budget.without_store -= u8::from(without_store.is_some());
+        let rounds = state.rounds;
+        let (due, delayed) = std::mem::take(&mut state.delayed)
             .into_iter()
-            .partition(|l| l.due <= passes);
-        s.late = late;
-        let due: Vec<Late> = due;
-        for l in due {
-            if let Some(answer) = self.deliver(s, l.from, l.to, &l.message) {
-                self.deliver(s, l.to, l.from, &answer);
+            .partition(|datagram| datagram.due <= rounds);
+        state.delayed = delayed;
+        let due: Vec<DelayedDatagram> = due;
+        for datagram in due {
+            if let Some(answer) = self.deliver(state, datagram.from, datagram.to, &datagram.message)
+            {
+                self.deliver(state, datagram.to, datagram.from, &answer);
             }
         }
-        self.tick(s, frozen, unheard)
+        self.tick(state, paused, without_store)
     }
 
+    /// Lets each registry read its store and tick, apart from the paused one. Returns the claims, each with its claimant.
     fn tick(
         &self,
-        s: &mut State,
-        frozen: Option<usize>,
-        unheard: Option<usize>,
+        state: &mut State,
+        paused: Option<usize>,
+        without_store: Option<usize>,
     ) -> Vec<(usize, LeaseMessage)> {
         let mut claims = Vec::new();
-        for n in (0..s.elections.len()).filter(|n| Some(*n) != frozen) {
-            let now = self.clock(s, n);
-            if let Some(store) = s.stores[n].as_ref().filter(|_| Some(n) != unheard) {
-                s.elections[n].set_voters(self.voters(store.epoch));
-                s.elections[n].confirm_epoch(store.epoch as u64 + 1, now);
+        for n in (0..state.elections.len()).filter(|n| Some(*n) != paused) {
+            let now = self.clock(state, n);
+            if let Some(store) = state.stores[n]
+                .as_ref()
+                .filter(|_| Some(n) != without_store)
+            {
+                state.elections[n].set_voters(self.voters(store.epoch));
+                state.elections[n].confirm_epoch(store.epoch as u64 + 1, now);
             }
             claims.extend(
-                s.elections[n]
+                state.elections[n]
                     .tick(now, &self.alive())
                     .map(|claim| (n, claim)),
             );
@@ -209,15 +227,15 @@
         claims
     }
 
-    /// Claims and those to whom they go, in the order of coming.
+    /// Returns each claim with its sender and receiver, in order of arrival.
     fn routes(
         &self,
         claims: &[(usize, LeaseMessage)],
-        frozen: Option<usize>,
+        paused: Option<usize>,
     ) -> Vec<(usize, usize, LeaseMessage)> {
         let receivers = |from: usize| {
             self.machines()
-                .filter(move |to| *to != from && Some(*to) != frozen)
+                .filter(move |to| *to != from && Some(*to) != paused)
         };
         claims
             .iter()
@@ -225,34 +243,43 @@
             .collect()
     }
 
-    fn settle(&self, s: &mut State, routes: Vec<(usize, usize, LeaseMessage)>, pass: &Pass) {
-        let mut fated: Vec<_> = routes.into_iter().zip(pass.fates.iter().copied()).collect();
-        if pass.reversed {
-            fated.reverse();
+    /// Delivers the claims and their answers with the outcomes of the round.
+    fn deliver_claims(
+        &self,
+        state: &mut State,
+        routes: Vec<(usize, usize, LeaseMessage)>,
+        round: &Round,
+    ) {
+        let mut claims: Vec<_> = routes
+            .into_iter()
+            .zip(round.outcomes.iter().copied())
+            .collect();
+        if round.reversed {
+            claims.reverse();
         }
-        let passes = s.passes;
+        let rounds = state.rounds;
         let mut answers = Vec::new();
-        for ((from, to, claim), fate) in fated {
-            s.budget.late -= u8::from(fate.is_late());
-            if let Fate::ClaimLate(by) | Fate::Doubled(by) = fate {
-                s.late.push(Late {
-                    due: passes + by,
+        for ((from, to, claim), outcome) in claims {
+            state.budget.delayed -= u8::from(outcome.is_delayed());
+            if let Outcome::ClaimDelayed(by) | Outcome::Duplicated(by) = outcome {
+                state.delayed.push(DelayedDatagram {
+                    due: rounds + by,
                     from,
                     to,
                     message: claim.clone(),
                 });
             }
-            if matches!(fate, Fate::Lost | Fate::ClaimLate(_)) {
+            if matches!(outcome, Outcome::ClaimLost | Outcome::ClaimDelayed(_)) {
                 continue;
             }
-            let answer = self.deliver(s, from, to, &claim);
-            match (answer, fate) {
-                (Some(answer), Fate::Answered | Fate::Doubled(_)) => {
+            let answer = self.deliver(state, from, to, &claim);
+            match (answer, outcome) {
+                (Some(answer), Outcome::Answered | Outcome::Duplicated(_)) => {
                     answers.push((to, from, answer))
                 }
-                (Some(message), Fate::AnswerLate(by)) => {
-                    s.late.push(Late {
-                        due: passes + by,
+                (Some(message), Outcome::AnswerDelayed(by)) => {
+                    state.delayed.push(DelayedDatagram {
+                        due: rounds + by,
                         from: to,
                         to: from,
                         message,
@@ -262,88 +289,105 @@
             }
         }
         for (from, to, answer) in answers {
-            self.deliver(s, from, to, &answer);
+            self.deliver(state, from, to, &answer);
         }
     }
 
-    /// All fates of one claimant's claims, to so many receivers, within the budget.
-    fn fates_of_one(receivers: usize, late: u8) -> Vec<Vec<Fate>> {
-        let mut all: Vec<Vec<Fate>> = vec![vec![]];
-        let usual = [Fate::Answered, Fate::AnswerLost, Fate::Lost];
-        let late_ones = [1, 2]
-            .into_iter()
-            .flat_map(|by| [Fate::ClaimLate(by), Fate::AnswerLate(by), Fate::Doubled(by)]);
-        let menu: Vec<Fate> = usual.into_iter().chain(late_ones).collect();
+    /// Returns all combinations of outcomes of one claimant's claims to `receivers` receivers, with at most `delayed`
+    /// datagrams delayed or duplicated.
+    fn outcomes_of_one_claimant(receivers: usize, delayed: u8) -> Vec<Vec<Outcome>> {
+        let mut all: Vec<Vec<Outcome>> = vec![vec![]];
+        let immediate = [Outcome::Answered, Outcome::AnswerLost, Outcome::ClaimLost];
+        let delayed_outcomes = [1, 2].into_iter().flat_map(|by| {
+            [
+                Outcome::ClaimDelayed(by),
+                Outcome::AnswerDelayed(by),
+                Outcome::Duplicated(by),
+            ]
+        });
+        let options: Vec<Outcome> = immediate.into_iter().chain(delayed_outcomes).collect();
         for _ in 0..receivers {
-            let longer = |fates: &Vec<Fate>| {
-                let used = fates.iter().filter(|f| f.is_late()).count();
-                let fits = move |f: &&Fate| !f.is_late() || used < usize::from(late);
-                menu.iter()
+            let extend = |outcomes: &Vec<Outcome>| {
+                let used = outcomes
+                    .iter()
+                    .filter(|outcome| outcome.is_delayed())
+                    .count();
+                let fits =
+                    move |outcome: &&Outcome| !outcome.is_delayed() || used < usize::from(delayed);
+                options
+                    .iter()
                     .filter(fits)
-                    .map(|f| [fates.clone(), vec![*f]].concat())
+                    .map(|outcome| [outcomes.clone(), vec![*outcome]].concat())
                     .collect::<Vec<_>>()
             };
-            all = all.iter().flat_map(longer).collect();
+            all = all.iter().flat_map(extend).collect();
         }
         all
     }
 
-    /// The fates of several claimants' claims: each claimant is heard by all, by none, by one or by all but one.
-    fn fates_of_several(claimants: usize, receivers: usize) -> Vec<Vec<Fate>> {
-        let one_differs = |usual: Fate, other: Fate| {
+    /// Returns combinations of outcomes of several claimants' claims: the claims of each claimant reach all receivers,
+    /// none, one, or all but one.
+    fn outcomes_of_several_claimants(claimants: usize, receivers: usize) -> Vec<Vec<Outcome>> {
+        let one_differs = |common: Outcome, exception: Outcome| {
             (0..receivers).map(move |n| {
-                let mut fates = vec![usual; receivers];
-                fates[n] = other;
-                fates
+                let mut outcomes = vec![common; receivers];
+                outcomes[n] = exception;
+                outcomes
             })
         };
-        let even = [Fate::Answered, Fate::Lost].map(|f| vec![f; receivers]);
-        let menu: Vec<Vec<Fate>> = even
+        let uniform =
+            [Outcome::Answered, Outcome::ClaimLost].map(|outcome| vec![outcome; receivers]);
+        let options: Vec<Vec<Outcome>> = uniform
             .into_iter()
-            .chain(one_differs(Fate::Answered, Fate::Lost))
-            .chain(one_differs(Fate::Lost, Fate::Answered))
+            .chain(one_differs(Outcome::Answered, Outcome::ClaimLost))
+            .chain(one_differs(Outcome::ClaimLost, Outcome::Answered))
             .collect();
-        let longer = |all: Vec<Vec<Fate>>, _| {
+        let extend = |all: Vec<Vec<Outcome>>, _| {
             all.iter()
-                .flat_map(|f| menu.iter().map(move |m| [f.clone(), m.clone()].concat()))
+                .flat_map(|outcomes| {
+                    options
+                        .iter()
+                        .map(move |next| [outcomes.clone(), next.clone()].concat())
+                })
                 .collect()
         };
-        (0..claimants).fold(vec![vec![]], longer)
+        (0..claimants).fold(vec![vec![]], extend)
     }
 
-    fn passes_from(&self, s: &State, out: &mut Vec<Step>) {
-        for frozen in self
+    /// Adds all rounds that may follow `state` within its budget.
+    fn rounds_from(&self, state: &State, out: &mut Vec<Action>) {
+        for paused in self
             .machines()
-            .filter(|_| s.budget.freezes > 0)
+            .filter(|_| state.budget.pauses > 0)
             .map(Some)
             .chain([None])
         {
-            for unheard in self
+            for without_store in self
                 .machines()
-                .filter(|_| s.budget.unheard > 0)
+                .filter(|_| state.budget.without_store > 0)
                 .map(Some)
                 .chain([None])
             {
-                let claims = self.advance(&mut s.clone(), frozen, unheard);
-                let receivers = self.routes(&claims, frozen).len() / claims.len().max(1);
+                let claims = self.advance(&mut state.clone(), paused, without_store);
+                let receivers = self.routes(&claims, paused).len() / claims.len().max(1);
                 let all = match claims.len() {
                     0 => vec![vec![]],
-                    1 => Self::fates_of_one(receivers, s.budget.late),
-                    several => Self::fates_of_several(several, receivers),
+                    1 => Self::outcomes_of_one_claimant(receivers, state.budget.delayed),
+                    several => Self::outcomes_of_several_claimants(several, receivers),
                 };
-                for fates in all {
-                    out.push(Step::Pass(Pass {
-                        frozen,
-                        unheard,
+                for outcomes in all {
+                    out.push(Action::Round(Round {
+                        paused,
+                        without_store,
                         reversed: false,
-                        fates: fates.clone(),
+                        outcomes: outcomes.clone(),
                     }));
                     if claims.len() > 1 {
-                        out.push(Step::Pass(Pass {
-                            frozen,
-                            unheard,
+                        out.push(Action::Round(Round {
+                            paused,
+                            without_store,
                             reversed: true,
-                            fates,
+                            outcomes,
                         }));
                     }
                 }
@@ -352,222 +396,231 @@
     }
 }
 
-impl Model for Scene {
+impl Model for LeaseModel {
     type State = State;
-    type Action = Step;
+    type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
         let machines = self.rates.len();
-        // Nobody votes in the first lease of its life.
+        // A registry does not vote during the first `LEASE` after its start, so the registries start before `BEGIN`.
         let elections = (0..machines)
             .map(|n| LeaseElection::new(ip(n), BEGIN - LEASE))
             .collect();
         let knows = |n: usize| {
-            (!self.fresh.contains(&n)).then_some(Store {
+            (!self.isolated.contains(&n)).then_some(Store {
                 epoch: 0,
                 since: Duration::ZERO,
             })
         };
         let stores = (0..machines).map(knows).collect();
-        let mut s = State {
-            passes: 0,
+        let mut state = State {
+            rounds: 0,
             elections,
             stores,
             decided: 0,
-            late: vec![],
+            delayed: vec![],
             budget: self.budget.clone(),
         };
-        // The first candidate's claim reaches all or none.
-        let claims = self.tick(&mut s, None, None);
-        let mut reached = s.clone();
+        // In the two initial states the first candidate's claim has reached no receiver or all receivers.
+        let claims = self.tick(&mut state, None, None);
+        let mut reached = state.clone();
         let routes = self.routes(&claims, None);
-        let fates = vec![Fate::Answered; routes.len()];
-        let pass = Pass {
-            frozen: None,
-            unheard: None,
+        let outcomes = vec![Outcome::Answered; routes.len()];
+        let round = Round {
+            paused: None,
+            without_store: None,
             reversed: false,
-            fates,
+            outcomes,
         };
-        self.settle(&mut reached, routes, &pass);
-        vec![s, reached]
+        self.deliver_claims(&mut reached, routes, &round);
+        vec![state, reached]
     }
 
-    fn actions(&self, s: &State, out: &mut Vec<Step>) {
-        if s.passes < self.passes {
-            self.passes_from(s, out);
+    fn actions(&self, state: &State, out: &mut Vec<Action>) {
+        if state.rounds < self.rounds {
+            self.rounds_from(state, out);
         }
-        if s.budget.leaves > 0 {
-            for n in self.holders(s) {
+        if state.budget.transfers > 0 {
+            for n in self.holders(state) {
                 let others: Vec<usize> = self.machines().filter(|m| *m != n).collect();
-                out.push(Step::Leave(n, others.clone()));
-                out.extend(others.iter().map(|m| Step::Leave(n, vec![*m])));
+                out.push(Action::Transfer(n, others.clone()));
+                out.extend(others.iter().map(|m| Action::Transfer(n, vec![*m])));
             }
         }
-        if self.may_decide(s) {
-            out.push(Step::Decide);
+        if self.may_decide(state) {
+            out.push(Action::DecideEpoch);
         }
         let behind = |n: &usize| {
-            s.stores[*n]
+            state.stores[*n]
                 .as_ref()
-                .is_some_and(|store| store.epoch < s.decided)
+                .is_some_and(|store| store.epoch < state.decided)
         };
-        out.extend(self.machines().filter(behind).map(Step::Learn));
+        out.extend(self.machines().filter(behind).map(Action::LearnEpoch));
     }
 
-    fn next_state(&self, before: &State, step: Step) -> Option<State> {
-        let mut s = before.clone();
-        match step {
-            Step::Pass(pass) => {
-                let claims = self.advance(&mut s, pass.frozen, pass.unheard);
-                let routes = self.routes(&claims, pass.frozen);
-                self.settle(&mut s, routes, &pass);
+    fn next_state(&self, before: &State, action: Action) -> Option<State> {
+        let mut state = before.clone();
+        match action {
+            Action::Round(round) => {
+                let claims = self.advance(&mut state, round.paused, round.without_store);
+                let routes = self.routes(&claims, round.paused);
+                self.deliver_claims(&mut state, routes, &round);
             }
-            Step::Leave(n, hear) => {
-                s.budget.leaves -= 1;
-                let now = self.clock(&s, n);
-                let message = s.elections[n].transfer(now, &self.alive())?;
-                for to in hear {
-                    self.deliver(&mut s, n, to, &message);
+            Action::Transfer(n, receivers) => {
+                state.budget.transfers -= 1;
+                let now = self.clock(&state, n);
+                let message = state.elections[n].transfer(now, &self.alive())?;
+                for to in receivers {
+                    self.deliver(&mut state, n, to, &message);
                 }
             }
-            Step::Decide => s.decided += 1,
-            Step::Learn(n) => {
-                s.stores[n] = Some(Store {
-                    epoch: s.decided,
-                    since: self.clock(&s, n),
+            Action::DecideEpoch => state.decided += 1,
+            Action::LearnEpoch(n) => {
+                state.stores[n] = Some(Store {
+                    epoch: state.decided,
+                    since: self.clock(&state, n),
                 })
             }
         }
-        Some(s)
+        Some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("one holder at most", |scene: &Scene, s: &State| {
-                scene.holders(s).len() <= 1
+            Property::always("at most one holder", |model: &LeaseModel, state: &State| {
+                model.holders(state).len() <= 1
             }),
             Property::always(
-                "who knows no voters holds nothing",
-                |scene: &Scene, s: &State| {
-                    scene.holders(s).iter().all(|n| !scene.fresh.contains(n))
+                "a registry without voters never holds the lease",
+                |model: &LeaseModel, state: &State| {
+                    model
+                        .holders(state)
+                        .iter()
+                        .all(|n| !model.isolated.contains(n))
                 },
             ),
             Property::sometimes(
-                "it is held in the last epoch",
-                |scene: &Scene, s: &State| {
-                    let last = scene.epochs.len() as u64;
-                    scene
-                        .holders(s)
+                "the lease is held in the last epoch",
+                |model: &LeaseModel, state: &State| {
+                    let last = model.epochs.len() as u64;
+                    model
+                        .holders(state)
                         .iter()
-                        .any(|n| s.elections[*n].epoch() == last)
+                        .any(|n| state.elections[*n].epoch() == last)
                 },
             ),
             Property::sometimes(
-                "a second one holds it after the first",
-                |scene: &Scene, s: &State| scene.holders(s).iter().any(|n| *n != 0),
+                "a registry other than the first holds the lease",
+                |model: &LeaseModel, state: &State| model.holders(state).iter().any(|n| *n != 0),
             ),
         ]
     }
 }
 
-/// States explored at most: a bound that is met is told.
-const MOST_STATES: usize = 30_000_000;
+/// Maximum number of states explored. The output says whether the exploration was complete.
+const MAX_STATES: usize = 30_000_000;
 
-fn explore(name: &str, scene: Scene) {
+fn check(name: &str, model: LeaseModel) {
     let threads = std::thread::available_parallelism().map_or(1, |n| n.get().min(4));
-    let done = scene
+    let checker = model
         .checker()
         .threads(threads)
-        .target_state_count(MOST_STATES)
+        .target_state_count(MAX_STATES)
         .spawn_bfs()
         .join();
-    let whole = if done.state_count() < MOST_STATES {
-        "whole"
+    let completeness = if checker.state_count() < MAX_STATES {
+        "complete"
     } else {
-        "in part"
+        "incomplete"
     };
     println!(
-        "{name}: {whole}, {} states of {}, {} steps deep",
-        done.unique_state_count(),
-        done.state_count(),
-        done.max_depth()
+        "{name}: {completeness}, {} unique states of {}, depth {}",
+        checker.unique_state_count(),
+        checker.state_count(),
+        checker.max_depth()
     );
-    done.assert_properties();
+    checker.assert_properties();
 }
 
-/// So many as a rule, so many where all is to be explored; `PASSES` sets another number.
-fn passes(usual: u32, all: u32) -> u32 {
-    let set = std::env::var("PASSES").ok().and_then(|p| p.parse().ok());
-    set.unwrap_or(if is_extensive() { all } else { usual })
+/// Number of rounds to check: `default`, or `extended` with `MODEL=all`. The environment variable `PASSES` overrides both.
+fn rounds(default: u32, extended: u32) -> u32 {
+    let requested = std::env::var("PASSES").ok().and_then(|p| p.parse().ok());
+    requested.unwrap_or(if is_extended() { extended } else { default })
 }
 
-fn is_extensive() -> bool {
+/// Whether the environment asks for the extended exploration (`MODEL=all`).
+fn is_extended() -> bool {
     std::env::var("MODEL").is_ok_and(|m| m == "all")
 }
 
-fn three_voters() -> Scene {
-    let few = Budget {
-        freezes: 1,
-        unheard: 0,
-        late: 0,
-        leaves: 1,
+fn three_voters() -> LeaseModel {
+    let default = Budget {
+        pauses: 1,
+        without_store: 0,
+        delayed: 0,
+        transfers: 1,
     };
-    Scene {
-        step: Duration::from_millis(450),
-        passes: passes(3, 4),
-        budget: if is_extensive() {
-            Budget { late: 1, ..few }
+    LeaseModel {
+        round_duration: Duration::from_millis(450),
+        rounds: rounds(3, 4),
+        budget: if is_extended() {
+            Budget {
+                delayed: 1,
+                ..default
+            }
         } else {
-            few
+            default
         },
-        // The bound on the difference of rates: a slow holder among fast voters, and the other way round.
+        // The maximum deviation of clock rates that `CLOCK_RATE_MARGIN` covers, in both directions: the first candidate's
+        // clock is slow, the second one's fast.
         rates: vec![0.95, 1.05, 1.0],
         epochs: vec![vec![0, 1, 2]],
-        fresh: vec![],
-        spacing: EPOCH_SPACING,
+        isolated: vec![],
+        epoch_spacing: EPOCH_SPACING,
     }
 }
 
-/// Majorities of consecutive epochs meet, while those of the first and the last do not.
-fn replaced_voter() -> Scene {
-    let few = Budget {
-        freezes: 0,
-        unheard: 2,
-        late: 0,
-        leaves: 0,
+/// One voter replaces another in two changes of epoch. Majorities of consecutive epochs have a voter in common, majorities
+/// of the first and the last epoch do not. One registry has no voters.
+fn replaced_voter() -> LeaseModel {
+    let default = Budget {
+        pauses: 0,
+        without_store: 2,
+        delayed: 0,
+        transfers: 0,
     };
-    Scene {
-        step: Duration::from_millis(550),
-        passes: passes(6, 7),
-        budget: if is_extensive() {
+    LeaseModel {
+        round_duration: Duration::from_millis(550),
+        rounds: rounds(6, 7),
+        budget: if is_extended() {
             Budget {
-                freezes: 1,
-                late: 1,
-                ..few
+                pauses: 1,
+                delayed: 1,
+                ..default
             }
         } else {
-            few
+            default
         },
         rates: vec![1.0, 1.0, 1.0],
         epochs: vec![vec![0], vec![0, 1], vec![1]],
-        fresh: vec![2],
+        isolated: vec![2],
         ..three_voters()
     }
 }
 
-/// A third voter joins two.
-fn third_voter() -> Scene {
-    let few = Budget::default();
-    Scene {
-        passes: passes(2, 4),
-        budget: if is_extensive() {
+/// A third voter joins two voters.
+fn third_voter() -> LeaseModel {
+    let default = Budget::default();
+    LeaseModel {
+        rounds: rounds(2, 4),
+        budget: if is_extended() {
             Budget {
-                freezes: 1,
-                unheard: 1,
-                ..few
+                pauses: 1,
+                without_store: 1,
+                ..default
             }
         } else {
-            few
+            default
         },
         rates: vec![1.0; 3],
         epochs: vec![vec![0, 1], vec![0, 1, 2]],
@@ -576,16 +629,16 @@
 }
 
 #[test]
-fn three_voters_lost_late_and_doubled_datagrams_freezes_and_clocks_of_different_rates() {
-    explore("three voters", three_voters());
+fn three_voters_have_at_most_one_holder_with_faulty_datagrams_process_pauses_and_clock_drift() {
+    check("three voters", three_voters());
 }
 
 #[test]
-fn a_voter_replaced_by_two_changes_of_epoch_beside_a_fresh_registry() {
-    explore("a voter replaced", replaced_voter());
+fn replacing_a_voter_in_two_changes_of_epoch_keeps_at_most_one_holder() {
+    check("replaced voter", replaced_voter());
 }
 
 #[test]
-fn a_third_voter_joins() {
-    explore("a third voter", third_voter());
+fn adding_a_third_voter_keeps_at_most_one_holder() {
+    check("third voter", third_voter());
 }
