--- a/crates/gateway/src/attempts.rs
+++ b/crates/gateway/src/attempts.rs
@@ -1,19 +1,19 @@
-//! Which request may be sent to a backend again, decided by types.
+//! Rules for sending a request to a backend again, enforced by types.
 //!
-//! Writing an attempt to a backend takes a [`SendPermit`], and [`Attempts::permit`] alone makes one: for a request's
-//! first attempt, for a request whose route says that it may run more than once ([`Repeatable`]), or where each earlier
-//! attempt has ended with a [`NotExecuted`]. None of the three types has a public constructor, and no permit can be
-//! copied: a repeat that is not allowed has nothing to be sent with.
+//! Sending an attempt to a backend requires a [`SendPermit`]. Only [`Attempts::permit`] creates one: for the first
+//! attempt of a request, for a request that may be executed more than once ([`Repeatable`]), or if each earlier attempt
+//! has ended with a [`NotExecuted`]. None of the three types has a public constructor and permits cannot be copied, so
+//! code that sends an attempt without permission does not compile.
 //!
 //! ```compile_fail
 //! use damsonbeam_gateway::attempts::SendPermit;
-//! let made_up = SendPermit(());
+//! let forged = SendPermit(());
 //! ```
 //!
 //! ```compile_fail
 //! use damsonbeam_gateway::attempts::{Attempts, SendPermit};
-//! fn sent_and_kept(permit: SendPermit, meter: std::rc::Rc<damsonbeam_gateway::meter::Meter>) {
-//!     let sent = permit.sent_over(meter);
+//! fn use_permit_twice(permit: SendPermit, meter: std::rc::Rc<damsonbeam_gateway::write_meter::WriteMeter>) {
+//!     let sent = permit.start_sending(meter);
 //!     let proof = permit.unused();
 //! }
 //! ```
@@ -24,12 +24,12 @@
 
 use crate::write_meter::WriteMeter;
 
-/// A request that may run more than once.
+/// Proof that a request may be executed more than once.
 #[derive(Clone, Copy, Debug)]
 pub struct Repeatable(());
 
 impl Repeatable {
-    /// What the configuration says of the request's operation; none where it may run once at most.
+    /// Returns the proof for an operation with this repeat mode; `None` if a request may be executed at most once.
     pub fn by(repeat: Repeat) -> Option<Self> {
         match repeat {
             Repeat::Idempotent | Repeat::Tokened { .. } => Some(Repeatable(())),
@@ -44,24 +44,24 @@
 
 #[derive(Debug)]
 enum Evidence {
-    /// Nothing of it was handed to a connection.
+    /// No part of the attempt was handed to a connection.
     NotSent,
-    /// Its last byte was never handed to the system.
+    /// The last byte of the attempt was never handed to the operating system.
     Incomplete,
-    /// The backend said so, in the answer to this very request.
+    /// The backend declined the request in its response to it.
     Declined(Refusal),
 }
 
-/// How a backend says that it has not executed a request.
+/// Reasons why a backend did not execute a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// It has no room.
+    /// The backend has no free capacity.
     Full,
-    /// The request named another backend.
+    /// The request was addressed to another backend.
     WrongBackend,
 }
 
-/// What an answer says, by the protocol that backends speak.
+/// What a response says about the execution of a request, according to the protocol of the backends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// The request was executed.
@@ -70,25 +70,25 @@
     Failed,
     /// The request was not executed.
     Declined(Refusal),
-    /// It is the answer to another request.
+    /// The response belongs to another request.
     Misplaced,
 }
 
 /// How an attempt ended.
 #[derive(Debug)]
 pub enum Ending {
-    /// It was answered.
+    /// The backend executed the request successfully.
     Succeeded,
-    /// It was answered with a failure.
+    /// The backend responded with a failure.
     Failed,
-    /// Nothing tells whether it was executed.
+    /// It is not known whether the request was executed.
     Unknown,
-    /// It was not executed and never will be.
+    /// The request was not executed and never will be.
     NotExecuted(NotExecuted),
 }
 
 impl Ending {
-    /// The same as the decision module takes it.
+    /// Converts to the outcome that the decision module uses.
     pub fn outcome(&self) -> Outcome {
         match self {
             Ending::Succeeded => Outcome::Ok,
@@ -100,31 +100,31 @@
     }
 }
 
-/// Leave to write one attempt of a request to one backend.
+/// Permission to send one attempt of a request to one backend.
 #[derive(Debug)]
 #[must_use]
 pub struct SendPermit(());
 
 impl SendPermit {
-    /// The attempt is given up before anything of it was handed to a connection.
+    /// Gives up the attempt before any part of it was handed to a connection.
     pub fn unused(self) -> NotExecuted {
         NotExecuted(Evidence::NotSent)
     }
 
-    /// The attempt is about to be written to a connection, which counts its bytes.
-    pub fn sent_over(self, meter: Rc<WriteMeter>) -> SentAttempt {
+    /// Uses the permit for an attempt that is written to a connection with this meter.
+    pub fn start_sending(self, meter: Rc<WriteMeter>) -> SentAttempt {
         SentAttempt { meter }
     }
 }
 
-/// An attempt that was handed to a connection.
+/// An attempt that has been handed to a connection.
 pub struct SentAttempt {
     meter: Rc<WriteMeter>,
 }
 
 impl SentAttempt {
-    /// It was answered.
-    pub fn answered(self, verdict: Verdict) -> Ending {
+    /// Ends the attempt with a response.
+    pub fn end_with_response(self, verdict: Verdict) -> Ending {
         match verdict {
             Verdict::Succeeded => Ending::Succeeded,
             Verdict::Failed => Ending::Failed,
@@ -135,8 +135,10 @@
         }
     }
 
-    /// No answer came that can be read. `body_ended`: the last byte of a body that was still coming was on its way.
-    pub fn broken(self, body_ended: bool) -> Ending {
+    /// Ends the attempt without a usable response.
+    ///
+    /// `body_ended` states whether a streamed body was read to its end, so that its last byte may have been sent.
+    pub fn end_without_response(self, body_ended: bool) -> Ending {
         if self.meter.is_complete() || body_ended {
             Ending::Unknown
         } else {
@@ -149,34 +151,34 @@
 #[derive(Debug, Default)]
 pub struct Attempts {
     repeatable: Option<Repeatable>,
-    all: Vec<AttemptState>,
+    states: Vec<AttemptState>,
 }
 
 #[derive(Debug)]
 enum AttemptState {
-    /// Out, or ended without proof.
+    /// In progress, or ended without proof that the request was not executed.
     MayRun,
     NotExecuted,
 }
 
 impl Attempts {
-    /// No attempt yet.
+    /// Creates the state without attempts.
     pub fn new(repeatable: Option<Repeatable>) -> Self {
         Attempts {
             repeatable,
-            all: Vec::new(),
+            states: Vec::new(),
         }
     }
 
-    /// The number of the next attempt.
+    /// Returns the number of the next attempt.
     pub fn next(&self) -> AttemptNumber {
-        AttemptNumber(self.all.len() as u32)
+        AttemptNumber(self.states.len() as u32)
     }
 
-    /// Counts an attempt, and gives the permit to send it where it may be sent at all.
+    /// Counts an attempt. Returns the permit to send it, or `None` if the request may not be sent again.
     pub fn permit(&mut self) -> Option<SendPermit> {
         let allowed = self.repeatable.is_some() || self.none_executed();
-        self.all.push(if allowed {
+        self.states.push(if allowed {
             AttemptState::MayRun
         } else {
             AttemptState::NotExecuted
@@ -184,20 +186,20 @@
         allowed.then_some(SendPermit(()))
     }
 
-    /// That attempt is over, and was not executed.
+    /// Records that an attempt has ended without being executed.
     pub fn not_executed(&mut self, number: AttemptNumber, _proof: NotExecuted) {
-        self.all[number.0 as usize] = AttemptState::NotExecuted;
+        self.states[number.0 as usize] = AttemptState::NotExecuted;
     }
 
-    /// No attempt was executed, and none will be.
+    /// Returns whether no attempt was executed or can still be executed.
     pub fn none_executed(&self) -> bool {
-        self.all
+        self.states
             .iter()
             .all(|state| matches!(state, AttemptState::NotExecuted))
     }
 
-    /// Whether no attempt was made.
+    /// Returns whether no attempt was made.
     pub fn is_empty(&self) -> bool {
-        self.all.is_empty()
+        self.states.is_empty()
     }
 }
--- a/crates/gateway/src/backend_list/fetch.rs
+++ b/crates/gateway/src/backend_list/fetch.rs
@@ -1,4 +1,4 @@
-//! One call to discovery, on a connection that is kept.
+//! Requests to the discovery service over a persistent connection.
 
 use std::io;
 use std::net::SocketAddr;
@@ -17,7 +17,7 @@
 const MAX_BODY_BYTES: usize = 4 << 20;
 const PATH: &str = "/discovery/hosts";
 
-/// Why discovery gave no list.
+/// Reasons why a request to the discovery service failed.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum FetchError {
     #[error(transparent)]
@@ -32,18 +32,21 @@
     Status(StatusCode),
     #[error(transparent)]
     Malformed(#[from] serde_json::Error),
-    #[error("no answer")]
+    #[error("request timed out")]
     TimedOut,
 }
 
-/// A connection to discovery; opened by the next call where it is closed.
+/// Persistent connection to the discovery service. If closed, the next request opens a new one.
 #[derive(Default)]
 pub(super) struct DiscoveryConnection {
     open: Option<SendRequest<Empty<Bytes>>>,
 }
 
 impl DiscoveryConnection {
-    /// The whole list; where a revision is named, what changed since, once something has or `hold` is over.
+    /// Fetches the whole list or, with `since_revision`, the changes since that revision.
+    ///
+    /// A request for changes is a long poll: the service replies as soon as there is a change, at the latest after
+    /// `hold`.
     pub(super) async fn fetch(
         &mut self,
         address: SocketAddr,
--- a/crates/gateway/src/backend_list/mod.rs
+++ b/crates/gateway/src/backend_list/mod.rs
@@ -1,4 +1,4 @@
-//! The list of backends: discovery's messages, and the actor that keeps a watch on it.
+//! The list of backends: messages of the discovery service and the actor that watches the list.
 
 mod fetch;
 mod name_table;
@@ -11,57 +11,63 @@
 pub use self::name_table::NameTable;
 pub use self::watcher::BackendListWatcher;
 
-/// Discovery's answer: the list, or what changed of it.
+/// Response of the discovery service: the whole list or the changes to it.
 #[derive(Deserialize, Serialize, Default, Clone)]
 pub struct DiscoveryPage {
-    /// Counts the changes.
+    /// Revision of the list, increased with each change.
     pub revision: u64,
-    /// It is the whole list.
+    /// Whether the page holds the whole list.
     pub complete: bool,
-    /// The backends.
+    /// The listed or changed backends.
     pub members: Vec<Member>,
 }
 
-/// A backend, as discovery tells of it.
+/// A backend as described by the discovery service.
 #[derive(Deserialize, Serialize, Clone)]
 pub struct Member {
-    /// Its name.
+    /// Name of the backend.
     pub id: String,
-    /// Where it is reached.
+    /// Address of the backend.
     pub host_port: SocketAddr,
-    /// Its zone.
+    /// Zone of the backend.
     #[serde(default)]
     pub locality: String,
-    /// Its kind of machine.
+    /// Machine type.
     #[serde(default)]
     pub flavor: String,
-    /// Its cell of the zone.
+    /// Cell within the zone.
     #[serde(default)]
     pub cell: u32,
-    /// Whether it takes work.
+    /// Phase of the backend: `active` if it accepts requests, `left` if it has been removed; any other value means that
+    /// it drains.
     pub phase: String,
-    /// Its capacity beside others'.
-    #[serde(default = "one")]
+    /// Capacity relative to other backends.
+    #[serde(default = "default_size")]
     pub size: f64,
-    /// When its process last started; 0: long ago.
+    /// Time at which the process last started, in milliseconds; 0 means long ago.
     #[serde(default)]
     pub up_since_ms: u64,
 }
 
-fn one() -> f64 {
+fn default_size() -> f64 {
     1.0
 }
 
 impl DiscoveryPage {
-    /// The whole list after a page of news.
+    /// Applies an update to this list: replaces the list if the update is complete, otherwise merges the changes.
     pub fn apply(&mut self, update: &DiscoveryPage) {
         self.revision = update.revision;
         if update.complete {
             self.members.clear();
         }
         self.members
-            .retain(|m| update.members.iter().all(|n| n.id != m.id));
-        self.members
-            .extend(update.members.iter().filter(|m| m.phase != "left").cloned());
+            .retain(|member| update.members.iter().all(|changed| changed.id != member.id));
+        self.members.extend(
+            update
+                .members
+                .iter()
+                .filter(|member| member.phase != "left")
+                .cloned(),
+        );
     }
 }
--- a/crates/gateway/src/backend_list/name_table.rs
+++ b/crates/gateway/src/backend_list/name_table.rs
@@ -1,4 +1,4 @@
-//! Numbers for the names that discovery uses.
+//! Maps the names that the discovery service uses to numeric ids.
 
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
@@ -8,11 +8,12 @@
 use super::{DiscoveryPage, Member};
 use crate::messages::BackendListUpdate;
 
-/// What discovery calls a backend that takes work, and one that is there no more.
+/// Phase of a backend that accepts requests.
 const ACTIVE: &str = "active";
+/// Phase of a backend that has been removed.
 const LEFT: &str = "left";
 
-/// Numbers for the names that discovery uses.
+/// Numeric ids for the names that the discovery service uses.
 pub struct NameTable {
     zones: Vec<String>,
     kinds: Vec<String>,
@@ -20,7 +21,7 @@
 }
 
 impl NameTable {
-    /// Knows the zones and kinds that the settings name, in their order.
+    /// Creates a table with the zones and machine types of the settings, in their order.
     pub fn new(zones: Vec<String>, kinds: Vec<String>) -> Self {
         NameTable {
             zones,
@@ -29,12 +30,13 @@
         }
     }
 
-    /// How many names it knows.
+    /// Returns the number of known backend names.
     pub fn known(&self) -> usize {
         self.ids.len()
     }
 
-    /// The same at every gateway: made from the id alone, but for the rare two that fall together.
+    /// Returns the numeric id of a backend. The id is a hash of the name, so that it is the same at every gateway except
+    /// in the rare case of a collision.
     fn backend_id(&mut self, id: &str) -> BackendId {
         if let Some(known) = self.ids.get(id) {
             return *known;
@@ -47,13 +49,13 @@
         backend_id
     }
 
-    /// A list as the dispatcher takes it. Names of backends that are gone are forgotten.
+    /// Converts a page to the form that the dispatcher uses, and removes the names of backends that have left.
     pub fn to_update(&mut self, page: DiscoveryPage, form: ListForm) -> BackendListUpdate {
         let addresses = page.members.iter().map(|member| member.host_port).collect();
         let members = page.members.iter();
         let entries = members.map(|member| self.entry(member)).collect();
         let has_left = |member: &&Member| member.phase == LEFT;
-        // Backends are replaced for ever: names that are gone must not stay, or they fill the memory.
+        // Backends are replaced continually, so names that are kept after a backend has left would fill the memory.
         if form == ListForm::Update {
             for member in page.members.iter().filter(has_left) {
                 self.ids.remove(&member.id);
@@ -77,7 +79,7 @@
             health: match member.phase.as_str() {
                 ACTIVE => Health::Up,
                 LEFT => Health::Gone,
-                // An unlisted phase is no promise that it takes work.
+                // A backend in an unknown phase cannot be assumed to accept requests.
                 _ => Health::Draining,
             },
             since: Duration::from_millis(member.up_since_ms),
@@ -89,13 +91,13 @@
     }
 }
 
-/// A name that the settings lack has a position of its own, not the first one's.
+/// Returns the position of a name, or `names.len()` if the settings do not contain the name.
 fn position(names: &[String], name: &str) -> u32 {
     let known = names.iter().position(|known| known == name);
     known.unwrap_or(names.len()) as u32
 }
 
-/// The 32-bit FNV-1a hash.
+/// Returns the 32-bit FNV-1a hash.
 fn fnv1a(text: &str) -> u32 {
     const OFFSET_BASIS: u32 = 0x811c_9dc5;
     const PRIME: u32 = 0x0100_0193;
--- a/crates/gateway/src/backend_list/watcher.rs
+++ b/crates/gateway/src/backend_list/watcher.rs
@@ -1,4 +1,4 @@
-//! The actor that keeps a watch on the list of backends.
+//! Actor that watches the list of backends at the discovery service.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -14,45 +14,48 @@
 use crate::log::log;
 use crate::messages::{BackendListUpdate, ToDispatcher, ToListWatcher};
 
-/// How long a watch may wait, and what is given it beyond before it is held for lost. A watch that fell
-/// silent looks like one with nothing to tell: for so long work goes to backends that are gone. A call for
-/// the whole list is given as long: where a whole fleet asks at once each waits its turn, and those that
-/// give up sooner are served for nothing and come again, so that nobody ever has a list.
+/// Maximum time for which the discovery service holds a long poll.
+///
+/// A lost long poll looks like one without changes, so for `WATCH_HOLD + WATCH_GRACE` requests may go to backends that
+/// have been removed. Requests for the whole list have the same timeout: when a whole fleet requests the list at the
+/// same time, each request waits in a queue. With a shorter timeout the clients would give up and repeat their requests
+/// while the service still works on the abandoned ones, so that no client ever receives a list.
 const WATCH_HOLD: Duration = Duration::from_secs(2);
+/// Time after [`WATCH_HOLD`] until a request counts as lost.
 const WATCH_GRACE: Duration = Duration::from_millis(500);
-/// After a failed call: within the 200 ms in which a watch continues.
+/// Delay after a failed request. It is shorter than the 200 ms within which a watch has to be continued.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// The actor that keeps a watch on the list of backends.
+/// Actor that watches the list of backends.
 pub struct BackendListWatcher {
-    /// Where discovery is.
+    /// Address of the discovery service.
     pub at: SocketAddr,
-    /// Numbers for the names that discovery uses.
+    /// Numeric ids for the names that the discovery service uses.
     pub names: NameTable,
-    /// How the list comes.
+    /// How the list is obtained.
     pub mode: Discovery,
-    /// The revision that this process began with.
+    /// Revision of the list with which this process started.
     pub known: u64,
-    /// The whole list as it stands, for a process that follows this one.
+    /// The current whole list, handed over to a successor process.
     pub last_list: Rc<RefCell<DiscoveryPage>>,
-    /// Where lists go.
+    /// Receives the lists.
     pub dispatcher: mpsc::Sender<ToDispatcher>,
-    /// What the watcher is told.
+    /// Messages to the watcher.
     pub mailbox: mpsc::Receiver<ToListWatcher>,
-    /// Told once the dispatcher has a list from discovery.
+    /// Notified once the dispatcher has received the first page from the discovery service.
     pub first: Option<oneshot::Sender<()>>,
 }
 
-/// What a call to discovery has come to.
-enum Call {
+/// Result of a request to the discovery service.
+enum RequestResult {
     Ended(Result<DiscoveryPage, FetchError>),
-    /// The watch is over.
-    Unwatched,
-    /// Discovery is at another address.
+    /// The dispatcher ended the watch.
+    WatchEnded,
+    /// The discovery service has moved to another address.
     Moved(SocketAddr),
 }
 
-/// The dispatcher, or whoever sends the watcher messages, has ended.
+/// The dispatcher or the sender of the mailbox has ended.
 struct ActorEnded;
 
 impl BackendListWatcher {
@@ -60,8 +63,8 @@
     pub async fn run(mut self) {
         let mut watching = self.mode == Discovery::Pushed;
         let mut connection = DiscoveryConnection::default();
-        // A subscription is one call, and brings what was missed: a whole list before it would be two, at a
-        // service that all gateways call when they start.
+        // A subscription since the known revision returns all missed changes in one request. Fetching the whole list
+        // first would take two requests to a service that all gateways call when they start.
         let mut revision = (self.mode == Discovery::Subscribed).then_some(self.known);
         loop {
             if !watching {
@@ -77,26 +80,26 @@
                     }
                 }
             }
-            let Ok(call) = self.call(&mut connection, revision).await else {
+            let Ok(result) = self.request(&mut connection, revision).await else {
                 return;
             };
-            let handled = match call {
-                Call::Moved(address) => {
-                    // The watch begins anew with the whole list: nothing told in between may be missed.
+            let handled = match result {
+                RequestResult::Moved(address) => {
+                    // The watch restarts with the whole list, so that no change in between is missed.
                     self.at = address;
                     connection = DiscoveryConnection::default();
                     revision = None;
                     Ok(())
                 }
-                Call::Unwatched => {
+                RequestResult::WatchEnded => {
                     watching = false;
                     Ok(())
                 }
-                Call::Ended(Ok(page)) => {
+                RequestResult::Ended(Ok(page)) => {
                     revision = Some(page.revision);
-                    self.take_page(page).await
+                    self.handle_page(page).await
                 }
-                Call::Ended(Err(error)) => self.call_failed(error, &mut watching).await,
+                RequestResult::Ended(Err(error)) => self.handle_failure(error, &mut watching).await,
             };
             if handled.is_err() {
                 return;
@@ -104,33 +107,33 @@
         }
     }
 
-    /// Calls discovery; messages that come meanwhile may end the call.
-    async fn call(
+    /// Sends a request to the discovery service. Messages that arrive meanwhile may abort the request.
+    async fn request(
         &mut self,
         connection: &mut DiscoveryConnection,
         revision: Option<u64>,
-    ) -> Result<Call, ActorEnded> {
+    ) -> Result<RequestResult, ActorEnded> {
         let fetch = connection.fetch(self.at, revision, WATCH_HOLD);
         let mut fetch = Box::pin(timeout(WATCH_HOLD + WATCH_GRACE, fetch));
         loop {
             tokio::select! {
                 fetched = &mut fetch => {
-                    return Ok(Call::Ended(fetched.unwrap_or(Err(FetchError::TimedOut))));
+                    return Ok(RequestResult::Ended(fetched.unwrap_or(Err(FetchError::TimedOut))));
                 }
                 message = self.mailbox.recv() => match message {
                     None => return Err(ActorEnded),
                     Some(ToListWatcher::Watch { on: false }) if self.mode == Discovery::Subscribed => {
-                        return Ok(Call::Unwatched);
+                        return Ok(RequestResult::WatchEnded);
                     }
-                    Some(ToListWatcher::Move(address)) => return Ok(Call::Moved(address)),
+                    Some(ToListWatcher::Move(address)) => return Ok(RequestResult::Moved(address)),
                     Some(_) => {}
                 }
             }
         }
     }
 
-    async fn take_page(&mut self, page: DiscoveryPage) -> Result<(), ActorEnded> {
-        // Only what says that it is complete is: backends absent from it are gone.
+    async fn handle_page(&mut self, page: DiscoveryPage) -> Result<(), ActorEnded> {
+        // Only a page marked as complete replaces the list: backends absent from such a page have been removed.
         let form = if page.complete {
             ListForm::Replace
         } else {
@@ -141,14 +144,15 @@
             let update = self.names.to_update(page, form);
             self.send(update).await?;
         }
-        if let Some(first) = self.first.take() {
-            first.send(()).ok();
+        if let Some(sender) = self.first.take() {
+            sender.send(()).ok();
         }
         Ok(())
     }
 
-    /// A subscription is over with a failed call, and the dispatcher decides when to ask anew; else it is tried again.
-    async fn call_failed(
+    /// Handles a failed request. A subscription ends and the dispatcher decides when to subscribe again; in other modes
+    /// the request is repeated after [`RETRY_DELAY`].
+    async fn handle_failure(
         &mut self,
         error: FetchError,
         watching: &mut bool,
@@ -156,7 +160,7 @@
         log!(
             warn,
             "list-unavailable",
-            "{}: {error}; the last list stays",
+            "{}: {error}; keeping the last list",
             self.at
         );
         if self.mode != Discovery::Subscribed {
--- a/crates/gateway/src/backends/attempt.rs
+++ b/crates/gateway/src/backends/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt, from its permit to how it ended.
+//! Carries out one attempt: connects to the backend, sends the request and reports the result to the dispatcher.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -27,19 +27,19 @@
     pub(super) pools: Rc<ConnectionPools>,
     pub(super) address: SocketAddr,
     pub(super) name: Arc<str>,
-    /// It drains or is gone.
+    /// Set once the backend drains or has been removed; nothing more may be sent to it.
     pub(super) closed: Rc<Cell<bool>>,
 }
 
-/// Tells the dispatcher what becomes of an attempt.
-struct Reporter {
+/// Reports the progress of one attempt to the dispatcher.
+struct AttemptReporter {
     invocation_id: InvocationId,
     number: AttemptNumber,
     dispatcher: mpsc::Sender<ToDispatcher>,
 }
 
-impl Reporter {
-    async fn ended(&self, ending: Ending, response: Option<BackendResponse>, report: Report) {
+impl AttemptReporter {
+    async fn report_end(&self, ending: Ending, response: Option<BackendResponse>, report: Report) {
         let ended = AttemptEnded {
             invocation_id: self.invocation_id,
             number: self.number,
@@ -51,11 +51,11 @@
         self.dispatcher.send(message).await.ok();
     }
 
-    async fn failed(&self, ending: Ending) {
-        self.ended(ending, None, vec![]).await;
+    async fn report_failure(&self, ending: Ending) {
+        self.report_end(ending, None, vec![]).await;
     }
 
-    async fn body_consumed(&self) {
+    async fn report_body_consumed(&self) {
         let message = ToDispatcher::BodyConsumed {
             invocation_id: self.invocation_id,
         };
@@ -63,21 +63,21 @@
     }
 }
 
-/// What came of a request that was written to a connection.
+/// Result of writing a request to a connection and reading the response.
 struct Exchange {
     attempt: SentAttempt,
-    /// The last byte of a body that was still coming was on its way.
+    /// Whether a streamed body has been read to its end, so that its last byte may already be on the wire.
     body_ended: bool,
     response: Result<ReceivedResponse, ResponseError>,
 }
 
-/// Carries out an attempt; its connection comes back where it can carry another.
+/// Carries out an attempt. Returns its connection if the connection can be reused.
 pub(super) async fn run_attempt(
     target: Target,
     idle: Option<BackendConnection>,
     outgoing: OutgoingAttempt,
 ) -> Option<BackendConnection> {
-    let reporter = Reporter {
+    let reporter = AttemptReporter {
         invocation_id: outgoing.invocation_id,
         number: outgoing.number,
         dispatcher: outgoing.to,
@@ -91,16 +91,20 @@
         ..
     } = outgoing;
     let Some(mut connection) = target.connection(idle).await else {
-        reporter.failed(Ending::NotExecuted(permit.unused())).await;
+        reporter
+            .report_failure(Ending::NotExecuted(permit.unused()))
+            .await;
         return None;
     };
-    // Cancelled before anything was written: the new connection serves the next.
+    // Cancelled before anything was written, so the connection can serve the next attempt.
     if cancel_handle.cancelled.get() {
         return Some(connection);
     }
-    // While it connected, its backend began to drain.
+    // The backend began to drain while the connection was being opened.
     if target.closed.get() {
-        reporter.failed(Ending::NotExecuted(permit.unused())).await;
+        reporter
+            .report_failure(Ending::NotExecuted(permit.unused()))
+            .await;
         return None;
     }
     if let Some(overdue) = replaces {
@@ -110,13 +114,13 @@
     let exchange = target
         .exchange(&mut connection, permit, &request, time_left)
         .await;
-    // What has gone to a backend and is not held goes to no other.
+    // The part of a streamed body that was sent is not kept in memory, so no other attempt can send this body.
     if request
         .body
         .streamed()
         .is_some_and(|body| body.is_consumed())
     {
-        reporter.body_consumed().await;
+        reporter.report_body_consumed().await;
     }
     let is_reusable = target
         .finish(exchange, &request, &cancel_handle, &reporter)
@@ -125,7 +129,7 @@
 }
 
 impl Target {
-    /// The idle connection, else a new one.
+    /// Returns the idle connection if there is one, otherwise opens a new connection.
     async fn connection(&self, idle: Option<BackendConnection>) -> Option<BackendConnection> {
         if idle.is_some() {
             return idle;
@@ -139,7 +143,7 @@
         }
     }
 
-    /// Writes the request, and reads the response.
+    /// Writes the request and reads the response.
     async fn exchange(
         &self,
         connection: &mut BackendConnection,
@@ -147,16 +151,16 @@
         request: &ForwardedRequest,
         time_left: Duration,
     ) -> Exchange {
-        // Of a body whose length is not known, none can be told to be the last byte but by its end.
+        // With an unknown length, the last byte of a body is known only at the end of its stream.
         let length = request.body.length();
         let body_bytes = length.map_or(usize::MAX, |length| length as usize);
         connection.meter.begin(body_bytes);
-        let attempt = permit.sent_over(connection.meter.clone());
+        let attempt = permit.start_sending(connection.meter.clone());
         let sent = connection
             .send
-            .send_request(self.backend_request(request, time_left));
+            .send_request(self.build_request(request, time_left));
         let response = match sent.await {
-            Ok(response) => receive(&self.pools.memory, response).await,
+            Ok(response) => receive(&self.pools.response_memory, response).await,
             Err(error) => Err(error.into()),
         };
         let streamed = request.body.streamed();
@@ -171,7 +175,7 @@
         }
     }
 
-    fn backend_request(&self, request: &ForwardedRequest, time_left: Duration) -> Request<Upload> {
+    fn build_request(&self, request: &ForwardedRequest, time_left: Duration) -> Request<Upload> {
         let mut outgoing = Request::new(Upload::new(&request.body));
         *outgoing.method_mut() = request.method.clone();
         *outgoing.uri_mut() = request.uri.clone();
@@ -181,13 +185,13 @@
         outgoing
     }
 
-    /// Tells the dispatcher how the attempt ended; returns whether its connection may carry another.
+    /// Reports the end of the attempt to the dispatcher. Returns whether the connection can be reused.
     async fn finish(
         &self,
         exchange: Exchange,
         request: &ForwardedRequest,
         cancel_handle: &CancelHandle,
-        reporter: &Reporter,
+        reporter: &AttemptReporter,
     ) -> bool {
         let Exchange {
             attempt,
@@ -205,25 +209,29 @@
                 if !cancel_handle.cancelled.get() {
                     log!(warn, "delivery-broken", "{}: {error}", self.address);
                 }
-                // What still comes belongs to nothing any more.
+                // Nothing that still arrives on this connection belongs to a request.
                 cancel_handle.cancel();
-                reporter.failed(attempt.broken(body_ended)).await;
+                reporter
+                    .report_failure(attempt.end_without_response(body_ended))
+                    .await;
                 return false;
             }
         };
         let protocol = &self.pools.protocol;
         let verdict = protocol.verdict(&request.headers, status, &headers);
         if verdict == Verdict::Misplaced {
-            // It belongs to another request, and so may whatever follows it.
+            // The response belongs to another request, and so may all further data on this connection.
             cancel_handle.cancel();
-            reporter.failed(attempt.answered(verdict)).await;
+            reporter
+                .report_failure(attempt.end_with_response(verdict))
+                .await;
             return false;
         }
         *cancel_handle.socket.borrow_mut() = Weak::new();
         if let Some(timeout) = protocol.idle_timeout(&headers) {
             self.pools.set_idle_timeout(timeout);
         }
-        let closes = announces_close(&headers);
+        let closes_connection = has_connection_close(&headers);
         let report = load_report(&headers, &self.pools.reports);
         let may_forward = protocol.may_forward(verdict, status, &headers);
         let response = may_forward.then(|| {
@@ -234,17 +242,17 @@
                 body,
             }
         });
-        let ending = attempt.answered(verdict);
-        reporter.ended(ending, response, report).await;
+        let ending = attempt.end_with_response(verdict);
+        reporter.report_end(ending, response, report).await;
         let is_complete = match stream_end {
             Some(end) => end.await == Ok(StreamEnd::Complete),
             None => true,
         };
-        is_complete && !closes && !cancel_handle.cancelled.get()
+        is_complete && !closes_connection && !cancel_handle.cancelled.get()
     }
 }
 
-fn announces_close(headers: &HeaderMap) -> bool {
+fn has_connection_close(headers: &HeaderMap) -> bool {
     let value = headers.get(CONNECTION);
     value.is_some_and(|value| value.as_bytes().eq_ignore_ascii_case(b"close"))
 }
--- a/crates/gateway/src/backends/connection.rs
+++ b/crates/gateway/src/backends/connection.rs
@@ -1,4 +1,4 @@
-//! A connection to a backend: it carries one attempt at a time, and counts what of it was written.
+//! A connection to a backend. It carries one attempt at a time and tracks how much of the request was written.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -22,25 +22,26 @@
 use crate::sizes::HEAD;
 use crate::write_meter::WriteMeter;
 
-/// A connection as hyper drives it. Attempts only borrow the socket, so it closes when hyper lets it go.
+/// The socket that hyper reads and writes. Attempts hold weak references only, so the socket closes as soon as
+/// hyper drops it.
 struct MeteredSocket {
     socket: Rc<Socket>,
     meter: Rc<WriteMeter>,
     sends: IntCounter,
-    _open: OpenCount,
+    _open_guard: OpenConnectionGuard,
 }
 
-/// Counts open connections.
-struct OpenCount(Rc<Cell<usize>>);
+/// Guard that counts an open connection until it is dropped.
+struct OpenConnectionGuard(Rc<Cell<usize>>);
 
-impl OpenCount {
+impl OpenConnectionGuard {
     fn new(open: &Rc<Cell<usize>>) -> Self {
         open.set(open.get() + 1);
-        OpenCount(open.clone())
+        OpenConnectionGuard(open.clone())
     }
 }
 
-impl Drop for OpenCount {
+impl Drop for OpenConnectionGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
@@ -59,9 +60,9 @@
 impl AsyncWrite for MeteredSocket {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context, bytes: &[u8]) -> Poll<io::Result<usize>> {
         let n = ready!(Pin::new(&mut *self.socket.borrow_mut()).poll_write(cx, bytes))?;
-        let before = self.meter.is_complete();
+        let was_complete = self.meter.is_complete();
         self.meter.wrote(&bytes[..n]);
-        if !before && self.meter.is_complete() {
+        if !was_complete && self.meter.is_complete() {
             self.sends.inc();
         }
         Poll::Ready(Ok(n))
@@ -84,23 +85,25 @@
 }
 
 impl BackendConnection {
-    /// Whether it can carry an attempt: open, and with nothing on it that came since the last. What came
-    /// since would be taken for the next one's answer; hyper sees it only once the poller has told of it.
+    /// Returns whether the connection can carry another attempt: it is open and has no unread input.
+    ///
+    /// Input that arrived after the last response would be read as the response to the next request. Hyper notices such
+    /// input only after the I/O driver has reported the socket as readable, so the socket is checked here directly.
     pub(super) fn is_reusable(&self) -> bool {
-        let silent = |socket: Rc<Socket>| {
+        let has_no_input = |socket: Rc<Socket>| {
             let peeked = SockRef::from(&*socket.borrow()).peek(&mut [MaybeUninit::uninit()]);
             peeked.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
         };
-        !self.send.is_closed() && self.socket.upgrade().is_some_and(silent)
+        !self.send.is_closed() && self.socket.upgrade().is_some_and(has_no_input)
     }
 }
 
-/// Why there is no connection to a backend.
+/// Reasons why no connection to a backend could be opened.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ConnectError {
-    #[error("{0} connections are open")]
-    NoRoom(usize),
-    #[error("no connection in time")]
+    #[error("connection limit reached: {0} connections are open")]
+    TooManyConnections(usize),
+    #[error("connection attempt timed out")]
     TimedOut,
     #[error(transparent)]
     Socket(#[from] io::Error),
@@ -108,15 +111,15 @@
     Handshake(#[from] hyper::Error),
 }
 
-/// Opens a connection to a backend.
+/// Opens a connection to a backend, closing the longest idle one if the limit is reached.
 pub(super) async fn connect(
     pools: &ConnectionPools,
     address: SocketAddr,
 ) -> Result<BackendConnection, ConnectError> {
     if !pools.make_room().await {
-        return Err(ConnectError::NoRoom(pools.max_open));
+        return Err(ConnectError::TooManyConnections(pools.max_open));
     }
-    let open = OpenCount::new(&pools.open);
+    let open_guard = OpenConnectionGuard::new(&pools.open);
     let socket = timeout(pools.connect_timeout, TcpStream::connect(address))
         .await
         .map_err(|_| ConnectError::TimedOut)??;
@@ -127,7 +130,7 @@
         socket: socket.clone(),
         meter: meter.clone(),
         sends: pools.figures.sends.clone(),
-        _open: open,
+        _open_guard: open_guard,
     };
     let (send, driver) = Builder::new()
         .max_buf_size(HEAD)
--- a/crates/gateway/src/backends/connection_pools.rs
+++ b/crates/gateway/src/backends/connection_pools.rs
@@ -1,4 +1,4 @@
-//! The pools of idle connections of all backends, and the cap that they share.
+//! Pools of idle connections to all backends, with a common limit on open connections.
 
 use std::cell::{Cell, RefCell};
 use std::rc::{Rc, Weak};
@@ -11,64 +11,70 @@
 use super::protocol::BackendProtocol;
 use crate::memory_budget::MemoryBudget;
 
-/// Part of the time after which the platform closes an idle connection, by which ours are closed.
+/// Fraction of the idle timeout of the backends after which idle connections are closed on this side, as numerator and
+/// denominator.
 const IDLE_FRACTION: (u32, u32) = (3, 4);
-/// Turns given to a connection that was let go, to close.
+/// How many times [`ConnectionPools::make_room`] yields to let a dropped connection close.
 const CLOSE_YIELDS: usize = 8;
 
-/// Idle connections to one backend: the one used last goes out first; the oldest stand in front.
+/// Idle connections to one backend with the time since when each is idle, longest idle first. The connection used last
+/// is reused first.
 pub(super) type Pool = RefCell<Vec<(BackendConnection, Instant)>>;
 
-/// What all backends' actors share.
+/// State that the actors of all backends share.
 pub struct ConnectionPools {
-    /// A connection comes up within this, or the backend is held for unreachable.
+    /// Maximum time to open a connection; after that the backend is treated as unreachable.
     pub connect_timeout: Duration,
-    /// Idle connections are closed after this.
+    /// Time after which idle connections are closed.
     pub idle_timeout: Cell<Duration>,
-    /// The values that backends report of their load, in the settings' order.
+    /// Names of the fields in the load reports of backends, in the order of the settings.
     pub reports: Vec<String>,
     pub(super) protocol: Box<dyn BackendProtocol>,
-    /// Connections at most.
+    /// Maximum number of open connections.
     pub max_open: usize,
-    /// Connections that are open.
+    /// Number of open connections.
     pub open: Rc<Cell<usize>>,
-    /// The pools of all backends.
+    /// Pools of all backends by backend name.
     pools: RefCell<Vec<(String, Weak<Pool>)>>,
     pub(super) figures: Figures,
-    pub(super) memory: MemoryBudget,
+    pub(super) response_memory: MemoryBudget,
 }
 
 impl ConnectionPools {
-    /// No connections yet. `max_open`: connections at most; `bodies`: bytes of responses of unknown length at most.
+    /// Creates empty pools.
+    ///
+    /// `platform_idle_timeout` is the time after which backends close idle connections, `max_open` the maximum number
+    /// of open connections, and `body_bytes` the memory limit for responses of unknown length.
     pub fn new(
         connect_timeout: Duration,
-        idle: Duration,
+        platform_idle_timeout: Duration,
         reports: Vec<String>,
         protocol: Box<dyn BackendProtocol>,
         max_open: usize,
-        bodies: usize,
+        body_bytes: usize,
         figures: &Figures,
     ) -> Rc<Self> {
         Rc::new(ConnectionPools {
             connect_timeout,
-            idle_timeout: Cell::new(idle * IDLE_FRACTION.0 / IDLE_FRACTION.1),
+            idle_timeout: Cell::new(platform_idle_timeout * IDLE_FRACTION.0 / IDLE_FRACTION.1),
             reports,
             protocol,
             max_open,
             open: Rc::default(),
             pools: RefCell::default(),
             figures: figures.clone(),
-            memory: MemoryBudget::new(bodies),
+            response_memory: MemoryBudget::new(body_bytes),
         })
     }
 
-    /// The platform closes idle connections after that time: ours are closed sooner.
+    /// Sets the time after which backends close idle connections. Idle connections are closed earlier on this side.
     pub(super) fn set_idle_timeout(&self, timeout: Duration) {
         self.idle_timeout
             .set(timeout * IDLE_FRACTION.0 / IDLE_FRACTION.1);
     }
 
-    /// The pool of a backend: actors of one name share one.
+    /// Returns the pool of a backend. Actors of backends with the same name share a pool; a backend without a name has
+    /// its own.
     pub(super) fn pool(&self, name: &str) -> Rc<Pool> {
         let mut pools = self.pools.borrow_mut();
         pools.retain(|p| p.1.strong_count() > 0);
@@ -83,8 +89,10 @@
         })
     }
 
-    /// Room for a connection more: at the cap, the one idle longest is let go, whichever backend's it is.
-    /// A pool must not hold the descriptors that another backend's work needs.
+    /// Makes room for another connection and returns whether there is room.
+    ///
+    /// At the limit, closes the connection that has been idle longest, of any backend: a pool of idle connections must
+    /// not occupy file descriptors that requests to another backend need.
     pub(super) async fn make_room(&self) -> bool {
         if self.open.get() >= self.max_open {
             self.close_longest_idle();
--- a/crates/gateway/src/backends/mod.rs
+++ b/crates/gateway/src/backends/mod.rs
@@ -1,4 +1,4 @@
-//! The backends: an actor each, with its own pool of connections; a connection carries one attempt at a time.
+//! Backends. Each backend has an actor and a connection pool; a connection carries one attempt at a time.
 
 mod attempt;
 mod connection;
@@ -22,21 +22,21 @@
 pub use self::protocol::{BackendProtocol, CORRELATION_ID, Platform, TIME_LEFT, keep_end_to_end};
 use crate::messages::{BackendHandle, ToBackend};
 
-/// Room in a backend's mailbox: more attempts than a backend's places at any time.
+/// Capacity of a backend's mailbox, larger than the number of attempts that a backend has at any time.
 const MAILBOX_CAPACITY: usize = 256;
 
-/// A backend's actor.
+/// Actor that carries out the attempts for one backend.
 pub struct Backend {
     address: SocketAddr,
     name: Arc<str>,
     pools: Rc<ConnectionPools>,
-    /// It drains or is gone: what is not written yet is not written any more.
+    /// Set once the backend drains or has been removed; requests not yet written are then not written any more.
     closed: Rc<Cell<bool>>,
     mailbox: mpsc::Receiver<ToBackend>,
 }
 
 impl Backend {
-    /// Starts a backend's actor; the dispatcher reaches it by what comes back.
+    /// Starts the actor of a backend and returns the handle with which the dispatcher reaches it.
     pub fn spawn(
         pools: &Rc<ConnectionPools>,
         address: SocketAddr,
@@ -63,37 +63,37 @@
     async fn run(mut self) {
         let pool = self.pools.pool(&self.name);
         let mut running = FuturesUnordered::new();
-        let expiry = sleep_until(Instant::now());
-        tokio::pin!(expiry);
-        let (mut armed, mut open) = (false, true);
-        while open || !running.is_empty() {
+        let idle_timer = sleep_until(Instant::now());
+        tokio::pin!(idle_timer);
+        let (mut timer_armed, mut mailbox_open) = (false, true);
+        while mailbox_open || !running.is_empty() {
             tokio::select! {
                 biased;
                 Some(returned) = running.next(), if !running.is_empty() => {
                     if let Some(connection) = returned {
                         pool.borrow_mut().push((connection, Instant::now()));
-                        if !armed {
-                            armed = true;
-                            expiry.as_mut().reset(Instant::now() + self.pools.idle_timeout.get());
+                        if !timer_armed {
+                            timer_armed = true;
+                            idle_timer.as_mut().reset(Instant::now() + self.pools.idle_timeout.get());
                         }
                     }
                 }
-                message = self.mailbox.recv(), if open => match message {
+                message = self.mailbox.recv(), if mailbox_open => match message {
                     Some(ToBackend::Send(outgoing)) => {
                         let idle = self.take_idle(&pool);
                         running.push(run_attempt(self.target(), idle, outgoing));
                     }
                     Some(ToBackend::CloseIdle) => pool.borrow_mut().clear(),
                     None => {
-                        open = false;
+                        mailbox_open = false;
                         pool.borrow_mut().clear();
                     }
                 },
-                () = &mut expiry, if armed => {
+                () = &mut idle_timer, if timer_armed => {
                     let next = self.close_expired(&pool);
-                    armed = next.is_some();
+                    timer_armed = next.is_some();
                     if let Some(next) = next {
-                        expiry.as_mut().reset(next);
+                        idle_timer.as_mut().reset(next);
                     }
                 }
             }
@@ -109,7 +109,7 @@
         }
     }
 
-    /// The connection used last that can carry another attempt; those passed over are closed.
+    /// Takes the most recently used connection that can be reused from the pool and closes those that it skips.
     fn take_idle(&self, pool: &Pool) -> Option<BackendConnection> {
         let timeout = self.pools.idle_timeout.get();
         while let Some((connection, since)) = pool.borrow_mut().pop() {
@@ -120,7 +120,7 @@
         None
     }
 
-    /// Closes the connections that were idle for too long; returns when the next one will have been.
+    /// Closes connections that have reached the idle timeout. Returns when the next connection reaches it.
     fn close_expired(&self, pool: &Pool) -> Option<Instant> {
         let timeout = self.pools.idle_timeout.get();
         let mut idle = pool.borrow_mut();
--- a/crates/gateway/src/backends/protocol.rs
+++ b/crates/gateway/src/backends/protocol.rs
@@ -1,4 +1,4 @@
-//! What backends speak: the trait, and the protocol of the deployments in service.
+//! The protocol between gateway and backends: the trait and its implementation for the deployments in service.
 
 use std::time::Duration;
 
@@ -10,28 +10,28 @@
 
 use crate::attempts::{Refusal, Verdict};
 
-/// Names an invocation at every party on its way.
+/// Header with the name of an invocation, the same in the client, the gateway and the backend.
 pub static CORRELATION_ID: HeaderName = HeaderName::from_static("x-correlation-id");
-/// How long the sender of a request will wait for its answer, in milliseconds.
+/// Header with the time that the sender of a request still waits for the response, in milliseconds.
 pub static TIME_LEFT: HeaderName = HeaderName::from_static("x-time-left-ms");
 static UNPROCESSED: HeaderName = HeaderName::from_static("x-unprocessed");
 static BACKEND_LOAD: HeaderName = HeaderName::from_static("x-backend-load");
 
-/// What backends speak, by the deployment's protocol.
+/// Protocol of the backends of a deployment.
 pub trait BackendProtocol {
-    /// What a request to a backend says besides what its client said.
+    /// Adds the headers that the gateway itself sends with a request to a backend.
     fn add_request_headers(&self, headers: &mut HeaderMap, time_left: Duration, backend: &str);
-    /// What an answer says of the request that it came for.
+    /// Returns what a response says about the execution of its request; `asked` are the headers of the request.
     fn verdict(&self, asked: &HeaderMap, status: StatusCode, headers: &HeaderMap) -> Verdict;
-    /// Whether an answer may go to the client where no better one comes.
+    /// Returns whether a response may be forwarded to the client if no better response arrives.
     fn may_forward(&self, verdict: Verdict, status: StatusCode, headers: &HeaderMap) -> bool;
-    /// Leaves of an answer's headers what is the client's.
+    /// Removes the response headers that are not meant for the client.
     fn strip_response_headers(&self, headers: &mut HeaderMap);
-    /// How long an idle connection may be kept, where an answer says.
+    /// Returns how long an idle connection may be kept, if the response states that time.
     fn idle_timeout(&self, headers: &HeaderMap) -> Option<Duration>;
 }
 
-/// What the backends of the deployments in service speak.
+/// Protocol of the backends in the deployments in service.
 pub struct Platform;
 
 impl BackendProtocol for Platform {
@@ -46,7 +46,7 @@
             StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if unprocessed => {
                 Verdict::Declined(Refusal::Full)
             }
-            // Any other answer leaves open whether it ran.
+            // Any other status leaves open whether the request was executed.
             _ => Verdict::Failed,
         }
     }
@@ -65,7 +65,7 @@
     }
 }
 
-/// The values of a load report in the settings' order; none if it isn't whole.
+/// Returns the values of a load report in the order of `names`, or an empty report if a value is missing or invalid.
 pub(super) fn load_report(headers: &HeaderMap, names: &[String]) -> Report {
     let Some(text) = headers.get(&BACKEND_LOAD).filter(|_| !names.is_empty()) else {
         return vec![];
@@ -84,11 +84,13 @@
         .unwrap_or_default()
 }
 
-/// Leaves the headers that are meant for the far end, and the name of an invocation in any case: a client
-/// that lists it as meant for the next hop only must not have it go on without.
-pub fn keep_end_to_end(headers: &mut HeaderMap, name: &str) {
-    if let Some(named) = headers.remove(CONNECTION) {
-        for name in named.to_str().unwrap_or("").split(',') {
+/// Removes all hop-by-hop headers and sets the header with the invocation name, unless `invocation_name` is empty.
+///
+/// The name is set again because a client may list its header in `Connection`, as meant for the next hop only; the
+/// request must not be forwarded without it.
+pub fn keep_end_to_end(headers: &mut HeaderMap, invocation_name: &str) {
+    if let Some(listed) = headers.remove(CONNECTION) {
+        for name in listed.to_str().unwrap_or("").split(',') {
             headers.remove(name.trim());
         }
     }
@@ -104,7 +106,10 @@
     }
     headers.remove(CONTENT_LENGTH);
     headers.remove(TRANSFER_ENCODING);
-    if let Some(name) = HeaderValue::from_str(name).ok().filter(|n| !n.is_empty()) {
+    if let Some(name) = HeaderValue::from_str(invocation_name)
+        .ok()
+        .filter(|n| !n.is_empty())
+    {
         headers.insert(&CORRELATION_ID, name);
     }
 }
--- a/crates/gateway/src/backends/response.rs
+++ b/crates/gateway/src/backends/response.rs
@@ -1,4 +1,4 @@
-//! A backend's response as it is read: whole where it is small, else its beginning and what still comes.
+//! Reads the response of a backend: buffers a small body, streams a large one.
 
 use std::time::Duration;
 
@@ -12,36 +12,37 @@
 use crate::memory_budget::MemoryBudget;
 use crate::sizes::{BODY, LARGE};
 
-/// An answer that does not say its length is held back for so long from its head on: whole, it can be
-/// told from a broken one; a long one that comes slowly must begin before its client's time is up.
-const HOLD_BACK: Duration = Duration::from_millis(100);
+/// Maximum time for which a response of unknown length is buffered, counted from its head. A response buffered to its
+/// end can be told from a truncated one; a long, slow response must start to flow before the client times out.
+const BUFFERING_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Why a response can't be used.
+/// Reasons why a response cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ResponseError {
-    #[error("an answer of no known length")]
+    #[error("response with ambiguous body length")]
     UnknownLength,
-    #[error("an answer of {0} bytes")]
+    #[error("response body of {0} bytes is too large")]
     TooLarge(u64),
-    #[error("no room for an answer")]
+    #[error("memory limit for responses of unknown length reached")]
     NoMemory,
     #[error(transparent)]
     Broken(#[from] hyper::Error),
 }
 
-/// A response whose head, and whose body or the body's beginning, have come.
+/// A response with its head and either its whole body or the beginning of it.
 pub(super) struct ReceivedResponse {
     pub(super) status: StatusCode,
     pub(super) headers: HeaderMap,
     pub(super) body: ResponseBody,
-    /// Where the body is passed on as it comes: how it ended.
+    /// Receives how the stream ended; `None` if the body is buffered.
     pub(super) stream_end: Option<oneshot::Receiver<StreamEnd>>,
 }
 
-/// The body's length where the head tells it.
+/// Returns the body length if the head states it.
 ///
-/// A length given in both ways is given in none. With neither, the close of the connection ends it: a
-/// machine that dies resets its connections, and a reset is no end.
+/// Fails if the head has both `Transfer-Encoding` and `Content-Length`, or an encoding other than `chunked`, because the
+/// length is then ambiguous. With neither header, the body ends when the connection is closed. This is accepted because
+/// a machine that fails resets its connections, and a reset is reported as an error and not as the end of the body.
 fn known_length(headers: &HeaderMap, body: &Incoming) -> Result<Option<u64>, ResponseError> {
     let encoding = headers.get(TRANSFER_ENCODING);
     let is_chunked = encoding.map(|value| value.as_bytes().eq_ignore_ascii_case(b"chunked"));
@@ -55,7 +56,7 @@
     }
 }
 
-/// Reads a response, until it is whole or its body is known to be passed on as it comes.
+/// Reads a response until its body is complete or it is certain that the body has to be streamed.
 pub(super) async fn receive(
     memory: &MemoryBudget,
     response: Response<Incoming>,
@@ -66,9 +67,10 @@
         Some(length) if length > BODY as u64 => (Bytes::new(), false),
         Some(_) => bodies::read_start(&mut body, None).await?,
         None => {
-            // What may be this large and does not say so has its room from what all answers share.
+            // A body of unknown length may need the whole buffer, so memory is reserved from the common limit.
             let reservation = memory.reserve(BODY).ok_or(ResponseError::NoMemory)?;
-            let (beginning, is_whole) = bodies::read_start(&mut body, Some(HOLD_BACK)).await?;
+            let (beginning, is_whole) =
+                bodies::read_start(&mut body, Some(BUFFERING_TIMEOUT)).await?;
             (reservation.keep(beginning), is_whole)
         }
     };
@@ -76,7 +78,7 @@
         let bytes = Some(beginning).filter(|bytes| !bytes.is_empty());
         (ResponseBody::Buffered(bytes), None)
     } else {
-        // Its time is its first bytes': a head alone is no answer yet.
+        // The response counts as received with the first bytes of its body; a head alone is not enough.
         let (streamed, end) = StreamedResponse::new(beginning, body, length);
         (ResponseBody::Streamed(Box::new(streamed)), Some(end))
     };
--- a/crates/gateway/src/memory_budget.rs
+++ b/crates/gateway/src/memory_budget.rs
@@ -1,62 +1,65 @@
-//! Room in memory for what peers send: taken before the bytes come, given back once nobody holds them.
+//! Memory limits for received data: memory is reserved before the bytes arrive and released once they are dropped.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 use bytes::Bytes;
 
-/// So many bytes for all of a kind together.
+/// Limit on the total memory of one kind of data. Clones share the limit.
 #[derive(Clone)]
 pub struct MemoryBudget {
-    most: usize,
-    taken: Arc<AtomicUsize>,
+    limit: usize,
+    reserved: Arc<AtomicUsize>,
 }
 
-/// A part of it.
+/// Reserved part of a [`MemoryBudget`], released on drop.
 pub struct MemoryReservation {
     bytes: usize,
-    taken: Arc<AtomicUsize>,
+    reserved: Arc<AtomicUsize>,
 }
 
 impl MemoryBudget {
-    /// So many bytes at most.
-    pub fn new(most: usize) -> Self {
+    /// Creates a budget of `limit` bytes.
+    pub fn new(limit: usize) -> Self {
         MemoryBudget {
-            most,
-            taken: Arc::default(),
+            limit,
+            reserved: Arc::default(),
         }
     }
 
-    /// None where it is full.
+    /// Reserves `bytes` bytes; returns `None` if fewer are left.
     pub fn reserve(&self, bytes: usize) -> Option<MemoryReservation> {
-        let taken = self.taken.load(Ordering::Relaxed);
-        if bytes > self.most - taken {
+        let reserved = self.reserved.load(Ordering::Relaxed);
+        if bytes > self.limit - reserved {
             return None;
         }
-        self.taken.store(taken + bytes, Ordering::Relaxed);
+        self.reserved.store(reserved + bytes, Ordering::Relaxed);
         Some(MemoryReservation {
             bytes,
-            taken: self.taken.clone(),
+            reserved: self.reserved.clone(),
         })
     }
 }
 
 impl MemoryReservation {
-    /// The bytes, which keep the room until the last of their users lets go.
+    /// Binds the reservation to `bytes`: it is released once the last clone of them is dropped.
     pub fn keep(self, bytes: Bytes) -> Bytes {
-        Bytes::from_owner(ReservedBytes { bytes, _room: self })
+        Bytes::from_owner(ReservedBytes {
+            bytes,
+            _reservation: self,
+        })
     }
 }
 
 impl Drop for MemoryReservation {
     fn drop(&mut self) {
-        self.taken.fetch_sub(self.bytes, Ordering::Relaxed);
+        self.reserved.fetch_sub(self.bytes, Ordering::Relaxed);
     }
 }
 
 struct ReservedBytes {
     bytes: Bytes,
-    _room: MemoryReservation,
+    _reservation: MemoryReservation,
 }
 
 impl AsRef<[u8]> for ReservedBytes {
--- a/crates/gateway/src/sizes.rs
+++ b/crates/gateway/src/sizes.rs
@@ -1,12 +1,12 @@
-//! Sizes that more than one part of the gateway reckons with, in bytes.
+//! Size limits used in several parts of the gateway, in bytes.
 
-/// A body that is held whole, at most; a larger one goes through as it comes.
+/// Maximum size of a buffered body; larger bodies are streamed.
 pub const BODY: usize = 64 << 10;
-/// A body at most, a request's or an answer's.
+/// Maximum size of a request or response body.
 pub const LARGE: usize = 32 << 20;
-/// A head at most, a client's or a backend's.
+/// Maximum size of a request or response head.
 pub const HEAD: usize = 16 << 10;
-/// A client's or a backend's connection with its buffers, at most, besides a body.
+/// Maximum memory of a connection to a client or backend with its buffers, without a body.
 pub const CONNECTION: usize = HEAD + (12 << 10);
-/// A datagram between gateways at most: a longer one breaks the platform's rules.
+/// Maximum size of a datagram between gateways; the platform does not allow longer ones.
 pub const DATAGRAM: usize = 256;
--- a/crates/gateway/src/write_meter.rs
+++ b/crates/gateway/src/write_meter.rs
@@ -1,26 +1,27 @@
-//! How much of a request has been handed to the system: hyper alone does not tell.
+//! Tracks how much of a request has been written to the socket, which hyper does not report.
 
 use std::cell::Cell;
 
-/// How much of a request has been written to its connection.
+/// Tracks how much of a request has been written to its connection.
 #[derive(Default)]
 pub struct WriteMeter {
-    /// Bytes of its body, and whether it is the end of the head that is still looked for.
+    /// Bytes of the body that are not written yet.
     body_left: Cell<usize>,
+    /// Whether the end of the head has not been written yet.
     in_head: Cell<bool>,
-    /// Bytes of `\r\n\r\n` seen last.
+    /// Number of bytes of `\r\n\r\n` matched by the bytes written last.
     head_end_matched: Cell<usize>,
 }
 
 impl WriteMeter {
-    /// A request is about to be written, whose body is so long.
+    /// Starts tracking a request with a body of `body_left` bytes; `usize::MAX` stands for an unknown length.
     pub fn begin(&self, body_left: usize) {
         self.body_left.set(body_left);
         self.in_head.set(true);
         self.head_end_matched.set(0);
     }
 
-    /// These bytes were handed to the system.
+    /// Records that `bytes` were written to the socket.
     pub fn wrote(&self, mut bytes: &[u8]) {
         while self.in_head.get() {
             let Some((&b, rest)) = bytes.split_first() else {
@@ -40,7 +41,7 @@
             .set(self.body_left.get().saturating_sub(bytes.len()));
     }
 
-    /// The last byte is written: the request may have run from here on.
+    /// Returns whether the last byte of the request has been written, so that the request may have been executed.
     pub fn is_complete(&self) -> bool {
         !self.in_head.get() && self.body_left.get() == 0
     }
--- a/crates/gateway/tests/attempts.rs
+++ b/crates/gateway/tests/attempts.rs
@@ -1,4 +1,4 @@
-//! Which requests get a permit to be sent again.
+//! Checks which requests get a permit to be sent again.
 
 use std::rc::Rc;
 
@@ -6,63 +6,76 @@
 use damsonbeam_gateway::attempts::{Attempts, Ending, Refusal, Repeatable, Verdict};
 use damsonbeam_gateway::write_meter::WriteMeter;
 
-/// Endings of an attempt of which so many bytes of its head and body were written.
+/// Returns all endings of an attempt of which the bytes `written` were written, each with whether it proves that the
+/// request was not executed.
 fn endings(written: &[u8]) -> impl Iterator<Item = (Ending, bool)> {
     let meter = Rc::new(WriteMeter::default());
     meter.begin(4);
     meter.wrote(written);
-    let whole = meter.is_complete();
-    let make = move |n| {
+    let is_complete = meter.is_complete();
+    let ending = move |case| {
         let permit = Attempts::new(None)
             .permit()
-            .expect("the first may always be sent");
-        let sent = permit.sent_over(meter.clone());
-        match n {
-            0 => (sent.broken(false), !whole),
-            1 => (sent.broken(true), false),
-            2 => (sent.answered(Verdict::Succeeded), false),
-            3 => (sent.answered(Verdict::Failed), false),
-            4 => (sent.answered(Verdict::Misplaced), false),
-            5 => (sent.answered(Verdict::Declined(Refusal::Full)), true),
+            .expect("the first attempt always gets a permit");
+        let sent = permit.start_sending(meter.clone());
+        match case {
+            0 => (sent.end_without_response(false), !is_complete),
+            1 => (sent.end_without_response(true), false),
+            2 => (sent.end_with_response(Verdict::Succeeded), false),
+            3 => (sent.end_with_response(Verdict::Failed), false),
+            4 => (sent.end_with_response(Verdict::Misplaced), false),
+            5 => (
+                sent.end_with_response(Verdict::Declined(Refusal::Full)),
+                true,
+            ),
             _ => (
-                sent.answered(Verdict::Declined(Refusal::WrongBackend)),
+                sent.end_with_response(Verdict::Declined(Refusal::WrongBackend)),
                 true,
             ),
         }
     };
-    (0..7).map(make)
+    (0..7).map(ending)
 }
 
 #[test]
-fn without_proof_that_it_was_not_executed_a_request_gets_one_permit() {
+fn non_repeatable_request_gets_another_permit_only_after_proof_of_non_execution() {
     for written in [
         &b"POST"[..],
         b"POST / HTTP/1.1\r\n\r\nbod",
         b"POST / HTTP/1.1\r\n\r\nbody",
     ] {
-        for (ending, proven) in endings(written) {
+        for (ending, is_proof) in endings(written) {
             let mut attempts = Attempts::new(Repeatable::by(Repeat::NonIdempotent));
             let first = attempts.next();
             assert!(attempts.permit().is_some());
-            assert!(attempts.permit().is_none(), "while the first is out");
-            assert_eq!(ending.outcome().never_ran(), proven, "{ending:?}");
+            assert!(
+                attempts.permit().is_none(),
+                "the first attempt is in progress"
+            );
+            assert_eq!(ending.outcome().never_ran(), is_proof, "{ending:?}");
             if let Ending::NotExecuted(proof) = ending {
                 attempts.not_executed(first, proof);
             }
-            assert_eq!(attempts.none_executed(), proven);
-            assert_eq!(attempts.permit().is_some(), proven);
+            assert_eq!(attempts.none_executed(), is_proof);
+            assert_eq!(attempts.permit().is_some(), is_proof);
         }
     }
 }
 
 #[test]
-fn what_may_run_more_than_once_gets_a_permit_each_time() {
+fn repeatable_request_gets_a_permit_for_each_attempt() {
     let mut attempts = Attempts::new(Repeatable::by(Repeat::Idempotent));
     assert!(attempts.none_executed());
     assert!(attempts.permit().is_some() && attempts.permit().is_some());
     assert!(!attempts.none_executed());
     assert_eq!(
-        Ending::NotExecuted(attempts.permit().expect("again").unused()).outcome(),
+        Ending::NotExecuted(
+            attempts
+                .permit()
+                .expect("a repeatable request gets a permit")
+                .unused()
+        )
+        .outcome(),
         Outcome::ConnectFailed
     );
 }
