--- a/crates/gateway/src/bodies.rs
+++ b/crates/gateway/src/bodies.rs
@@ -1,8 +1,8 @@
-//! Bodies on their way through: what does not fit in memory goes from one socket to the other as it comes.
+//! Buffered and streamed bodies.
 //!
-//! A body of up to [`BODY`] bytes is held whole, so that another attempt can carry it and a broken answer
-//! never reaches a client. A larger one is streamed: the reader of one side is the writer of the other, so
-//! each waits for the other, and what is on the way at a time is a chunk and a socket's buffer.
+//! A body of up to [`BODY`] bytes is buffered, so that another attempt can send it again and a truncated response never
+//! reaches a client. A larger body is streamed from one socket to the other. Reading waits for writing, so the memory in
+//! use at a time is one chunk and the buffer of a socket.
 
 use std::cell::{Cell, RefCell};
 use std::pin::Pin;
@@ -20,17 +20,22 @@
 
 type Error = Box<dyn std::error::Error + Send + Sync>;
 
-/// A client that sends nothing of its body for this long is held for gone.
+/// Time without received data after which a client that is sending a body counts as disconnected.
 pub const CLIENT_SILENCE_TIMEOUT: Duration = Duration::from_millis(2600);
-/// A backend that gives nothing of an answer begun for this long is held for gone: the answer is cut.
+/// Time without received data after which a backend that is sending a response counts as failed and the response is cut
+/// off.
 const BACKEND_SILENCE_TIMEOUT: Duration = Duration::from_secs(30);
-/// What a client still sends after its answer is read for so long, so that the answer reaches it.
+/// Maximum time for which the rest of a request body is read and discarded after the response, so that the response
+/// reaches the client.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The start of a body, and whether that was all: so much as is held, or as comes in the time given.
+/// Reads the beginning of a body. Returns it with whether the body is complete.
+///
+/// Reading ends with the body, with more than [`BODY`] bytes, or once `within` has passed and at least one byte has been
+/// received.
 ///
 /// # Errors
-/// Where the body breaks off.
+/// Fails if the body is broken off.
 pub async fn read_start(
     body: &mut Incoming,
     within: Option<Duration>,
@@ -41,7 +46,7 @@
         let frame = match until {
             Some(until) => match timeout_at(until, body.frame()).await {
                 Ok(frame) => frame,
-                // Nothing to begin with is no answer yet.
+                // A response counts as started only with the first byte of its body.
                 Err(_) if parts.is_empty() => body.frame().await,
                 Err(_) => break,
             },
@@ -50,7 +55,7 @@
         match frame {
             Some(frame) => {
                 if let Ok(data) = frame?.into_data() {
-                    // Most bodies come in one part: no copy then.
+                    // Most bodies arrive in one frame, which needs no copy.
                     if parts.is_empty() && body.is_end_stream() {
                         return Ok((data, true));
                     }
@@ -63,31 +68,32 @@
     Ok((parts.into(), body.is_end_stream()))
 }
 
-/// A request's body that is still coming, shared by the attempts that may carry it.
+/// Request body that is still being received, shared by the attempts that may send it.
 pub struct StreamedBody {
-    first: Bytes,
+    beginning: Bytes,
     rest: RefCell<Option<Incoming>>,
-    /// Bytes in all, where the client said.
+    /// Total length in bytes, if the client stated it.
     pub length: Option<u64>,
     received: Cell<u64>,
-    /// Part of what is not held has gone to a backend: no other attempt can carry it.
+    /// Whether data that is not buffered has been passed to a backend, so that no other attempt can send the body.
     consumed: Cell<bool>,
     is_complete: Cell<bool>,
-    /// Told once its last byte has come.
+    /// Called once the last byte has been received.
     on_complete: RefCell<Option<Box<dyn FnOnce()>>>,
 }
 
 impl StreamedBody {
-    /// `on_complete` is called once its last byte has come.
+    /// Creates a body from its beginning and the stream of the rest; `on_complete` is called once the last byte has been
+    /// received.
     pub fn new(
-        first: Bytes,
+        beginning: Bytes,
         rest: Incoming,
         length: Option<u64>,
         on_complete: Box<dyn FnOnce()>,
     ) -> Rc<Self> {
         Rc::new(StreamedBody {
-            received: Cell::new(first.len() as u64),
-            first,
+            received: Cell::new(beginning.len() as u64),
+            beginning,
             rest: RefCell::new(Some(rest)),
             length,
             consumed: Cell::default(),
@@ -96,17 +102,18 @@
         })
     }
 
-    /// Whether part of it has gone to a backend and is not held.
+    /// Returns whether data that is not buffered has been passed to a backend.
     pub fn is_consumed(&self) -> bool {
         self.consumed.get()
     }
 
-    /// All of it has gone to a backend, or is about to: it may run.
+    /// Returns whether the whole body has been passed to a backend or is about to be, so that the request may be
+    /// executed.
     pub fn is_complete(&self) -> bool {
         self.is_complete.get()
     }
 
-    /// Reads what still comes and drops it, so that the client goes on to read its answer.
+    /// Reads and discards the rest of the body, so that the client goes on to read its response.
     pub async fn drain(&self) {
         let Some(mut rest) = self.rest.borrow_mut().take() else {
             return;
@@ -126,7 +133,7 @@
     fn poll(&self, cx: &mut Context) -> Poll<Option<Result<Frame<Bytes>, Error>>> {
         let mut rest = self.rest.borrow_mut();
         let Some(body) = rest.as_mut() else {
-            return Poll::Ready(Some(Err("the body is given up".into())));
+            return Poll::Ready(Some(Err("the request body was discarded".into())));
         };
         let frame = ready!(Pin::new(&mut *body).poll_frame(cx));
         if let Some(Ok(frame)) = &frame {
@@ -134,7 +141,7 @@
             self.received
                 .set(self.received.get() + frame.data_ref().map_or(0, Bytes::len) as u64);
             if self.received.get() > LARGE as u64 {
-                return Poll::Ready(Some(Err("the body is too large".into())));
+                return Poll::Ready(Some(Err("the request body is too large".into())));
             }
         }
         if frame.is_none() || body.is_end_stream() {
@@ -147,17 +154,17 @@
     }
 }
 
-/// What a request carries.
+/// Body of a request.
 #[derive(Clone)]
 pub enum RequestBody {
-    /// All of it is here.
+    /// The whole body has been received.
     Buffered(Bytes),
-    /// It still comes.
+    /// The body is still being received.
     Streamed(Rc<StreamedBody>),
 }
 
 impl RequestBody {
-    /// Bytes, where they are known.
+    /// Returns the length in bytes, if known.
     pub fn length(&self) -> Option<u64> {
         match self {
             RequestBody::Buffered(bytes) => Some(bytes.len() as u64),
@@ -165,7 +172,7 @@
         }
     }
 
-    /// The body that still comes, if it does.
+    /// Returns the streamed body, or `None` if the body is buffered.
     pub fn streamed(&self) -> Option<&Rc<StreamedBody>> {
         match self {
             RequestBody::Buffered(_) => None,
@@ -174,53 +181,53 @@
     }
 }
 
-/// How long the side that a body comes from has said nothing.
+/// Timer for the time since the sender of a body last sent data.
 #[derive(Default)]
-struct Silence(Option<Pin<Box<Sleep>>>);
+struct SilenceTimer(Option<Pin<Box<Sleep>>>);
 
-impl Silence {
-    /// It said something.
-    fn broken(&mut self) {
+impl SilenceTimer {
+    /// Resets the timer after data was received.
+    fn reset(&mut self) {
         self.0 = None;
     }
 
-    /// Ready once it has lasted for `most`.
-    fn poll(&mut self, most: Duration, cx: &mut Context) -> Poll<()> {
+    /// Returns ready once no data was received for `limit`.
+    fn poll(&mut self, limit: Duration, cx: &mut Context) -> Poll<()> {
         self.0
-            .get_or_insert_with(|| Box::pin(sleep(most)))
+            .get_or_insert_with(|| Box::pin(sleep(limit)))
             .as_mut()
             .poll(cx)
     }
 }
 
-/// A request's body as one attempt carries it.
+/// Body of a request as sent by one attempt.
 pub struct Upload {
-    first: Option<Bytes>,
+    beginning: Option<Bytes>,
     rest: Option<Rc<StreamedBody>>,
     length: Option<u64>,
-    silence: Silence,
+    silence: SilenceTimer,
 }
 
 impl Upload {
-    /// A body for one attempt.
+    /// Creates the body for one attempt.
     pub fn new(body: &RequestBody) -> Self {
         match body {
             RequestBody::Buffered(bytes) => {
-                let first = Some(bytes.clone()).filter(|b| !b.is_empty());
+                let beginning = Some(bytes.clone()).filter(|b| !b.is_empty());
                 Upload {
-                    first,
+                    beginning,
                     rest: None,
                     length: body.length(),
-                    silence: Silence::default(),
+                    silence: SilenceTimer::default(),
                 }
             }
             RequestBody::Streamed(streamed) => {
-                let (first, rest) = (Some(streamed.first.clone()), Some(streamed.clone()));
+                let (beginning, rest) = (Some(streamed.beginning.clone()), Some(streamed.clone()));
                 Upload {
-                    first,
+                    beginning,
                     rest,
                     length: streamed.length,
-                    silence: Silence::default(),
+                    silence: SilenceTimer::default(),
                 }
             }
         }
@@ -235,26 +242,28 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context,
     ) -> Poll<Option<Result<Frame<Bytes>, Error>>> {
-        if let Some(first) = self.first.take() {
-            return Poll::Ready(Some(Ok(Frame::data(first))));
+        if let Some(beginning) = self.beginning.take() {
+            return Poll::Ready(Some(Ok(Frame::data(beginning))));
         }
         let Some(rest) = self.rest.clone() else {
             return Poll::Ready(None);
         };
         match rest.poll(cx) {
             Poll::Ready(frame) => {
-                self.silence.broken();
+                self.silence.reset();
                 Poll::Ready(frame)
             }
             Poll::Pending => {
                 ready!(self.silence.poll(CLIENT_SILENCE_TIMEOUT, cx));
-                Poll::Ready(Some(Err("the client stopped sending".into())))
+                Poll::Ready(Some(Err(
+                    "the client stopped sending the request body".into()
+                )))
             }
         }
     }
 
     fn is_end_stream(&self) -> bool {
-        self.first.is_none() && self.rest.as_ref().is_none_or(|r| r.is_complete())
+        self.beginning.is_none() && self.rest.as_ref().is_none_or(|r| r.is_complete())
     }
 
     fn size_hint(&self) -> SizeHint {
@@ -263,53 +272,53 @@
     }
 }
 
-/// How an answer passed on as it came has ended.
+/// How a streamed response ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StreamEnd {
-    /// Its last byte has gone to the client.
+    /// The last byte was passed to the client.
     Complete,
-    /// The backend broke it off, or fell silent.
+    /// The backend broke off the response or stopped sending.
     Broken,
-    /// The client left before its end.
+    /// The client disconnected before the end.
     Abandoned,
 }
 
-/// An answer's body that still comes from its backend.
+/// Response body that is still being received from the backend.
 pub struct StreamedResponse {
-    first: Option<Bytes>,
+    beginning: Option<Bytes>,
     rest: Incoming,
     length: Option<u64>,
-    silence: Silence,
+    silence: SilenceTimer,
     broken: bool,
-    over: bool,
-    /// Told whether it ended whole, so that its connection can carry the next.
-    end: Option<oneshot::Sender<StreamEnd>>,
-    /// The same for whoever counts answers.
-    pub count: Option<Box<dyn FnOnce(StreamEnd)>>,
+    finished: bool,
+    /// Receives how the stream ended; the connection can be reused after a complete one.
+    end_sender: Option<oneshot::Sender<StreamEnd>>,
+    /// Called with how the stream ended, to count the response.
+    pub on_end: Option<Box<dyn FnOnce(StreamEnd)>>,
 }
 
 impl StreamedResponse {
-    /// The body, and the word of how it ended.
+    /// Creates the body, and a receiver for how its stream ends.
     pub fn new(
-        first: Bytes,
+        beginning: Bytes,
         rest: Incoming,
         length: Option<u64>,
     ) -> (Self, oneshot::Receiver<StreamEnd>) {
-        let (end, ended) = oneshot::channel();
-        let first = Some(first).filter(|f| !f.is_empty());
-        let (silence, count) = (Silence::default(), None);
+        let (end_sender, end_receiver) = oneshot::channel();
+        let beginning = Some(beginning).filter(|f| !f.is_empty());
+        let (silence, on_end) = (SilenceTimer::default(), None);
         (
             StreamedResponse {
-                first,
+                beginning,
                 rest,
                 length,
                 silence,
                 broken: false,
-                over: false,
-                end: Some(end),
-                count,
+                finished: false,
+                end_sender: Some(end_sender),
+                on_end,
             },
-            ended,
+            end_receiver,
         )
     }
 }
@@ -322,28 +331,28 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context,
     ) -> Poll<Option<Result<Frame<Bytes>, Error>>> {
-        if let Some(first) = self.first.take() {
-            return Poll::Ready(Some(Ok(Frame::data(first))));
+        if let Some(beginning) = self.beginning.take() {
+            return Poll::Ready(Some(Ok(Frame::data(beginning))));
         }
         let frame = match Pin::new(&mut self.rest).poll_frame(cx) {
             Poll::Ready(frame) => frame,
             Poll::Pending => {
                 ready!(self.silence.poll(BACKEND_SILENCE_TIMEOUT, cx));
                 self.broken = true;
-                return Poll::Ready(Some(Err("the backend fell silent".into())));
+                return Poll::Ready(Some(Err("the backend stopped sending the response".into())));
             }
         };
-        self.silence.broken();
+        self.silence.reset();
         match &frame {
             Some(Err(_)) => self.broken = true,
-            Some(Ok(_)) => self.over = self.rest.is_end_stream(),
-            None => self.over = true,
+            Some(Ok(_)) => self.finished = self.rest.is_end_stream(),
+            None => self.finished = true,
         }
         Poll::Ready(frame.map(|f| f.map_err(Error::from)))
     }
 
     fn is_end_stream(&self) -> bool {
-        self.first.is_none() && self.rest.is_end_stream()
+        self.beginning.is_none() && self.rest.is_end_stream()
     }
 
     fn size_hint(&self) -> SizeHint {
@@ -354,21 +363,24 @@
 
 impl Drop for StreamedResponse {
     fn drop(&mut self) {
-        let end = match (self.broken, self.over) {
+        let end = match (self.broken, self.finished) {
             (true, _) => StreamEnd::Broken,
             (false, true) => StreamEnd::Complete,
             (false, false) => StreamEnd::Abandoned,
         };
-        self.end.take().map(|to| to.send(end).ok());
-        self.count.take().into_iter().for_each(|count| count(end));
+        self.end_sender.take().map(|sender| sender.send(end).ok());
+        self.on_end
+            .take()
+            .into_iter()
+            .for_each(|on_end| on_end(end));
     }
 }
 
-/// An answer's body: whole, or as it comes.
+/// Body of a response, buffered or streamed.
 pub enum ResponseBody {
-    /// All of it is here.
+    /// The whole body has been received.
     Buffered(Option<Bytes>),
-    /// It is passed on as it comes.
+    /// The body is still being received and is passed on as it arrives.
     Streamed(Box<StreamedResponse>),
 }
 
--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -1,4 +1,4 @@
-//! The clients: a listener, hyper's connections, and the registry of those connections.
+//! Connections of clients: accepts them, serves them with hyper and keeps a registry of them.
 
 mod connection;
 mod invocation;
@@ -26,12 +26,14 @@
 use tokio::sync::{Notify, mpsc};
 use tokio::time::{sleep_until, timeout};
 
-use self::connection::{ClientConnection, ConnectionState, ObservedSocket, unread};
+use self::connection::{ClientConnection, ConnectionState, ObservedSocket, has_unread_input};
 use self::services::{InvocationService, PhaseService};
 use crate::attempts::Repeatable;
 use crate::bodies::ResponseBody;
 use crate::clock::Clock;
-use crate::connection_admission::{Admit, ConnectionAdmission, Evictable, TURNOVER_TIME};
+use crate::connection_admission::{
+    AdmissionDecision, ConnectionAdmission, Evictable, TURNOVER_TIME,
+};
 use crate::log::log;
 use crate::memory_budget::MemoryBudget;
 use crate::messages::{Answer, ForwardedRequest, ToDispatcher};
@@ -39,72 +41,72 @@
 use crate::shutdown_admission::ShutdownAdmission;
 use crate::sizes::HEAD;
 
-/// Pause after a failed accept: descriptors do not come free any sooner by asking.
+/// Pause after a failed accept; retrying at once would not free any file descriptors.
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(20);
-/// In this time a head comes whole: from the connection's start, later from its own first byte. Usual
-/// clients need a fraction, some 2 s; one that says nothing, or never ends, is owed a close within 3 s.
+/// Time in which a request head has to be complete, counted from the start of the connection for the first request and
+/// from the first byte of the head for later ones. Most clients need a fraction of it, some need 2 s. The connection of
+/// a client that sends nothing, or a head that never ends, has to be closed within 3 s.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(2600);
-/// A usual client's request follows in the packet after the one that opened its connection: what has said nothing
-/// is not closed for another before, whatever its and our schedulers do in between.
-const GREETING_TIME: Duration = Duration::from_millis(20);
-/// A connection without a request is closed after this: some clients ask once and hold it for good, and the
-/// platform allows it from 2 s on.
+/// Time for which a new connection without a request is not closed in favor of another one. A client normally sends its
+/// request in the packet after the handshake; the margin covers scheduling delays on both sides.
+const FIRST_REQUEST_GRACE: Duration = Duration::from_millis(20);
+/// Time after which an idle connection is closed. Some clients send one request and keep the connection open for ever;
+/// the platform allows idle connections to be closed after 2 s.
 const IDLE_TIMEOUT: Duration = TURNOVER_TIME;
 
 /// A response to a client.
 pub type ClientResponse = Response<ResponseBody>;
-/// An answer to what is no invocation.
+/// A response to a request that does not become an invocation.
 pub type Rejection = Box<ClientResponse>;
 
-/// What clients speak, by the deployment's protocol: how a request is read and an answer written.
+/// Protocol between clients and the gateway in a deployment: decodes requests and encodes responses.
 pub trait ClientProtocol {
-    /// Whether a request asks if the gateway is up.
+    /// Returns whether a request is a readiness check.
     fn is_readiness_check(&self, uri: &hyper::Uri) -> bool;
-    /// The name by which the figures count a request.
+    /// Returns the operation name under which the metrics count a request.
     fn operation_name(&self, uri: &hyper::Uri) -> Option<Arc<str>>;
-    /// What a request says, if all of it can be used; else the answer it gets.
+    /// Decodes a request.
     ///
     /// # Errors
-    /// The answer.
+    /// Returns the response to the client if the request is invalid.
     fn decode(
         &self,
         invocation_id: InvocationId,
         head: &Parts,
     ) -> Result<DecodedRequest, Rejection>;
-    /// A request that was read is whole, or comes, and goes to its module now.
+    /// Called when a decoded request is about to be sent to its dispatcher. Its body is complete or still arriving.
     fn request_accepted(&self, _: &ForwardedRequest, _: &mut RequestContext) {}
-    /// The answer to the request of that name, and what was said of it when it was read.
+    /// Encodes the answer to the request named `name`; `context` is what was stored when the request was decoded.
     fn encode(&self, name: &str, context: RequestContext, answer: Answer) -> ClientResponse;
 }
 
-/// What whoever reads a request wants to know of it again with its answer.
+/// Data that the protocol stores when it decodes a request and gets back to encode the response.
 pub type RequestContext = Option<Box<dyn Any>>;
 
-/// A request that can be used: what the module is told, whether it may run more than once, its name, how long its client waits
-/// from its last byte on, the headers that go on, and the module that decides on it.
+/// A valid request.
 pub struct DecodedRequest {
-    /// What the dispatcher is told.
+    /// The invocation as the dispatcher receives it.
     pub invocation: Invocation,
-    /// Proof that it may run more than once, where it may.
+    /// Proof that the request may be executed more than once, if it may.
     pub repeatable: Option<Repeatable>,
-    /// Its name.
+    /// Name of the invocation.
     pub name: String,
-    /// What the protocol wants to know of it again with its answer.
+    /// Data of the protocol for encoding the response.
     pub context: RequestContext,
-    /// How long its client waits from its last byte on.
+    /// How long the client waits for the response after the last byte of the request.
     pub time_left: Duration,
-    /// The headers that go on to a backend.
+    /// Headers that are forwarded to the backend.
     pub headers: HeaderMap,
-    /// The dispatcher that decides on it.
+    /// Dispatcher that handles the invocation.
     pub dispatcher: mpsc::Sender<ToDispatcher>,
 }
 
-/// In these times a head comes whole, and a connection without a request stays open.
+/// Timeouts of client connections.
 #[derive(Clone, Copy)]
 pub struct ClientTimeouts {
-    /// In this a head comes whole.
+    /// Time in which a request head has to be complete.
     pub head: Duration,
-    /// A connection without a request stays open for this.
+    /// Time after which an idle connection is closed.
     pub idle: Duration,
 }
 
@@ -124,30 +126,32 @@
     figures: Figures,
     protocol: Rc<dyn ClientProtocol>,
     timeouts: Rc<Cell<ClientTimeouts>>,
-    /// Connections at most now.
+    /// Current maximum number of connections.
     max_connections: Cell<usize>,
-    /// Connections at most where no other process of this gateway has some.
+    /// Maximum number of connections when no other process of this gateway is running.
     max_connections_alone: usize,
-    /// Room for the bodies that are held or on their way.
-    bodies: MemoryBudget,
+    /// Memory limit for buffered parts of request bodies.
+    body_memory: MemoryBudget,
     shutdown_admission: ShutdownAdmission,
     admission: RefCell<ConnectionAdmission>,
     connections: RefCell<BTreeMap<u64, Rc<ClientConnection>>>,
-    /// Numbers connections and invocations.
+    /// Id of the next connection or invocation.
     next_id: Cell<u64>,
-    /// Names of the invocations that a dispatcher holds.
-    open: RefCell<HashSet<String>>,
-    /// Connections whose tasks still run, and the word that one ended.
-    running: Cell<usize>,
+    /// Names of the invocations that are at a dispatcher.
+    open_invocations: RefCell<HashSet<String>>,
+    /// Number of connection tasks that are still running.
+    running_tasks: Cell<usize>,
+    /// Notified when a connection task has ended.
     connection_ended: Notify,
 }
 
 impl Clients {
-    /// No connections yet. `max_connections`: connections at most; `bodies`: bytes of requests' bodies at most.
+    /// Creates an empty registry. `max_connections` is the maximum number of connections, `body_bytes` the memory limit
+    /// for request bodies.
     pub fn new(
         protocol: Rc<dyn ClientProtocol>,
         max_connections: usize,
-        bodies: usize,
+        body_bytes: usize,
         clock: Clock,
         phase: CurrentPhase,
         figures: &Figures,
@@ -160,75 +164,78 @@
             timeouts: Rc::default(),
             max_connections: Cell::new(max_connections),
             max_connections_alone: max_connections,
-            bodies: MemoryBudget::new(bodies),
+            body_memory: MemoryBudget::new(body_bytes),
             shutdown_admission: ShutdownAdmission::default(),
             admission: RefCell::new(ConnectionAdmission::new(clock.now())),
             connections: RefCell::default(),
             next_id: Cell::new(0),
-            open: RefCell::default(),
-            running: Cell::new(0),
+            open_invocations: RefCell::default(),
+            running_tasks: Cell::new(0),
             connection_ended: Notify::new(),
         }
     }
 
-    /// How long clients may take from now on.
+    /// Sets the timeouts of all client connections.
     pub fn set_timeouts(&self, timeouts: ClientTimeouts) {
         self.timeouts.set(timeouts);
     }
 
-    /// The program is told to end: what comes and cannot be answered by then is refused at once.
+    /// Sets the time at which the process ends. Requests that cannot be answered by `end` are rejected immediately.
     pub fn end_by(&self, end: Duration) {
         self.shutdown_admission.end_by(end);
     }
 
-    /// Connections with an answer still owed.
+    /// Returns the number of connections on which a request or its response is still in progress.
     pub fn unanswered(&self) -> usize {
         self.connections
             .borrow()
             .values()
-            .filter(|connection| !connection.is_free())
+            .filter(|connection| !connection.has_no_request())
             .count()
     }
 
-    /// Two processes are one gateway: until the other has ended, half of the connections are its.
+    /// Halves the maximum number of connections while the previous process of this gateway is still running.
     pub fn share_with_predecessor(&self) {
         self.max_connections.set(self.max_connections_alone / 2);
     }
 
-    /// The other process has ended: all connections are this one's.
+    /// Restores the full maximum number of connections once the previous process has ended.
     pub fn use_all_connections(&self) {
         self.max_connections.set(self.max_connections_alone);
     }
 
-    /// Takes in connections until dropped.
+    /// Accepts connections until the future is dropped.
     pub async fn accept(self: Rc<Self>, listener: Rc<TcpListener>) {
         loop {
             let open = self.open_connections();
             let max_connections = self.max_connections.get();
-            let (idle, id) = if open >= max_connections {
+            let (evictable, id) = if open >= max_connections {
                 self.evictable()
             } else {
                 (Evictable::None, None)
             };
-            let next =
-                self.admission
-                    .borrow_mut()
-                    .next(open, max_connections, idle, self.clock.now());
-            match next {
-                Admit::Accept | Admit::Refuse => {}
-                Admit::Evict => {
+            let decision = self.admission.borrow_mut().decide(
+                open,
+                max_connections,
+                evictable,
+                self.clock.now(),
+            );
+            match decision {
+                AdmissionDecision::Accept | AdmissionDecision::Refuse => {}
+                AdmissionDecision::Evict => {
                     self.evict(id);
-                    // The one that had to go gives its descriptor back, and those just taken are heard, first.
+                    // Lets the evicted connection release its file descriptor first, and lets new connections read
+                    // their input.
                     tokio::task::yield_now().await;
                     tokio::task::yield_now().await;
                 }
-                Admit::Wait(wait) => {
-                    if idle == Evictable::None {
-                        // Closing one would lose what it has sent.
+                AdmissionDecision::Wait(wait) => {
+                    if evictable == Evictable::None {
+                        // No connection can be closed without losing an invocation.
                         log!(
                             warn,
                             "clients-full",
-                            "{open} connections, all with invocations"
+                            "all {open} connections are serving invocations"
                         );
                     }
                     timeout(wait, self.connection_ended.notified()).await.ok();
@@ -236,9 +243,9 @@
                 }
             }
             match listener.accept().await {
-                Ok((socket, _)) => self.clone().take(socket),
+                Ok((socket, _)) => self.clone().spawn_connection(socket),
                 Err(e) => {
-                    // Out of descriptors: asking again at once would spin, leaving would end the gateway.
+                    // Out of file descriptors: an immediate retry would spin, and returning would stop the gateway.
                     log!(warn, "accept-failed", "{e}");
                     self.evict(self.evictable().1);
                     tokio::time::sleep(ACCEPT_RETRY_PAUSE).await;
@@ -247,9 +254,9 @@
         }
     }
 
-    fn take(self: Rc<Self>, socket: TcpStream) {
-        let full = self.open_connections() >= self.max_connections.get();
-        if full {
+    fn spawn_connection(self: Rc<Self>, socket: TcpStream) {
+        let over_limit = self.open_connections() >= self.max_connections.get();
+        if over_limit {
             self.admission.borrow_mut().record_refused(self.clock.now());
         }
         socket.set_nodelay(true).ok();
@@ -257,31 +264,31 @@
         let connection = Rc::new(ClientConnection {
             socket: Rc::new(RefCell::new(socket)),
             state: Cell::new(ConnectionState::New),
-            since: Cell::new(self.clock.now()),
-            started: Cell::default(),
-            received: Cell::default(),
+            state_since: Cell::new(self.clock.now()),
+            body_started: Cell::default(),
+            body_bytes_received: Cell::default(),
             has_sent_request: Cell::new(false),
             heads: RefCell::default(),
             close: Notify::new(),
             close_now: Cell::new(false),
             response_complete: Cell::new(false),
-            unread: Cell::new(false),
+            request_body_unread: Cell::new(false),
             timeouts: self.timeouts.clone(),
         });
         self.connections.borrow_mut().insert(id, connection.clone());
-        self.running.set(self.running.get() + 1);
+        self.running_tasks.set(self.running_tasks.get() + 1);
         self.figures.clients.inc();
         tokio::task::spawn_local(async move {
-            self.clone().serve(connection.clone(), full).await;
+            self.clone().serve(connection.clone(), over_limit).await;
             self.connections.borrow_mut().remove(&id);
-            self.running.set(self.running.get() - 1);
+            self.running_tasks.set(self.running_tasks.get() - 1);
             self.figures.clients.dec();
             self.connection_ended.notify_one();
         });
     }
 
-    /// A connection, until it ends or its client's time is over.
-    async fn serve(self: Rc<Self>, connection: Rc<ClientConnection>, full: bool) {
+    /// Serves a connection until it ends or its client exceeds a timeout.
+    async fn serve(self: Rc<Self>, connection: Rc<ClientConnection>, over_limit: bool) {
         let clock = self.clock;
         let phase = self.phase.clone();
         let invoke = InvocationService {
@@ -289,7 +296,7 @@
             clients: self,
         };
         let service = TowerToHyperService::new(PhaseService {
-            full,
+            over_limit,
             inner: invoke,
         });
         let observed = ObservedSocket {
@@ -302,8 +309,10 @@
             .max_buf_size(HEAD)
             .serve_connection(TokioIo::new(observed), service);
         let mut serving = pin!(serving);
-        let mut armed = connection.due();
-        let mut alarm = pin!(sleep_until(clock.instant(armed.unwrap_or_default())));
+        let mut armed_deadline = connection.deadline();
+        let mut timer = pin!(sleep_until(
+            clock.instant(armed_deadline.unwrap_or_default())
+        ));
         let mut close = pin!(connection.close.notified());
         let mut is_closing = false;
         let done = poll_fn(|cx| {
@@ -312,20 +321,23 @@
             }
             if !is_closing && close.as_mut().poll(cx).is_ready() {
                 is_closing = true;
-                // A request that is here already is answered first, and its answer ends the connection.
-                if !unread(&connection.socket) || !phase.get().closes_connections() {
+                // A request that has already arrived is answered first; its response then closes the connection.
+                if !has_unread_input(&connection.socket) || !phase.get().closes_connections() {
                     serving.as_mut().graceful_shutdown();
                     cx.waker().wake_by_ref();
                 }
             }
-            let due = connection.due();
-            if due.is_some() && due != armed {
-                alarm.as_mut().reset(clock.instant(due.unwrap_or_default()));
-                armed = due;
+            let deadline = connection.deadline();
+            if deadline.is_some() && deadline != armed_deadline {
+                timer
+                    .as_mut()
+                    .reset(clock.instant(deadline.unwrap_or_default()));
+                armed_deadline = deadline;
             }
-            // Dropped with what it holds: a head that never ends would keep its place for good.
-            let over = due.is_some() && alarm.as_mut().poll(cx).is_ready();
-            if over || connection.close_now.get() {
+            // The connection is dropped with its unfinished request; a head that never ends would otherwise keep the
+            // connection open for ever.
+            let timed_out = deadline.is_some() && timer.as_mut().poll(cx).is_ready();
+            if timed_out || connection.close_now.get() {
                 Poll::Ready(Ok(()))
             } else {
                 Poll::Pending
@@ -338,28 +350,33 @@
         }
     }
 
-    /// A connection that holds no invocation and may be closed for another: those that never brought one first,
-    /// the longest quiet of each kind before others, or hundreds that say nothing would push out the usual
-    /// clients. Not one whose request is here unread; one that has hardly come is waited for.
+    /// Returns whether a connection may be closed in favor of another one, and which one.
+    ///
+    /// Only a connection without an invocation and without unread input is chosen. Connections that never sent a request
+    /// come first, and among equals the one quiet for longest; otherwise hundreds of silent connections would displace
+    /// active clients. A connection younger than [`FIRST_REQUEST_GRACE`] is not closed yet.
     fn evictable(&self) -> (Evictable, Option<u64>) {
         let connections = self.connections.borrow();
         let now = self.clock.now();
         let free = connections
             .iter()
-            .filter(|(_, connection)| connection.is_free());
+            .filter(|(_, connection)| connection.has_no_request());
         let mut free: Vec<_> = free
             .map(|(id, connection)| {
-                let rank = (connection.has_sent_request.get(), connection.since.get());
+                let rank = (
+                    connection.has_sent_request.get(),
+                    connection.state_since.get(),
+                );
                 (rank, *id)
             })
             .collect();
         free.sort_unstable();
         match free
             .into_iter()
-            .find(|(_, id)| !unread(&connections[id].socket))
+            .find(|(_, id)| !has_unread_input(&connections[id].socket))
         {
-            Some(((false, since), _)) if now < since + GREETING_TIME => {
-                (Evictable::Soon(since + GREETING_TIME - now), None)
+            Some(((false, since), _)) if now < since + FIRST_REQUEST_GRACE => {
+                (Evictable::Soon(since + FIRST_REQUEST_GRACE - now), None)
             }
             Some((_, id)) => (Evictable::Now, Some(id)),
             None => (Evictable::None, None),
@@ -374,34 +391,34 @@
         }
     }
 
-    /// Ends all connections, each after the answer that it owes.
+    /// Closes all connections, each after its pending response.
     pub fn close(&self) {
         self.connections
             .borrow()
             .values()
-            .for_each(|c| c.close.notify_one());
+            .for_each(|connection| connection.close.notify_one());
     }
 
     fn open_connections(&self) -> usize {
         self.connections.borrow().len()
     }
 
-    /// Once no connection is served any more, those let go at the cap included.
+    /// Waits until all connection tasks have ended, including those of evicted connections.
     pub async fn all_gone(&self) {
-        while self.running.get() > 0 {
+        while self.running_tasks.get() > 0 {
             self.connection_ended.notified().await;
         }
     }
 }
 
-/// The same, for what is no invocation.
+/// Returns an empty response with this status as a [`Rejection`].
 pub fn rejection(status: StatusCode) -> Rejection {
     Box::new(plain(status))
 }
 
-/// An answer of the gateway's own.
+/// Returns an empty response with this status.
 pub fn plain(status: StatusCode) -> ClientResponse {
-    let mut answer = Response::new(ResponseBody::Buffered(None));
-    *answer.status_mut() = status;
-    answer
+    let mut response = Response::new(ResponseBody::Buffered(None));
+    *response.status_mut() = status;
+    response
 }
--- a/crates/gateway/src/clients/connection.rs
+++ b/crates/gateway/src/clients/connection.rs
@@ -1,4 +1,4 @@
-//! A client's connection: what it waits for, how long it may, and an ear on what comes in.
+//! State and timeouts of a client connection, and the socket wrapper that tracks them.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -18,86 +18,94 @@
 use crate::clock::Clock;
 use crate::request_heads::HeadScanner;
 
-/// A body may be slow, but not silent ([`CLIENT_SILENCE_TIMEOUT`]), nor slower than so many bytes a second once it has
-/// come for a while: a byte now and then would hold its place for good.
+/// Time after the start of a request body from which its average rate must be at least [`MIN_BODY_BYTES_PER_S`].
 const SLOW_BODY_GRACE: Duration = Duration::from_secs(5);
-const MIN_BYTES_PER_S: u64 = 16 << 10;
-/// A client that takes nothing of an answer that is streamed to it for this long is held for gone: at 64 kB
-/// a second a socket's buffer of megabytes frees room only every ten seconds or so.
-const UNREAD_TIMEOUT: Duration = Duration::from_secs(30);
-
-/// What a client's connection waits for.
+/// Minimum average rate of a request body. The limit on pauses ([`CLIENT_SILENCE_TIMEOUT`]) is not enough: a client that
+/// sends a byte now and then would keep its connection for ever.
+const MIN_BODY_BYTES_PER_S: u64 = 16 << 10;
+/// Time without progress in writing a response after which the client counts as disconnected. A client that reads 64 kB
+/// a second frees space in a socket buffer of several megabytes only about every ten seconds.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(30);
+
+/// State of a client connection.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum ConnectionState {
-    /// Its first request, whole.
+    /// Waiting for the whole head of the first request.
     New,
-    /// The rest of a later request.
+    /// Waiting for the rest of the head of a later request.
     ReadingHead,
-    /// A request's body.
+    /// Waiting for the body of a request.
     ReadingBody,
-    /// That the last byte of our answer is handed to the system.
+    /// Writing the response until its last byte is handed to the operating system.
     WritingResponse,
-    /// Our answer.
+    /// Waiting for the response to a request.
     AwaitingResponse,
-    /// The next request.
+    /// Waiting for the next request.
     Idle,
 }
 
-/// A client's connection: its stand, since when, and whether it ever brought an invocation.
+/// A client connection and its state.
 pub(super) struct ClientConnection {
     pub(super) socket: Rc<RefCell<TcpStream>>,
     pub(super) state: Cell<ConnectionState>,
-    pub(super) since: Cell<Duration>,
-    /// When its request's body began to come, and bytes of it so far.
-    pub(super) started: Cell<Duration>,
-    pub(super) received: Cell<u64>,
+    /// Start of the state, or the last progress in it.
+    pub(super) state_since: Cell<Duration>,
+    /// When the current request body started.
+    pub(super) body_started: Cell<Duration>,
+    /// Bytes of the current request body received so far.
+    pub(super) body_bytes_received: Cell<u64>,
+    /// Whether the connection has ever carried an invocation.
     pub(super) has_sent_request: Cell<bool>,
     pub(super) heads: RefCell<HeadScanner>,
-    /// To be closed: after what is open on it, or at once.
+    /// Requests a close after the current request.
     pub(super) close: Notify,
+    /// Requests an immediate close.
     pub(super) close_now: Cell<bool>,
-    /// The answer has come whole from its backend; its last bytes may still wait to be written.
+    /// Whether the whole response has been received from the backend; its last bytes may not be written yet.
     pub(super) response_complete: Cell<bool>,
-    /// Its request's body was not read to the end: its answer ends the connection.
-    pub(super) unread: Cell<bool>,
+    /// Whether the request body was not read to its end, so that the connection is closed after the response.
+    pub(super) request_body_unread: Cell<bool>,
     pub(super) timeouts: Rc<Cell<ClientTimeouts>>,
 }
 
 impl ClientConnection {
+    /// Changes the state.
     pub(super) fn enter(&self, state: ConnectionState, now: Duration) {
         self.state.set(state);
-        self.since.set(now);
+        self.state_since.set(now);
     }
 
-    /// Whether no whole request is on it, and no answer.
-    pub(super) fn is_free(&self) -> bool {
+    /// Returns whether the connection has neither a complete request head nor a response in progress.
+    pub(super) fn has_no_request(&self) -> bool {
         matches!(
             self.state.get(),
             ConnectionState::New | ConnectionState::ReadingHead | ConnectionState::Idle
         )
     }
 
-    /// When its client's time for this stand is over.
-    pub(super) fn due(&self) -> Option<Duration> {
+    /// Returns when the timeout of the current state expires, if it has one.
+    pub(super) fn deadline(&self) -> Option<Duration> {
         match self.state.get() {
             ConnectionState::New | ConnectionState::ReadingHead => {
-                Some(self.since.get() + self.timeouts.get().head)
+                Some(self.state_since.get() + self.timeouts.get().head)
             }
             ConnectionState::ReadingBody => {
-                let paid = Duration::from_millis(self.received.get() * 1000 / MIN_BYTES_PER_S);
+                let transfer_time = Duration::from_millis(
+                    self.body_bytes_received.get() * 1000 / MIN_BODY_BYTES_PER_S,
+                );
                 Some(
-                    (self.since.get() + CLIENT_SILENCE_TIMEOUT)
-                        .min(self.started.get() + SLOW_BODY_GRACE + paid),
+                    (self.state_since.get() + CLIENT_SILENCE_TIMEOUT)
+                        .min(self.body_started.get() + SLOW_BODY_GRACE + transfer_time),
                 )
             }
-            ConnectionState::WritingResponse => Some(self.since.get() + UNREAD_TIMEOUT),
-            ConnectionState::Idle => Some(self.since.get() + self.timeouts.get().idle),
+            ConnectionState::WritingResponse => Some(self.state_since.get() + WRITE_TIMEOUT),
+            ConnectionState::Idle => Some(self.state_since.get() + self.timeouts.get().idle),
             ConnectionState::AwaitingResponse => None,
         }
     }
 }
 
-/// A client's socket, with an ear on what comes in.
+/// Socket of a client that updates the state of its connection on reads and writes.
 pub(super) struct ObservedSocket {
     pub(super) socket: Rc<RefCell<TcpStream>>,
     pub(super) connection: Rc<ClientConnection>,
@@ -105,19 +113,19 @@
 }
 
 impl ObservedSocket {
-    /// A client that goes on reading its answer, however slowly, is not quiet yet.
-    fn wrote(&self) {
+    /// Records progress in writing: a client that still reads its response, however slowly, is not idle.
+    fn record_write(&self) {
         if matches!(
             self.connection.state.get(),
             ConnectionState::Idle | ConnectionState::WritingResponse
         ) {
-            self.connection.since.set(self.clock.now());
+            self.connection.state_since.set(self.clock.now());
         }
     }
 }
 
-/// Whether something has come that nobody has read yet: closed now, it would be lost.
-pub(super) fn unread(socket: &RefCell<TcpStream>) -> bool {
+/// Returns whether the socket has unread input, which would be lost if the connection were closed now.
+pub(super) fn has_unread_input(socket: &RefCell<TcpStream>) -> bool {
     let peeked = SockRef::from(&*socket.borrow()).peek(&mut [MaybeUninit::uninit()]);
     peeked.is_ok_and(|n| n > 0)
 }
@@ -128,18 +136,18 @@
         cx: &mut Context,
         buf: &mut ReadBuf,
     ) -> Poll<io::Result<()>> {
-        let before = buf.filled().len();
+        let filled_before = buf.filled().len();
         ready!(Pin::new(&mut *self.socket.borrow_mut()).poll_read(cx, buf))?;
-        let received = &buf.filled()[before..];
+        let received = &buf.filled()[filled_before..];
         match self.connection.state.get() {
             ConnectionState::Idle if !received.is_empty() => self
                 .connection
                 .enter(ConnectionState::ReadingHead, self.clock.now()),
             ConnectionState::ReadingBody => {
-                self.connection.since.set(self.clock.now());
+                self.connection.state_since.set(self.clock.now());
                 self.connection
-                    .received
-                    .set(self.connection.received.get() + received.len() as u64);
+                    .body_bytes_received
+                    .set(self.connection.body_bytes_received.get() + received.len() as u64);
             }
             _ => {}
         }
@@ -151,11 +159,11 @@
 impl AsyncWrite for ObservedSocket {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context, bytes: &[u8]) -> Poll<io::Result<usize>> {
         let n = ready!(Pin::new(&mut *self.socket.borrow_mut()).poll_write(cx, bytes))?;
-        self.wrote();
+        self.record_write();
         Poll::Ready(Ok(n))
     }
 
-    /// Hyper flushes once all that it holds is written.
+    /// Marks the response as written: hyper flushes after it has written all of its buffer.
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context) -> Poll<io::Result<()>> {
         if self.connection.state.get() == ConnectionState::WritingResponse
             && self.connection.response_complete.get()
@@ -176,7 +184,7 @@
         bytes: &[io::IoSlice],
     ) -> Poll<io::Result<usize>> {
         let n = ready!(Pin::new(&mut *self.socket.borrow_mut()).poll_write_vectored(cx, bytes))?;
-        self.wrote();
+        self.record_write();
         Poll::Ready(Ok(n))
     }
 
--- a/crates/gateway/src/clients/invocation.rs
+++ b/crates/gateway/src/clients/invocation.rs
@@ -1,4 +1,4 @@
-//! A request becomes an invocation, the module's answer becomes a response.
+//! Converts requests to invocations and the answers of the dispatcher to responses.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -18,24 +18,29 @@
 use crate::shutdown_admission::ELSEWHERE;
 use crate::sizes::{BODY, LARGE};
 
-/// A body that still comes when its invocation is told runs on no client's time yet; this bounds it.
+/// Time limit for an invocation whose body is still arriving. The time limit of the client starts only with the last
+/// byte of the body.
 const UPLOAD_TIMEOUT: Duration = Duration::from_secs(600);
 
 impl Clients {
-    /// The answer to a request that is not taken, for the program ends.
-    pub(super) fn refusal(&self) -> ClientResponse {
-        let refused = Answer::Throttled {
+    /// Returns the response to a request that is rejected because the process is shutting down.
+    pub(super) fn shutdown_response(&self) -> ClientResponse {
+        let answer = Answer::Throttled {
             after: Some(ELSEWHERE),
             reason: RejectReason::Line,
             none_executed: true,
         };
-        self.protocol.encode("", None, refused)
+        self.protocol.encode("", None, answer)
     }
 
-    /// Counts an answer, where it ends: as it is handed over, or with the last byte of one passed on as it comes.
-    pub(super) fn count(self: &Rc<Self>, operation: &Arc<str>, answer: &mut ClientResponse) {
+    /// Counts a response in the metrics: a buffered one immediately, a streamed one when its stream ends.
+    pub(super) fn count_response(
+        self: &Rc<Self>,
+        operation: &Arc<str>,
+        answer: &mut ClientResponse,
+    ) {
         let status = answer.status();
-        let all = match status {
+        let counter = match status {
             StatusCode::OK => &self.figures.answered,
             StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
                 &self.figures.deferred
@@ -43,23 +48,23 @@
             _ => &self.figures.errored,
         };
         let ResponseBody::Streamed(body) = answer.body_mut() else {
-            return all.with_label_values(&[&**operation]).inc();
+            return counter.with_label_values(&[&**operation]).inc();
         };
         let (clients, operation) = (self.clone(), operation.clone());
         clients.figures.current.inc();
-        body.count = Some(Box::new(move |end| {
+        body.on_end = Some(Box::new(move |end| {
             clients.figures.current.dec();
             let figures = &clients.figures;
-            let all = if end == StreamEnd::Broken {
+            let counter = if end == StreamEnd::Broken {
                 &figures.errored
             } else {
                 &figures.answered
             };
-            all.with_label_values(&[&*operation]).inc();
+            counter.with_label_values(&[&*operation]).inc();
         }));
     }
 
-    /// An invocation's answer, or why the request is none.
+    /// Carries out a request as an invocation. Returns the response, or the rejection of an invalid request.
     pub(super) async fn invoke(
         &self,
         connection: &ClientConnection,
@@ -74,7 +79,7 @@
             .map_err(rejection)?;
         let streamed = body.streamed().cloned();
         decoded.invocation.body_pending = streamed.is_some();
-        // Its client's time runs from its last byte.
+        // The time limit of the client starts with the last byte of the request.
         let received = self.clock.now();
         let wait = if streamed.is_some() {
             UPLOAD_TIMEOUT
@@ -95,23 +100,24 @@
         self.protocol
             .request_accepted(&forwarded, &mut decoded.context);
         let context = decoded.context.take();
-        let answer = open_invocation.ask(decoded, forwarded).await?;
-        let took = self.clock.now().saturating_sub(received);
-        self.figures.answer_seconds.observe(took.as_secs_f64());
+        let answer = open_invocation.dispatch(decoded, forwarded).await?;
+        let latency = self.clock.now().saturating_sub(received);
+        self.figures.answer_seconds.observe(latency.as_secs_f64());
         if let Some(streamed) = streamed.filter(|body| !body.is_complete()) {
-            connection.unread.set(true);
+            connection.request_body_unread.set(true);
             tokio::task::spawn_local(async move { streamed.drain().await });
         }
         Ok(self.protocol.encode(&open_invocation.name, context, answer))
     }
 
-    /// Two of a name would share one effect, and each would get the other's answer: only one may be open.
+    /// Registers an invocation. A second invocation with the name of an open one is rejected: the two would share one
+    /// effect, and each would receive the response of the other.
     fn open_invocation(
         &self,
         decoded: &DecodedRequest,
         name: String,
     ) -> Result<OpenInvocation<'_>, Rejection> {
-        if !self.open.borrow_mut().insert(name.clone()) {
+        if !self.open_invocations.borrow_mut().insert(name.clone()) {
             log!(warn, "invocation-twice", "{name}");
             return Err(rejection(StatusCode::CONFLICT));
         }
@@ -125,7 +131,7 @@
         })
     }
 
-    /// A request's body: whole where it is small, else its start and what still comes.
+    /// Receives the body of a request: buffers a small body whole, and the beginning of a larger one.
     async fn receive_body(
         &self,
         connection: &ClientConnection,
@@ -144,17 +150,17 @@
             return Err(StatusCode::PAYLOAD_TOO_LARGE);
         }
         let buffered = length.map_or(BODY, |length| BODY.min(length as usize));
-        let Some(reservation) = self.bodies.reserve(buffered) else {
+        let Some(reservation) = self.body_memory.reserve(buffered) else {
             log!(
                 warn,
                 "bodies-full",
-                "no room for a body of {buffered} bytes"
+                "memory limit for request bodies reached; rejected a body of {buffered} bytes"
             );
             return Err(StatusCode::SERVICE_UNAVAILABLE);
         };
         connection.enter(ConnectionState::ReadingBody, self.clock.now());
-        connection.started.set(self.clock.now());
-        connection.received.set(0);
+        connection.body_started.set(self.clock.now());
+        connection.body_bytes_received.set(0);
         let (beginning, is_whole) = bodies::read_start(&mut body, None)
             .await
             .map_err(|_| StatusCode::BAD_REQUEST)?;
@@ -167,7 +173,7 @@
         Ok(RequestBody::Streamed(streamed))
     }
 
-    /// Tells the dispatcher that a body's last byte has come.
+    /// Returns a callback that reports to the dispatcher that the last byte of the body has arrived.
     fn report_completion(&self, decoded: &DecodedRequest) -> impl FnOnce() + use<> {
         let invocation_id = decoded.invocation.id;
         let dispatcher = decoded.dispatcher.clone();
@@ -182,7 +188,7 @@
     }
 }
 
-/// Sends a message now, or from a task of its own where there is no room.
+/// Sends a message without waiting; if the mailbox is full, a separate task sends it.
 fn send_without_waiting(dispatcher: &mpsc::Sender<ToDispatcher>, message: ToDispatcher) {
     if let Err(mpsc::error::TrySendError::Full(message)) = dispatcher.try_send(message) {
         let dispatcher = dispatcher.clone();
@@ -190,7 +196,7 @@
     }
 }
 
-/// An invocation that the dispatcher holds; dropped unanswered, its client has hung up.
+/// An invocation that is at the dispatcher. If it is dropped without an answer, the client has disconnected.
 struct OpenInvocation<'a> {
     invocation_id: InvocationId,
     name: String,
@@ -200,8 +206,8 @@
 }
 
 impl OpenInvocation<'_> {
-    /// Hands the invocation to the dispatcher, and waits for its answer.
-    async fn ask(
+    /// Sends the invocation to the dispatcher and waits for its answer.
+    async fn dispatch(
         &self,
         decoded: DecodedRequest,
         request: Rc<ForwardedRequest>,
@@ -227,7 +233,10 @@
 
 impl Drop for OpenInvocation<'_> {
     fn drop(&mut self) {
-        self.clients.open.borrow_mut().remove(&self.name);
+        self.clients
+            .open_invocations
+            .borrow_mut()
+            .remove(&self.name);
         self.clients.figures.current.dec();
         if !self.answered.get() {
             let message = ToDispatcher::ClientGone {
--- a/crates/gateway/src/clients/services.rs
+++ b/crates/gateway/src/clients/services.rs
@@ -1,4 +1,5 @@
-//! The two layers of a connection's service: the program's phases, then requests as invocations.
+//! The two layers of the service of a client connection: [`PhaseService`] answers requests that do not become
+//! invocations, [`InvocationService`] carries out all others.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -16,35 +17,36 @@
 use super::{ClientResponse, Clients, plain};
 use crate::bodies::ResponseBody;
 
-type Answering = Pin<Box<dyn Future<Output = Result<ClientResponse, Infallible>>>>;
+type ResponseFuture = Pin<Box<dyn Future<Output = Result<ClientResponse, Infallible>>>>;
 
-/// First layer: the program's phases and the connection's, `/up`, and answers to what comes beyond the cap.
+/// First layer: handles the phases of the process and of the connection, readiness checks, and connections over the
+/// limit.
 #[derive(Clone)]
 pub(super) struct PhaseService {
-    pub(super) full: bool,
+    pub(super) over_limit: bool,
     pub(super) inner: InvocationService,
 }
 
 impl Service<Request<Incoming>> for PhaseService {
     type Response = ClientResponse;
     type Error = Infallible;
-    type Future = Answering;
+    type Future = ResponseFuture;
 
     fn poll_ready(&mut self, cx: &mut Context) -> Poll<Result<(), Infallible>> {
         self.inner.poll_ready(cx)
     }
 
-    fn call(&mut self, request: Request<Incoming>) -> Answering {
+    fn call(&mut self, request: Request<Incoming>) -> ResponseFuture {
         let clients = self.inner.clients.clone();
         let connection = self.inner.connection.clone();
         let started = clients.clock.now();
-        let answered_here = self.answered_here(&request, started);
-        let ends_connection = self.full
-            || answered_here == Some(AnsweredHere::ConflictingLength)
-            // Where the next head starts is not known after one.
+        let own_reply = self.own_reply(&request, started);
+        let closes_connection = self.over_limit
+            || own_reply == Some(OwnReply::ConflictingLength)
+            // The scanner cannot find the next head after a chunked body.
             || request.headers().contains_key(TRANSFER_ENCODING);
         let operation = clients.protocol.operation_name(request.uri());
-        let inner = match answered_here {
+        let inner = match own_reply {
             Some(reason) => Err(reason),
             None => Ok(self.inner.call(request)),
         };
@@ -52,8 +54,8 @@
             let mut response = match inner {
                 Ok(inner) => {
                     let response = inner.await?;
-                    let took = clients.clock.now().saturating_sub(started);
-                    clients.shutdown_admission.answered(took);
+                    let latency = clients.clock.now().saturating_sub(started);
+                    clients.shutdown_admission.answered(latency);
                     response
                 }
                 Err(reason) => clients.local_response(reason),
@@ -62,11 +64,12 @@
             let now = clients.clock.now();
             connection.enter_writing(&mut response, now, |response| {
                 if let Some(operation) = operation {
-                    clients.count(&operation, response);
+                    clients.count_response(&operation, response);
                 }
             });
-            let ends = ends_connection || closes_connections || connection.unread.get();
-            if ends || clients.closes_for_others(now) {
+            let must_close =
+                closes_connection || closes_connections || connection.request_body_unread.get();
+            if must_close || clients.closes_for_others(now) {
                 let close = HeaderValue::from_static("close");
                 response.headers_mut().insert(CONNECTION, close);
             }
@@ -75,21 +78,22 @@
     }
 }
 
-/// Why a request is answered without becoming an invocation.
+/// Reasons why a request is answered without becoming an invocation.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum AnsweredHere {
-    /// Its head gives its length in two ways: a second request may hide in its body.
+enum OwnReply {
+    /// The head states the body length in two ways, so the body may hide a second request.
     ConflictingLength,
-    /// The process ends before it could be answered.
-    TooLate,
-    /// It asks whether the gateway is up.
+    /// The process ends before the request could be answered.
+    ShuttingDown,
+    /// The request is a readiness check.
     Readiness,
-    /// Its connection is beyond the cap.
-    Full,
+    /// The connection is over the limit.
+    OverLimit,
 }
 
 impl PhaseService {
-    fn answered_here(&self, request: &Request<Incoming>, now: Duration) -> Option<AnsweredHere> {
+    /// Returns why a request is answered here, or `None` if it becomes an invocation.
+    fn own_reply(&self, request: &Request<Incoming>, now: Duration) -> Option<OwnReply> {
         let clients = &self.inner.clients;
         if self
             .inner
@@ -98,13 +102,13 @@
             .borrow()
             .has_conflicting_length()
         {
-            Some(AnsweredHere::ConflictingLength)
+            Some(OwnReply::ConflictingLength)
         } else if !clients.shutdown_admission.takes(now) {
-            Some(AnsweredHere::TooLate)
+            Some(OwnReply::ShuttingDown)
         } else if clients.protocol.is_readiness_check(request.uri()) {
-            Some(AnsweredHere::Readiness)
-        } else if self.full {
-            Some(AnsweredHere::Full)
+            Some(OwnReply::Readiness)
+        } else if self.over_limit {
+            Some(OwnReply::OverLimit)
         } else {
             None
         }
@@ -112,16 +116,16 @@
 }
 
 impl Clients {
-    fn local_response(&self, reason: AnsweredHere) -> ClientResponse {
+    fn local_response(&self, reason: OwnReply) -> ClientResponse {
         match reason {
-            AnsweredHere::ConflictingLength => plain(StatusCode::BAD_REQUEST),
-            AnsweredHere::TooLate => self.refusal(),
-            AnsweredHere::Readiness if self.phase.get().is_serving() => plain(StatusCode::OK),
-            AnsweredHere::Readiness | AnsweredHere::Full => plain(StatusCode::SERVICE_UNAVAILABLE),
+            OwnReply::ConflictingLength => plain(StatusCode::BAD_REQUEST),
+            OwnReply::ShuttingDown => self.shutdown_response(),
+            OwnReply::Readiness if self.phase.get().is_serving() => plain(StatusCode::OK),
+            OwnReply::Readiness | OwnReply::OverLimit => plain(StatusCode::SERVICE_UNAVAILABLE),
         }
     }
 
-    /// Whether a response ends its connection for the sake of clients that wait for one.
+    /// Returns whether a response closes its connection to make room for waiting clients.
     fn closes_for_others(&self, now: Duration) -> bool {
         let mut admission = self.admission.borrow_mut();
         admission.closes_after_response(self.max_connections.get(), now)
@@ -129,7 +133,9 @@
 }
 
 impl ClientConnection {
-    /// A response is written from now on; `count` is called before the end of one that is streamed is watched.
+    /// Enters the state [`ConnectionState::WritingResponse`].
+    ///
+    /// `count` is called first, because it may set the `on_end` callback of a streamed body, which is extended here.
     fn enter_writing(
         self: &Rc<Self>,
         response: &mut ClientResponse,
@@ -141,11 +147,11 @@
         self.enter(ConnectionState::WritingResponse, now);
         count(response);
         if let ResponseBody::Streamed(body) = response.body_mut() {
-            let counted = body.count.take();
+            let count_end = body.on_end.take();
             let connection = self.clone();
-            body.count = Some(Box::new(move |end| {
-                if let Some(counted) = counted {
-                    counted(end);
+            body.on_end = Some(Box::new(move |end| {
+                if let Some(count_end) = count_end {
+                    count_end(end);
                 }
                 connection.response_complete.set(true);
             }));
@@ -153,7 +159,7 @@
     }
 }
 
-/// Second layer: a request becomes an invocation, the module's answer becomes a response.
+/// Second layer: carries out requests as invocations.
 #[derive(Clone)]
 pub(super) struct InvocationService {
     pub(super) clients: Rc<Clients>,
@@ -163,19 +169,19 @@
 impl Service<Request<Incoming>> for InvocationService {
     type Response = ClientResponse;
     type Error = Infallible;
-    type Future = Answering;
+    type Future = ResponseFuture;
 
     fn poll_ready(&mut self, _: &mut Context) -> Poll<Result<(), Infallible>> {
         Poll::Ready(Ok(()))
     }
 
-    fn call(&mut self, request: Request<Incoming>) -> Answering {
+    fn call(&mut self, request: Request<Incoming>) -> ResponseFuture {
         let (clients, connection) = (self.clients.clone(), self.connection.clone());
         Box::pin(async move {
             Ok(clients
                 .invoke(&connection, request)
                 .await
-                .unwrap_or_else(|answer| *answer))
+                .unwrap_or_else(|rejection| *rejection))
         })
     }
 }
--- a/crates/gateway/src/connection_admission.rs
+++ b/crates/gateway/src/connection_admission.rs
@@ -1,114 +1,124 @@
-//! Which connections are taken, and which answers end theirs: the door's decisions, free of I/O.
+//! Decides which connections are accepted and which responses close their connections. This module does no I/O.
 //!
-//! A front door that is full must not spend itself on saying so. Two things did (docs/overload.md): connections
-//! taken beyond the cap only to be turned away, as fast as they came, and every answer ending its connection once
-//! a third of the cap was in use, so that each next invocation paid for a new one. Here both have one pace: the
-//! cap's worth of connections turns over in [`TURNOVER_TIME`], however many stand outside; whoever finds no place waits in
-//! the listener's backlog, untaken.
+//! A gateway at its connection limit must not spend its CPU time on refusals. Two causes of this were found
+//! (docs/overload.md): connections over the limit were accepted at the rate of their arrival, only to be refused, and
+//! every response closed its connection once a third of the limit was in use, so that each further invocation needed a
+//! new connection. Both rates are therefore limited: per [`TURNOVER_TIME`] at most as many connections as the limit are
+//! refused, and at most as many are closed, however many clients are waiting. All others wait in the backlog of the
+//! listener and are not accepted.
 
 use std::time::Duration;
 
-/// In this time as many connections as the cap holds may be ended for others, or taken to be turned away: as
-/// long as an idle one is kept, so that a client which holds on to its own keeps no other out for longer.
+/// Time in which as many connections as the limit may be closed in favor of others, and as many may be accepted only to
+/// be refused. The time equals the idle timeout, so that a client that holds on to its connection does not exclude
+/// others for longer.
 pub const TURNOVER_TIME: Duration = Duration::from_millis(2200);
-/// Connections taken beyond the cap at a time, only to be told so.
-pub const MAX_BEYOND_CAP: usize = 16;
+/// Maximum number of connections over the limit that are accepted at a time to refuse them with a response.
+pub const MAX_OVER_LIMIT: usize = 16;
 
-/// What to do with the next connection.
+/// Decision on the next connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Admit {
-    /// There is a place.
+pub enum AdmissionDecision {
+    /// The number of connections is below the limit: accept the connection.
     Accept,
-    /// None, but one that holds nothing can be closed for it.
+    /// The limit is reached, but a connection without a request can be closed: close it and accept the new one.
     Evict,
-    /// None; it may be taken to be told so.
+    /// The limit is reached: accept the connection and refuse its request.
     Refuse,
-    /// Neither: it waits outside, until a connection ends or this time has passed.
+    /// Accept no connection until one has ended or this time has passed.
     Wait(Duration),
 }
 
-/// Whether a connection may be closed for another.
+/// Whether a connection can be closed in favor of another one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Evictable {
-    /// It may be closed now.
+    /// A connection can be closed now.
     Now,
-    /// One that has hardly come: its request may be on its way, for so long.
+    /// A connection can be closed after this time. It is new and its first request may be in transit.
     Soon(Duration),
-    /// It may not be closed.
+    /// No connection can be closed.
     None,
 }
 
-/// So many events in a span, saved up to a [`MAX_BEYOND_CAP`] or so; an event more has to wait.
+/// Token bucket with a capacity of [`MAX_OVER_LIMIT`] tokens, refilled at `max_per_turnover` tokens per
+/// [`TURNOVER_TIME`].
 struct RateLimiter {
-    saved: f64,
-    at: Duration,
+    tokens: f64,
+    updated_at: Duration,
 }
 
 impl RateLimiter {
     fn new(now: Duration) -> RateLimiter {
         RateLimiter {
-            saved: MAX_BEYOND_CAP as f64,
-            at: now,
+            tokens: MAX_OVER_LIMIT as f64,
+            updated_at: now,
         }
     }
 
-    /// Takes one, or says how long till there is one.
-    fn take(&mut self, most: usize, now: Duration) -> Result<(), Duration> {
-        let came =
-            most as f64 * now.saturating_sub(self.at).as_secs_f64() / TURNOVER_TIME.as_secs_f64();
-        (self.saved, self.at) = ((self.saved + came).min(MAX_BEYOND_CAP as f64), now);
-        if self.saved >= 1.0 {
-            self.saved -= 1.0;
+    /// Takes a token, or returns the time until one is available.
+    fn take(&mut self, max_per_turnover: usize, now: Duration) -> Result<(), Duration> {
+        let refill = max_per_turnover as f64 * now.saturating_sub(self.updated_at).as_secs_f64()
+            / TURNOVER_TIME.as_secs_f64();
+        (self.tokens, self.updated_at) = ((self.tokens + refill).min(MAX_OVER_LIMIT as f64), now);
+        if self.tokens >= 1.0 {
+            self.tokens -= 1.0;
             return Ok(());
         }
-        Err(TURNOVER_TIME.mul_f64((1.0 - self.saved) / most.max(1) as f64))
+        Err(TURNOVER_TIME.mul_f64((1.0 - self.tokens) / max_per_turnover.max(1) as f64))
     }
 }
 
-/// The door of one gateway.
+/// Connection admission of one gateway.
 pub struct ConnectionAdmission {
-    turned_away: RateLimiter,
-    ended: RateLimiter,
-    /// Until when newcomers are known to stand outside.
-    crowded_until: Duration,
+    refusals: RateLimiter,
+    closes: RateLimiter,
+    /// Time until which clients are assumed to wait for a connection.
+    waiting_until: Duration,
 }
 
 impl ConnectionAdmission {
-    /// Nobody waits yet.
+    /// Creates the state without waiting clients.
     pub fn new(now: Duration) -> ConnectionAdmission {
         ConnectionAdmission {
-            turned_away: RateLimiter::new(now),
-            ended: RateLimiter::new(now),
-            crowded_until: Duration::ZERO,
+            refusals: RateLimiter::new(now),
+            closes: RateLimiter::new(now),
+            waiting_until: Duration::ZERO,
         }
     }
 
-    /// What becomes of the next connection, with `open` of `most` places in use.
-    pub fn next(&mut self, open: usize, most: usize, idle: Evictable, now: Duration) -> Admit {
-        if open < most {
-            return Admit::Accept;
+    /// Decides on the next connection, with `open` of `max_connections` connections in use.
+    pub fn decide(
+        &mut self,
+        open: usize,
+        max_connections: usize,
+        idle: Evictable,
+        now: Duration,
+    ) -> AdmissionDecision {
+        if open < max_connections {
+            return AdmissionDecision::Accept;
         }
         match idle {
-            Evictable::Now => return Admit::Evict,
-            Evictable::Soon(wait) => return Admit::Wait(wait),
+            Evictable::Now => return AdmissionDecision::Evict,
+            Evictable::Soon(wait) => return AdmissionDecision::Wait(wait),
             Evictable::None => {}
         }
-        if open >= most + MAX_BEYOND_CAP {
-            return Admit::Wait(TURNOVER_TIME);
+        if open >= max_connections + MAX_OVER_LIMIT {
+            return AdmissionDecision::Wait(TURNOVER_TIME);
         }
-        match self.turned_away.take(most, now) {
-            Ok(()) => Admit::Refuse,
-            Err(wait) => Admit::Wait(wait),
+        match self.refusals.take(max_connections, now) {
+            Ok(()) => AdmissionDecision::Refuse,
+            Err(wait) => AdmissionDecision::Wait(wait),
         }
     }
 
-    /// Somebody came who found no place free.
+    /// Records that a connection over the limit has arrived.
     pub fn record_refused(&mut self, now: Duration) {
-        self.crowded_until = now + TURNOVER_TIME;
+        self.waiting_until = now + TURNOVER_TIME;
     }
 
-    /// Whether an answer ends its connection for the sake of those outside: while there are some, at the door's pace.
-    pub fn closes_after_response(&mut self, most: usize, now: Duration) -> bool {
-        now < self.crowded_until && self.ended.take(most, now).is_ok()
+    /// Returns whether a response closes its connection to make room for waiting clients. This is the case only while
+    /// clients are waiting, and at a limited rate.
+    pub fn closes_after_response(&mut self, max_connections: usize, now: Duration) -> bool {
+        now < self.waiting_until && self.closes.take(max_connections, now).is_ok()
     }
 }
--- a/crates/gateway/src/counter_client/call_stream.rs
+++ b/crates/gateway/src/counter_client/call_stream.rs
@@ -1,4 +1,5 @@
-//! The calls on one connection to the counter: text lines out, answers back in their order.
+//! The calls on one connection to the counter. Calls and replies are text lines; replies arrive in the order of the
+//! calls.
 
 use std::collections::VecDeque;
 use std::io::{Error, ErrorKind, Write};
@@ -9,49 +10,57 @@
 
 use crate::messages::CounterCall;
 
-/// An answer is a word and a number; a longer line is none.
+/// Maximum length of a reply, which consists of a word and a number; a longer line is invalid.
 const MAX_LINE_BYTES: usize = 128;
 
-/// A call on its way, with the place in the stream where its last byte stands; none once it is given up,
-/// for its answer still takes its turn.
+/// A call for which a reply is pending.
 pub(super) struct SentCall {
+    /// The call; `None` after its timeout. The entry stays, because a reply to it may still arrive.
     pub(super) call: Option<CounterCall>,
-    pub(super) end: u64,
+    /// Position in the output stream after the last byte of the call.
+    pub(super) end_offset: u64,
+    /// When the call was made.
     pub(super) at: Duration,
 }
 
 /// The calls on one connection.
 #[derive(Default)]
 pub(super) struct CallStream {
+    /// Encoded calls that are not written yet.
     pub(super) unwritten: Vec<u8>,
+    /// Number of bytes written to the socket.
     pub(super) written: u64,
-    pub(super) end: u64,
+    /// Position in the output stream after the last encoded call.
+    pub(super) end_offset: u64,
+    /// Calls without a reply, oldest first.
     pub(super) sent: VecDeque<SentCall>,
+    /// When data was last received.
     pub(super) last_heard: Duration,
-    /// How long it may be silent.
+    /// How long the counter may send nothing while calls are pending.
     pub(super) silence_limit: Duration,
-    pub(super) read: Vec<u8>,
+    /// Received bytes that are not decoded yet.
+    pub(super) received: Vec<u8>,
 }
 
 impl CallStream {
-    /// A call is to be written.
+    /// Encodes a call for writing.
     pub(super) fn encode(&mut self, call: CounterCall) {
-        let (before, keep) = (self.unwritten.len(), call.keep.as_millis().max(1));
+        let (length_before, retention_ms) = (self.unwritten.len(), call.keep.as_millis().max(1));
         write!(
             self.unwritten,
-            "tally {} {} {keep}\r\n",
+            "tally {} {} {retention_ms}\r\n",
             call.name, call.add
         )
-        .expect("memory takes it");
-        self.end += (self.unwritten.len() - before) as u64;
+        .expect("writing to a Vec does not fail");
+        self.end_offset += (self.unwritten.len() - length_before) as u64;
         self.sent.push_back(SentCall {
             at: call.at,
             call: Some(call),
-            end: self.end,
+            end_offset: self.end_offset,
         });
     }
 
-    /// Writes as much as the socket takes.
+    /// Writes as many bytes as the socket accepts.
     pub(super) fn write(&mut self, socket: &OwnedWriteHalf) -> Result<(), Error> {
         while !self.unwritten.is_empty() {
             match socket.try_write(&self.unwritten) {
@@ -66,35 +75,35 @@
         Ok(())
     }
 
-    /// The next answer that has come whole, with its call; an error where it is no answer to a call.
-    pub(super) fn next_answer(&mut self) -> Result<Option<(SentCall, Outcome, f64)>, Error> {
-        let Some(end) = self.read.iter().position(|byte| *byte == b'\n') else {
+    /// Returns the next complete reply with its call. Fails if the line is invalid or no call is pending.
+    pub(super) fn next_reply(&mut self) -> Result<Option<(SentCall, Outcome, f64)>, Error> {
+        let Some(end) = self.received.iter().position(|byte| *byte == b'\n') else {
             return Ok(None);
         };
-        let answer = decode(&self.read[..end]);
-        let (outcome, total) = answer.ok_or_else(|| invalid("an answer that is none"))?;
-        self.read.drain(..=end);
+        let reply = decode(&self.received[..end]);
+        let (outcome, total) = reply.ok_or_else(|| invalid("invalid reply"))?;
+        self.received.drain(..=end);
         let sent_call = self.sent.pop_front();
-        let sent_call = sent_call.ok_or_else(|| invalid("an answer to no call"))?;
+        let sent_call = sent_call.ok_or_else(|| invalid("reply without a pending call"))?;
         Ok(Some((sent_call, outcome, total)))
     }
 
-    /// An error where the beginning of a line can't become an answer.
-    pub(super) fn check_rest(&self) -> Result<(), Error> {
-        let is_too_long = self.read.len() > MAX_LINE_BYTES;
-        let answers_nothing = !self.read.is_empty() && self.sent.is_empty();
-        if is_too_long || !may_become_answer(&self.read) || answers_nothing {
-            return Err(invalid("noise"));
+    /// Fails if the received part of a line cannot become a valid reply.
+    pub(super) fn check_partial_line(&self) -> Result<(), Error> {
+        let is_too_long = self.received.len() > MAX_LINE_BYTES;
+        let is_unexpected = !self.received.is_empty() && self.sent.is_empty();
+        if is_too_long || !may_become_reply(&self.received) || is_unexpected {
+            return Err(invalid("received data is not a reply"));
         }
         Ok(())
     }
 
-    /// Whether all calls have ended.
+    /// Returns whether all calls have ended.
     pub(super) fn is_idle(&self) -> bool {
         self.sent.iter().all(|sent_call| sent_call.call.is_none())
     }
 
-    /// The oldest call that has not ended, if it was made before then.
+    /// Takes the oldest call that has not ended, if it was made at `limit` or earlier.
     pub(super) fn take_call_before(&mut self, limit: Duration) -> Option<CounterCall> {
         let mut sent = self.sent.iter_mut();
         let oldest = sent.find(|sent_call| sent_call.call.is_some())?;
@@ -104,18 +113,18 @@
         oldest.call.take()
     }
 
-    /// When the connection counts as dead, where nothing is heard until then.
-    pub(super) fn silent_at(&self) -> Option<Duration> {
+    /// Returns when the connection counts as dead if no data is received until then; `None` if no reply is pending.
+    pub(super) fn silence_deadline(&self) -> Option<Duration> {
         let oldest = self.sent.front()?;
         Some(oldest.at.max(self.last_heard) + self.silence_limit)
     }
 
-    /// When the next call runs out of time, else when the connection counts as dead.
+    /// Returns when the next call times out or, if no call is pending, when the connection counts as dead.
     pub(super) fn next_deadline(&self, timeout: Duration) -> Option<Duration> {
         let mut sent = self.sent.iter();
         let waiting = sent.find(|sent_call| sent_call.call.is_some());
         let times_out = waiting.map(|sent_call| sent_call.at + timeout);
-        times_out.or_else(|| self.silent_at())
+        times_out.or_else(|| self.silence_deadline())
     }
 }
 
@@ -123,7 +132,7 @@
     Error::new(ErrorKind::InvalidData, what)
 }
 
-/// What a line says: an outcome and the total.
+/// Decodes a reply to its outcome and total.
 fn decode(line: &[u8]) -> Option<(Outcome, f64)> {
     let line = std::str::from_utf8(line).ok()?.trim_end();
     match line.split_once(' ') {
@@ -136,15 +145,15 @@
     }
 }
 
-/// Whether a line that has no end yet can still become an answer. Noise without an end would hold the
-/// calls behind it until the connection counts as silent.
-fn may_become_answer(line: &[u8]) -> bool {
-    let number = |b: &u8| b.is_ascii_digit() || b" +-.eE\r".contains(b);
+/// Returns whether an incomplete line can still become a valid reply. Invalid data without a line end would otherwise
+/// block the pending calls until the connection counts as dead.
+fn may_become_reply(line: &[u8]) -> bool {
+    let is_number_byte = |byte: &u8| byte.is_ascii_digit() || b" +-.eE\r".contains(byte);
     let word = [b"ok ".as_slice(), b"busy\r", b"error"]
         .iter()
         .any(|w| w.starts_with(line));
     word || line.starts_with(b"error")
         || line
             .strip_prefix(b"ok ")
-            .is_some_and(|n| n.iter().all(number))
+            .is_some_and(|n| n.iter().all(is_number_byte))
 }
--- a/crates/gateway/src/counter_client/mod.rs
+++ b/crates/gateway/src/counter_client/mod.rs
@@ -1,4 +1,5 @@
-//! The counter: calls in text lines, one after another on one connection, answers in their order.
+//! Client of the shared counter. Calls are text lines, pipelined on one connection; replies arrive in the order of the
+//! calls.
 
 mod call_stream;
 
@@ -19,34 +20,36 @@
 use crate::log::log;
 use crate::messages::{CounterCall, ToCounter, ToDispatcher};
 
-/// With calls out and nothing heard for this long at most, the connection is held for dead. It begins with
-/// one call's time-out: later answers are of no use, and each call more that goes to a dead connection is
-/// lost. It doubles with each connection that said nothing, or a slow counter would get little but those.
+/// Upper limit of the time without received data, with calls pending, after which a connection counts as dead.
+///
+/// The time starts at the timeout of one call, because later replies are of no use and each further call on a dead
+/// connection is lost. It doubles with each connection on which nothing was received; otherwise a slow counter would
+/// have to serve mostly new connections that are closed before its first reply.
 const MAX_SILENCE: Duration = Duration::from_secs(1);
 
-/// The actor that calls the counter.
+/// Actor that sends calls to the counter.
 pub struct CounterClient {
-    /// Where the counter is.
+    /// Address of the counter.
     pub at: SocketAddr,
-    /// A call is answered within this, or not at all.
+    /// Timeout of a call.
     pub timeout: Duration,
-    /// A connection comes up within this.
+    /// Timeout for opening a connection.
     pub connect_timeout: Duration,
-    /// The dispatcher's clock.
+    /// Clock of the dispatcher.
     pub clock: Clock,
-    /// Where answers go.
+    /// Receives the results of calls.
     pub dispatcher: mpsc::Sender<ToDispatcher>,
-    /// The calls to make.
+    /// Calls to send.
     pub mailbox: mpsc::Receiver<ToCounter>,
 }
 
-/// Why a connection was left.
+/// Reasons why a connection is no longer used.
 enum Disconnected {
-    /// The counter is at another address.
+    /// The counter has moved to another address.
     Moved,
-    /// The connection broke, or what came on it is no answer.
+    /// The connection failed, or the received data is not a valid reply.
     Broken(Error),
-    /// Nobody calls any more.
+    /// The mailbox is closed.
     ActorEnded,
 }
 
@@ -57,9 +60,9 @@
 }
 
 impl CounterClient {
-    /// Runs until nobody calls any more.
+    /// Runs until the mailbox is closed.
     pub async fn run(mut self) {
-        // Calls that wait for a connection.
+        // Calls that wait for a connection to be opened.
         let mut waiting: VecDeque<CounterCall> = VecDeque::new();
         let mut silence_limit = self.timeout;
         loop {
@@ -95,7 +98,7 @@
         }
     }
 
-    /// Connects while calls come in and run out of time; nothing was written of those.
+    /// Opens a connection. Meanwhile accepts calls and ends those that time out as not sent.
     async fn connect(
         &mut self,
         waiting: &mut VecDeque<CounterCall>,
@@ -129,23 +132,23 @@
         }
     }
 
-    /// Makes calls on a connection until it is left; then ends those that are out.
+    /// Sends calls on a connection until it is no longer used, then ends the pending calls.
     async fn serve(
         &mut self,
         socket: TcpStream,
         waiting: &mut VecDeque<CounterCall>,
         silence_limit: &mut Duration,
     ) -> Disconnected {
-        let began = self.clock.now();
+        let started = self.clock.now();
         let mut stream = CallStream {
-            last_heard: began,
+            last_heard: started,
             silence_limit: *silence_limit,
             ..CallStream::default()
         };
         waiting.drain(..).for_each(|call| stream.encode(call));
         let exchanged = self.exchange(socket, &mut stream).await;
         let reason = exchanged.unwrap_or_else(Disconnected::Broken);
-        let was_silent = stream.last_heard == began;
+        let was_silent = stream.last_heard == started;
         self.end_calls(stream, &reason).await;
         *silence_limit = if was_silent {
             (*silence_limit * 2).min(MAX_SILENCE.max(self.timeout))
@@ -155,16 +158,16 @@
         reason
     }
 
-    /// Ends the calls that are out on a connection that was left.
+    /// Ends the pending calls of a connection that is no longer used.
     async fn end_calls(&self, stream: CallStream, reason: &Disconnected) {
         let is_unreadable =
             matches!(reason, Disconnected::Broken(e) if e.kind() == ErrorKind::InvalidData);
         let written = stream.written;
         for (position, sent_call) in stream.sent.into_iter().enumerate() {
-            let outcome = if sent_call.end > written {
+            let outcome = if sent_call.end_offset > written {
                 Outcome::ConnectFailed
             } else if is_unreadable && position == 0 {
-                // Answered, so added, though how much is there by now can't be read.
+                // The counter has replied, so the units were added, but the total cannot be read.
                 Outcome::Failed
             } else {
                 Outcome::TimedOut
@@ -175,56 +178,57 @@
         }
     }
 
-    /// Exchanges calls and answers until the counter has moved and all calls out have ended, or nobody calls any
-    /// more; an error where the connection ends.
+    /// Exchanges calls and replies until the counter has moved and all pending calls have ended, or until the mailbox is
+    /// closed. Fails if the connection ends.
     async fn exchange(
         &mut self,
         socket: TcpStream,
         stream: &mut CallStream,
     ) -> Result<Disconnected, Error> {
-        // Read by halves: a read that leaves room then knows that there is no more without asking.
+        // Reads from the owned half, which skips the next `read` system call after a read that did not fill the buffer.
         let (mut reading, socket) = socket.into_split();
         stream.write(&socket)?;
         let deadline = sleep_until(self.clock.instant(self.clock.now() + self.timeout));
         tokio::pin!(deadline);
-        let mut armed = true;
+        let mut timer_armed = true;
         let mut moved = false;
         loop {
-            // Calls of a name are answered in their order: none goes out elsewhere before these have ended.
+            // Calls with the same name are answered in order, so no call is sent to the new address before all pending
+            // calls have ended.
             if moved && stream.is_idle() {
                 return Ok(Disconnected::Moved);
             }
             tokio::select! {
                 biased;
-                read = reading.read_buf(&mut stream.read) => {
+                read = reading.read_buf(&mut stream.received) => {
                     if read? == 0 {
                         return Err(ErrorKind::UnexpectedEof.into());
                     }
                     stream.last_heard = self.clock.now();
-                    self.handle_answers(stream).await?;
+                    self.handle_replies(stream).await?;
                 }
                 message = self.mailbox.recv(), if !moved => {
                     let Some(message) = message else {
                         return Ok(Disconnected::ActorEnded);
                     };
-                    moved = self.take_messages(message, stream);
+                    moved = self.handle_messages(message, stream);
                     stream.write(&socket)?;
-                    if !armed {
-                        armed = true;
+                    if !timer_armed {
+                        timer_armed = true;
                         let at = self.clock.now() + self.timeout;
                         deadline.as_mut().reset(self.clock.instant(at));
                     }
                 }
                 _ = socket.writable(), if !stream.unwritten.is_empty() => stream.write(&socket)?,
-                () = &mut deadline, if armed => {
-                    armed = self.end_overdue(stream, deadline.as_mut()).await?;
+                () = &mut deadline, if timer_armed => {
+                    timer_armed = self.end_timed_out_calls(stream, deadline.as_mut()).await?;
                 }
             }
         }
     }
 
-    /// Takes a message and those behind it, up to one that the counter has moved; returns whether it has.
-    fn take_messages(&mut self, first: ToCounter, stream: &mut CallStream) -> bool {
+    /// Handles a message and all queued ones, up to the first that moves the counter. Returns whether there was one.
+    fn handle_messages(&mut self, first: ToCounter, stream: &mut CallStream) -> bool {
         let mut next = Some(first);
         while let Some(message) = next {
             match message {
@@ -239,18 +243,18 @@
         false
     }
 
-    /// Takes in what has come; an error where it is no answer to a call.
-    async fn handle_answers(&self, stream: &mut CallStream) -> Result<(), Error> {
-        while let Some((sent_call, outcome, total)) = stream.next_answer()? {
+    /// Decodes the received data and reports the results of calls. Fails if the data is not a reply to a pending call.
+    async fn handle_replies(&self, stream: &mut CallStream) -> Result<(), Error> {
+        while let Some((sent_call, outcome, total)) = stream.next_reply()? {
             if let Some(call) = sent_call.call {
                 self.report(call, outcome, total).await;
             }
         }
-        stream.check_rest()
+        stream.check_partial_line()
     }
 
-    /// Ends the calls whose time is over; returns whether the deadline is set anew.
-    async fn end_overdue(
+    /// Ends the calls that have timed out. Returns whether the deadline was set again.
+    async fn end_timed_out_calls(
         &self,
         stream: &mut CallStream,
         deadline: Pin<&mut Sleep>,
@@ -259,8 +263,11 @@
         while let Some(call) = stream.take_call_before(now.saturating_sub(self.timeout)) {
             self.report(call, Outcome::TimedOut, 0.0).await;
         }
-        if stream.silent_at().is_some_and(|at| at <= now) {
-            return Err(Error::new(ErrorKind::TimedOut, "silent"));
+        if stream.silence_deadline().is_some_and(|at| at <= now) {
+            return Err(Error::new(
+                ErrorKind::TimedOut,
+                "no reply within the time limit",
+            ));
         }
         let next = stream.next_deadline(self.timeout);
         if let Some(at) = next {
--- a/crates/gateway/src/peer_admissions.rs
+++ b/crates/gateway/src/peer_admissions.rs
@@ -1,11 +1,12 @@
-//! What the other gateways say they admitted: the part of a quota's count that a split, a lost store or a
-//! silent counter hides. No I/O; the module actor carries it out.
+//! Units that the gateways report to each other as admitted. The reports cover the part of a quota's use that the shared
+//! counter does not show during a network partition, after a loss of its store, or while it does not reply. This module
+//! does no I/O; the dispatcher sends and receives the reports.
 //!
-//! Every [`REPORT_INTERVAL`] a gateway reports to its peers what it has admitted under each counter name that changed,
-//! whether or not the counter was asked about it. What the peers report is handed to the module: as a lower
-//! bound of the others' use, and, while every peer is heard, as all of it up to the oldest report. In calm
-//! times the reports trail the counter and change nothing. Off unless the configuration sets `witness`
-//! (docs/counter-failure.md).
+//! Every [`REPORT_INTERVAL`] a gateway reports to its peers the units admitted under each counter name for which they
+//! have changed, whether or not the counter was called for that name. The reports of the peers are passed to the
+//! decision module: as a lower bound of the use by other gateways and, as long as every peer reports, as the whole use
+//! up to the time of the oldest report. In normal operation the reports lag behind the counter and have no effect. The
+//! reports are off unless the configuration sets `witness` (docs/counter-failure.md).
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::hash::Hasher;
@@ -14,66 +15,71 @@
 use damsonbeam::interface::{Admitted, GatewayId};
 use fnv::FnvHasher;
 
-/// Reports go out this often.
+/// Interval between reports.
 pub const REPORT_INTERVAL: Duration = Duration::from_millis(200);
-/// A changed name is reported so many times: datagrams get lost.
+/// Number of reports that include a changed name, because datagrams may be lost.
 pub const REPORT_REPEATS: u8 = 3;
-/// Who was not heard for this long is silent: as many reports in a row are seldom lost.
+/// Time without reports after which a peer counts as silent; losing [`REPORT_REPEATS`] reports in a row is rare.
 pub const SILENCE_TIMEOUT: Duration = REPORT_INTERVAL.saturating_mul(REPORT_REPEATS as u32);
-/// A peer's report counts for this long: longer than any name lives on the counter.
+/// Time for which a report of a peer is valid, longer than the counter keeps any name.
 pub const REPORT_LIFETIME: Duration = Duration::from_secs(60);
-/// Names are looked through for forgotten ones this often.
+/// Interval at which names without valid reports are removed.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(10);
-/// The first byte of a report; the module's own datagrams are six bytes, and reports never are.
+/// First byte of a report. Other datagrams of the decision module have a length of six bytes, which no report has.
 pub const REPORT_TAG: u8 = 0xd8;
-/// One name's entry: its hash and the units admitted, as f32.
+/// Size of the entry for one name: the hash of the name and the admitted units as `f32`.
 pub const ENTRY_BYTES: usize = 12;
 
-fn hash(name: &str) -> u64 {
+fn hash_name(name: &str) -> u64 {
     let mut hasher = FnvHasher::default();
     hasher.write(name.as_bytes());
     hasher.finish()
 }
 
-/// What this gateway reports under a name.
+/// Own report under one name.
 #[derive(Default)]
 struct OwnReport {
     units: f32,
-    /// How many times it still has to go.
+    /// Number of reports that still have to include the name.
     repeats_left: u8,
 }
 
-/// What another gateway reported under a name.
+/// Report of a peer under one name.
 struct PeerReport {
     units: f64,
-    at: Duration,
+    received_at: Duration,
 }
 
 impl PeerReport {
-    fn counts(&self, now: Duration) -> bool {
-        now < self.at + REPORT_LIFETIME
+    fn is_valid(&self, now: Duration) -> bool {
+        now < self.received_at + REPORT_LIFETIME
     }
 }
 
-/// What the other gateways say they admitted, and what was reported to them.
+/// Reports received from and sent to the other gateways.
 #[derive(Default)]
 pub struct PeerAdmissions {
-    /// By the name's hash.
+    /// Own reports by name hash.
     own: HashMap<u64, OwnReport>,
-    /// By the name's hash and the gateway's number.
+    /// Reports of the peers by name hash and gateway number.
     peers: HashMap<u64, BTreeMap<u32, PeerReport>>,
-    /// When each gateway was heard last.
+    /// When each peer last sent a report, by gateway number.
     last_heard: BTreeMap<u32, Duration>,
+    /// When names without valid reports were last removed.
     swept_at: Duration,
 }
 
 impl PeerAdmissions {
-    /// Datagrams of `max_bytes` bytes at most with what changed of late; one at least, for silence tells too.
+    /// Returns the datagrams of the next report, of at most `max_bytes` bytes each, with the names that changed
+    /// recently.
+    ///
+    /// Returns at least one datagram, without entries if nothing changed, because the peers detect a silent gateway by
+    /// missing reports.
     pub fn report(&mut self, admitted: &[Admitted], max_bytes: usize) -> Vec<Vec<u8>> {
         let mut entries = Vec::new();
         let mut names = HashSet::new();
         for admitted in admitted {
-            let name_hash = hash(&admitted.name);
+            let name_hash = hash_name(&admitted.name);
             let units = admitted.units as f32;
             names.insert(name_hash);
             let own = self.own.entry(name_hash).or_default();
@@ -86,7 +92,7 @@
                 entries.push(encode_entry(name_hash, units));
             }
         }
-        // A name that is asked about no more has left every window.
+        // A name that is not passed in any more is in no quota window.
         self.own.retain(|name_hash, _| names.contains(name_hash));
         if entries.is_empty() {
             return vec![vec![REPORT_TAG]];
@@ -98,7 +104,7 @@
             .collect()
     }
 
-    /// Takes another gateway's report; `false` where the bytes are none.
+    /// Records the report of a peer. Returns `false` if the bytes are not a report.
     pub fn record_report(&mut self, from: u32, bytes: &[u8], now: Duration) -> bool {
         let Some((&REPORT_TAG, entries)) = bytes.split_first() else {
             return false;
@@ -109,7 +115,10 @@
         for entry in entries {
             let (name_hash, units) = decode_entry(entry);
             if units.is_finite() && units >= 0.0 {
-                let report = PeerReport { units, at: now };
+                let report = PeerReport {
+                    units,
+                    received_at: now,
+                };
                 let reports = self.peers.entry(name_hash).or_default();
                 reports.insert(from, report);
             }
@@ -118,20 +127,20 @@
         if now >= self.swept_at + SWEEP_INTERVAL {
             self.swept_at = now;
             self.peers
-                .retain(|_, reports| reports.values().any(|report| report.counts(now)));
+                .retain(|_, reports| reports.values().any(|report| report.is_valid(now)));
         }
         true
     }
 
-    /// What the other gateways say they admitted under a name.
+    /// Returns the sum of the units that the peers have reported under a name.
     pub fn admitted_by_peers(&self, name: &str, now: Duration) -> f64 {
-        let reports = self.peers.get(&hash(name)).into_iter();
+        let reports = self.peers.get(&hash_name(name)).into_iter();
         let reports = reports.flat_map(BTreeMap::values);
-        let counted = reports.filter(|report| report.counts(now));
-        counted.map(|report| report.units).sum()
+        let valid = reports.filter(|report| report.is_valid(now));
+        valid.map(|report| report.units).sum()
     }
 
-    /// Up to when every one of these gateways has reported what it admitted; `None` where one is silent.
+    /// Returns the time up to which all of `peers` have reported; `None` if one of them is silent or `peers` is empty.
     pub fn reported_until(&self, peers: &[GatewayId], now: Duration) -> Option<Duration> {
         let last_heard = |peer: &GatewayId| self.last_heard.get(&peer.0).copied();
         let times = peers
@@ -142,7 +151,7 @@
     }
 }
 
-/// One name's entry: its hash, and the units.
+/// Encodes the entry for one name.
 fn encode_entry(name_hash: u64, units: f32) -> Vec<u8> {
     [&name_hash.to_be_bytes()[..], &units.to_be_bytes()].concat()
 }
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -1,4 +1,4 @@
-//! The other gateways: short datagrams, late or never.
+//! Exchange of short datagrams with the other gateways. Datagrams may be late or lost.
 
 use std::net::SocketAddr;
 
@@ -11,52 +11,52 @@
 use crate::messages::{ToDispatcher, ToPeers};
 use crate::sizes::DATAGRAM;
 
-/// The actor that exchanges datagrams with the other gateways.
+/// Actor that exchanges datagrams with the other gateways.
 pub struct Peers {
-    /// Where they call.
+    /// Socket on which this gateway sends and receives datagrams.
     pub socket: UdpSocket,
-    /// The gateways, by their numbers.
+    /// Addresses of the gateways, indexed by gateway number.
     pub peers: Vec<SocketAddr>,
-    /// Where all others are reached at once.
+    /// Address at which a datagram reaches all other gateways, if there is one.
     pub all: Option<SocketAddr>,
-    /// Where their messages go.
+    /// Receives the messages of the other gateways.
     pub dispatcher: mpsc::Sender<ToDispatcher>,
-    /// What is to be sent.
+    /// Datagrams to send.
     pub mailbox: mpsc::Receiver<ToPeers>,
 }
 
 impl Peers {
-    /// Two processes of one gateway may listen at a time, while the one follows the other.
+    /// Binds the socket with `SO_REUSEADDR`, because during a handover two processes of a gateway use the same address.
     ///
     /// # Errors
-    /// Where the address can't be bound.
-    pub fn bind(at: SocketAddr) -> std::io::Result<UdpSocket> {
-        let socket = Socket::new(Domain::for_address(at), Type::DGRAM, None)?;
+    /// Fails if the address cannot be bound.
+    pub fn bind(address: SocketAddr) -> std::io::Result<UdpSocket> {
+        let socket = Socket::new(Domain::for_address(address), Type::DGRAM, None)?;
         socket.set_reuse_address(true)?;
         socket.set_nonblocking(true)?;
-        socket.bind(&at.into())?;
+        socket.bind(&address.into())?;
         UdpSocket::from_std(socket.into())
     }
 
-    /// Runs until nobody sends any more.
+    /// Runs until the mailbox is closed or the dispatcher has ended.
     pub async fn run(mut self) {
         let mut bytes = [0; DATAGRAM + 1];
         loop {
             tokio::select! {
                 message = self.mailbox.recv() => {
                     let Some(ToPeers { to, bytes }) = message else { return };
-                    let at = match to {
-                        Some(g) => self.peers.get(g.0 as usize).copied(),
+                    let address = match to {
+                        Some(gateway) => self.peers.get(gateway.0 as usize).copied(),
                         None => self.all,
                     };
                     if bytes.len() > DATAGRAM {
-                        log!(warn, "peer-message-too-long", "{} bytes, not sent", bytes.len());
-                    } else if let Some(at) = at {
-                        self.socket.send_to(&bytes, at).await.ok();
+                        log!(warn, "peer-message-too-long", "datagram of {} bytes exceeds the limit and was not sent", bytes.len());
+                    } else if let Some(address) = address {
+                        self.socket.send_to(&bytes, address).await.ok();
                     }
                 }
                 Ok((n, sender)) = self.socket.recv_from(&mut bytes) => {
-                    let from = self.peers.iter().position(|p| *p == sender);
+                    let from = self.peers.iter().position(|peer| *peer == sender);
                     if let Some(from) = from.filter(|_| n <= DATAGRAM) {
                         let (from, bytes) = (GatewayId(from as u32), bytes[..n].to_vec());
                         if self.dispatcher.send(ToDispatcher::PeerMessage { from, bytes }).await.is_err() {
--- a/crates/gateway/src/platform_protocol.rs
+++ b/crates/gateway/src/platform_protocol.rs
@@ -1,5 +1,5 @@
-//! What the clients of the deployments in service speak: tariffs and subscribers in headers, by
-//! docs/configuration.md and the platform's protocol.
+//! Protocol of the clients in the deployments in service: tariff and subscriber are sent in headers, as described in
+//! docs/configuration.md and the protocol of the platform.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -25,19 +25,19 @@
 use crate::log::log;
 use crate::messages::{Answer, ToDispatcher};
 
-/// A client that says it waits longer is not believed.
-const MAX_WAIT: Duration = Duration::from_secs(24 * 3600);
-/// Bytes of an invocation's name at most.
+/// Longest accepted time limit of a client; a request with a longer one is rejected.
+const MAX_TIME_LEFT: Duration = Duration::from_secs(24 * 3600);
+/// Maximum length of an invocation name, in bytes.
 const MAX_NAME_BYTES: usize = 64;
 
-/// How an operation is asked for.
+/// An operation as needed to decode its requests.
 struct Operation {
     operation: OperationId,
     repeat: Repeat,
     integration_timeout: Duration,
 }
 
-/// What requests are decoded by: the settings' names and bounds.
+/// Names and limits from the settings, prepared for decoding requests.
 struct DecodingTables {
     operations: HashMap<Arc<str>, Operation>,
     plans: HashMap<Arc<str>, PlanId>,
@@ -47,11 +47,11 @@
 
 impl DecodingTables {
     fn new(settings: &Settings) -> Self {
-        let operation = |id: &OperationId| {
-            let o = &settings.operations[id.0];
-            let (repeat, integration_timeout) = (o.repeat, o.integration_timeout);
+        let entry = |id: &OperationId| {
+            let operation = &settings.operations[id.0];
+            let (repeat, integration_timeout) = (operation.repeat, operation.integration_timeout);
             (
-                o.name.clone(),
+                operation.name.clone(),
                 Operation {
                     operation: *id,
                     repeat,
@@ -60,12 +60,12 @@
             )
         };
         DecodingTables {
-            operations: settings.in_force.operations.iter().map(operation).collect(),
+            operations: settings.in_force.operations.iter().map(entry).collect(),
             plans: settings
                 .in_force
                 .plans
                 .iter()
-                .map(|p| (settings.plans[p.0].name.clone(), *p))
+                .map(|plan| (settings.plans[plan.0].name.clone(), *plan))
                 .collect(),
             max_units: if settings.max_units > 0.0 {
                 settings.max_units
@@ -77,7 +77,7 @@
     }
 }
 
-/// The protocol, by the settings in force.
+/// The client protocol with the current settings.
 pub struct PlatformRequests {
     tables: RefCell<Rc<DecodingTables>>,
     figures: Figures,
@@ -85,7 +85,7 @@
 }
 
 impl PlatformRequests {
-    /// The protocol by these settings; requests go to that dispatcher.
+    /// Creates the protocol with these settings; requests are sent to `dispatcher`.
     pub fn new(
         settings: &Settings,
         figures: &Figures,
@@ -94,7 +94,7 @@
         settings
             .operations
             .iter()
-            .for_each(|o| figures.name(&o.name));
+            .for_each(|operation| figures.name(&operation.name));
         PlatformRequests {
             tables: RefCell::new(Rc::new(DecodingTables::new(settings))),
             figures: figures.clone(),
@@ -102,17 +102,17 @@
         }
     }
 
-    /// New settings: requests are decoded by them from now on. The module must have them first.
+    /// Decodes requests by new settings from now on. The dispatcher must have received these settings before.
     pub fn set_settings(&self, settings: &Settings) {
         settings
             .operations
             .iter()
-            .for_each(|o| self.figures.name(&o.name));
+            .for_each(|operation| self.figures.name(&operation.name));
         *self.tables.borrow_mut() = Rc::new(DecodingTables::new(settings));
     }
 
-    /// What a request says, if all of it can be used.
-    fn read(
+    /// Decodes a request; returns `None` if any part of it is invalid.
+    fn decode_request(
         &self,
         id: InvocationId,
         method: &Method,
@@ -127,8 +127,8 @@
         let time_left_ms = single_header(headers, TIME_LEFT.as_str())?;
         let time_left = Duration::from_millis(parse_plain_number(time_left_ms)?);
         let weight = Weight::parse(single_header(headers, "x-weight")?)?;
-        let has_name = (1..=MAX_NAME_BYTES).contains(&name.len());
-        if !has_name || !tables.allows(&weight) || time_left > MAX_WAIT {
+        let is_name_valid = (1..=MAX_NAME_BYTES).contains(&name.len());
+        if !is_name_valid || !tables.allows(&weight) || time_left > MAX_TIME_LEFT {
             return None;
         }
         let invocation = Invocation {
@@ -151,7 +151,7 @@
             repeatable: Repeatable::by(operation.repeat),
             name: name.to_owned(),
             context: None,
-            // No client waits longer than its operation's time, whatever it says.
+            // The timeout of the operation limits the time that the client states.
             time_left: time_left.min(operation.integration_timeout),
             headers: forwarded,
             dispatcher: self.dispatcher.clone(),
@@ -160,7 +160,7 @@
 }
 
 impl DecodingTables {
-    /// The operation that a request asks for, where its method suits.
+    /// Returns the requested operation if the method is allowed for it.
     fn operation(&self, method: &Method, uri: &hyper::Uri) -> Option<&Operation> {
         if uri.scheme().is_some() || uri.authority().is_some() {
             return None;
@@ -172,7 +172,7 @@
         (is_allowed && is_read == (method == Method::GET)).then_some(operation)
     }
 
-    /// Whether a weight keeps to the settings' bounds.
+    /// Returns whether a weight is within the limits of the settings.
     fn allows(&self, weight: &Weight) -> bool {
         let has_gateways =
             (1..=self.gateways).contains(&weight.spread) && weight.first < self.gateways;
@@ -180,11 +180,12 @@
     }
 }
 
-/// What `x-weight` says.
+/// Content of the `x-weight` header.
 struct Weight {
     units: f64,
-    /// Gateways at which the customer's invocations come in, and the first of them.
+    /// Number of gateways that receive the invocations of the customer.
     spread: u32,
+    /// First of these gateways.
     first: u32,
 }
 
@@ -193,7 +194,7 @@
         let (mut units, mut spread, mut first) = (None, None, None);
         for field in text.split(',') {
             let (name, value) = field.trim().split_once('=')?;
-            // Said twice, another may read it the other way.
+            // A repeated field is rejected, because another reader of the header may use the other value.
             let is_repeated = match name {
                 "units" => units.replace(parse_plain_number(value)?).is_some(),
                 "spread" => spread.replace(parse_plain_number(value)?).is_some(),
@@ -212,14 +213,14 @@
     }
 }
 
-/// Sixteen hexadecimal digits below 2^33.
+/// Parses a customer id: 16 hexadecimal digits with a value below 2^33.
 fn customer_id(text: &str) -> Option<CustomerId> {
     const DIGITS: usize = 16;
     const LIMIT: u64 = 1 << 33;
     let is_hex = text.len() == DIGITS && text.bytes().all(|byte| byte.is_ascii_hexdigit());
     let number = u64::from_str_radix(text, 16).ok()?;
-    let is_known = is_hex && number < LIMIT;
-    is_known.then(|| CustomerId(text.to_ascii_lowercase().into()))
+    let is_valid = is_hex && number < LIMIT;
+    is_valid.then(|| CustomerId(text.to_ascii_lowercase().into()))
 }
 
 impl ClientProtocol for PlatformRequests {
@@ -244,7 +245,7 @@
         invocation_id: InvocationId,
         head: &Parts,
     ) -> Result<DecodedRequest, Rejection> {
-        self.read(invocation_id, &head.method, &head.uri, &head.headers)
+        self.decode_request(invocation_id, &head.method, &head.uri, &head.headers)
             .ok_or_else(|| {
                 log!(warn, "invocation-malformed", "{} {}", head.method, head.uri);
                 rejection(StatusCode::BAD_REQUEST)
@@ -273,15 +274,18 @@
     }
 }
 
-/// A header that is there once: of two, another on the way may take the other.
+/// Returns the value of a header that is present exactly once. A repeated header is rejected, because another reader of
+/// the request may use the other value.
 pub fn single_header<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     let mut all = headers.get_all(name).iter();
     let value = all.next()?.to_str().ok()?.trim();
     all.next().is_none().then_some(value)
 }
 
-/// Plain decimal: no sign, no exponent, no `inf`.
+/// Parses a plain decimal number: without sign, exponent or `inf`.
 fn parse_plain_number<T: FromStr>(text: &str) -> Option<T> {
-    let plain = text.bytes().all(|b| b.is_ascii_digit() || b == b'.');
-    text.parse().ok().filter(|_| plain)
+    let is_plain = text
+        .bytes()
+        .all(|byte| byte.is_ascii_digit() || byte == b'.');
+    text.parse().ok().filter(|_| is_plain)
 }
--- a/crates/gateway/tests/connection_admission.rs
+++ b/crates/gateway/tests/connection_admission.rs
@@ -1,9 +1,9 @@
-//! Which connections are taken, and which responses end theirs.
+//! Checks which connections are accepted and which responses close their connections.
 
 use std::time::Duration;
 
 use damsonbeam_gateway::connection_admission::{
-    Admit, ConnectionAdmission, Evictable, MAX_BEYOND_CAP, TURNOVER_TIME,
+    AdmissionDecision, ConnectionAdmission, Evictable, MAX_OVER_LIMIT, TURNOVER_TIME,
 };
 
 fn ms(n: u64) -> Duration {
@@ -11,56 +11,70 @@
 }
 
 #[test]
-fn places_are_given_while_there_are_some_then_idle_ones_are_evicted() {
-    let mut door = ConnectionAdmission::new(ms(0));
-    assert_eq!(door.next(99, 100, Evictable::Now, ms(0)), Admit::Accept);
-    assert_eq!(door.next(100, 100, Evictable::Now, ms(0)), Admit::Evict);
+fn connections_are_accepted_below_the_limit_and_evict_idle_ones_at_the_limit() {
+    let mut admission = ConnectionAdmission::new(ms(0));
     assert_eq!(
-        door.next(100, 100, Evictable::Soon(ms(9)), ms(0)),
-        Admit::Wait(ms(9))
+        admission.decide(99, 100, Evictable::Now, ms(0)),
+        AdmissionDecision::Accept
     );
-    assert_eq!(door.next(100, 100, Evictable::None, ms(0)), Admit::Refuse);
     assert_eq!(
-        door.next(100 + MAX_BEYOND_CAP, 100, Evictable::None, ms(0)),
-        Admit::Wait(TURNOVER_TIME)
+        admission.decide(100, 100, Evictable::Now, ms(0)),
+        AdmissionDecision::Evict
+    );
+    assert_eq!(
+        admission.decide(100, 100, Evictable::Soon(ms(9)), ms(0)),
+        AdmissionDecision::Wait(ms(9))
+    );
+    assert_eq!(
+        admission.decide(100, 100, Evictable::None, ms(0)),
+        AdmissionDecision::Refuse
+    );
+    assert_eq!(
+        admission.decide(100 + MAX_OVER_LIMIT, 100, Evictable::None, ms(0)),
+        AdmissionDecision::Wait(TURNOVER_TIME)
     );
 }
 
-/// The gateway was spent on refusals: each took an accept, an answer and a close (issue 23).
+/// Guards against a gateway that spends its CPU time on refusals, each of which takes an accept, a response and a close
+/// (issue 23).
 #[test]
-fn however_many_stand_outside_those_turned_away_keep_to_the_pace() {
-    let (mut door, mut away) = (ConnectionAdmission::new(ms(0)), 0);
+fn refusals_stay_within_their_rate_limit_under_overload() {
+    let (mut admission, mut refused) = (ConnectionAdmission::new(ms(0)), 0);
     for n in 0..22_000 {
-        match door.next(595, 595, Evictable::None, ms(n / 10)) {
-            Admit::Refuse => away += 1,
-            Admit::Wait(wait) => assert!(wait <= ms(4), "{wait:?} of a pace of 270 a second"),
+        match admission.decide(595, 595, Evictable::None, ms(n / 10)) {
+            AdmissionDecision::Refuse => refused += 1,
+            AdmissionDecision::Wait(wait) => assert!(
+                wait <= ms(4),
+                "wait of {wait:?} at a rate of 270 per second"
+            ),
             other => panic!("{other:?}"),
         }
     }
     assert!(
-        (595..=595 + MAX_BEYOND_CAP).contains(&away),
-        "{away} in {TURNOVER_TIME:?}"
+        (595..=595 + MAX_OVER_LIMIT).contains(&refused),
+        "{refused} refused in {TURNOVER_TIME:?}"
     );
 }
 
-/// With a third of the cap in use every answer ended its connection: each next invocation paid for another.
+/// Guards against responses that all close their connections once a third of the limit is in use, so that each further
+/// invocation needs a new connection.
 #[test]
-fn answers_end_connections_at_the_pace_while_somebody_stands_outside_and_none_else() {
-    let mut door = ConnectionAdmission::new(ms(0));
+fn responses_close_connections_at_a_limited_rate_and_only_while_clients_wait() {
+    let mut admission = ConnectionAdmission::new(ms(0));
     assert!(
-        !door.closes_after_response(595, ms(0)),
-        "nobody came in vain"
+        !admission.closes_after_response(595, ms(0)),
+        "no connection was refused"
     );
-    door.record_refused(ms(0));
-    let ended = (0..22_000)
-        .filter(|n| door.closes_after_response(595, ms(n / 10)))
+    admission.record_refused(ms(0));
+    let closed = (0..22_000)
+        .filter(|n| admission.closes_after_response(595, ms(n / 10)))
         .count();
     assert!(
-        (595..=595 + MAX_BEYOND_CAP).contains(&ended),
-        "{ended} in {TURNOVER_TIME:?}"
+        (595..=595 + MAX_OVER_LIMIT).contains(&closed),
+        "{closed} closed in {TURNOVER_TIME:?}"
     );
     assert!(
-        !door.closes_after_response(595, TURNOVER_TIME),
-        "nobody came since"
+        !admission.closes_after_response(595, TURNOVER_TIME),
+        "no connection was refused since"
     );
 }
--- a/crates/gateway/tests/peer_admissions.rs
+++ b/crates/gateway/tests/peer_admissions.rs
@@ -1,4 +1,4 @@
-//! What gateways report to each other of what they admitted.
+//! Checks the reports of admitted units between gateways.
 
 use std::time::Duration;
 
@@ -22,76 +22,91 @@
 }
 
 #[test]
-fn what_the_peers_admitted_is_summed_and_old_reports_stop_counting() {
+fn reports_of_peers_are_summed_until_they_expire() {
     let (mut a, mut b, mut c) = (
         PeerAdmissions::default(),
         PeerAdmissions::default(),
         PeerAdmissions::default(),
     );
-    for (n, (w, units)) in [(&mut b, 5.0), (&mut c, 2.5)].into_iter().enumerate() {
-        for d in w.report(&[admitted("7/101", units)], 256) {
-            assert!(a.record_report(n as u32 + 1, &d, s(5)));
+    for (n, (peer, units)) in [(&mut b, 5.0), (&mut c, 2.5)].into_iter().enumerate() {
+        for datagram in peer.report(&[admitted("7/101", units)], 256) {
+            assert!(a.record_report(n as u32 + 1, &datagram, s(5)));
         }
     }
     assert_eq!(a.admitted_by_peers("7/101", s(5)), 7.5);
     assert_eq!(a.admitted_by_peers("8/101", s(5)), 0.0, "another name");
-    // Said anew, it takes the place of what was said: an invocation was taken back.
+    // A newer report replaces the older one, also with fewer units, as after an invocation was taken back.
     b.report(&[admitted("7/101", 4.0)], 256)
         .iter()
-        .for_each(|d| assert!(a.record_report(1, d, s(6))));
+        .for_each(|datagram| assert!(a.record_report(1, datagram, s(6))));
     assert_eq!(a.admitted_by_peers("7/101", s(6)), 6.5);
     assert_eq!(a.admitted_by_peers("7/101", s(5) + REPORT_LIFETIME), 4.0);
-    let garbled = [
+    let invalid_entry = [
         &[REPORT_TAG][..],
         &7u64.to_be_bytes(),
         &f32::NAN.to_be_bytes(),
     ]
     .concat();
-    assert!(a.record_report(1, &garbled, s(6)));
-    assert_eq!(a.admitted_by_peers("7/101", s(6)), 6.5, "no number");
+    assert!(a.record_report(1, &invalid_entry, s(6)));
+    assert_eq!(
+        a.admitted_by_peers("7/101", s(6)),
+        6.5,
+        "an entry that is not a number is ignored"
+    );
 }
 
 #[test]
-fn all_have_told_only_while_each_peer_is_heard() {
-    let (mut w, peers) = (PeerAdmissions::default(), [GatewayId(1), GatewayId(2)]);
-    assert_eq!(w.reported_until(&peers, s(1)), None);
-    w.record_report(1, &[REPORT_TAG], s(1));
-    assert_eq!(w.reported_until(&peers, s(1)), None, "one was never heard");
-    w.record_report(2, &[REPORT_TAG], s(1) + REPORT_INTERVAL);
+fn reported_until_returns_the_oldest_report_only_while_no_peer_is_silent() {
+    let (mut gateway, peers) = (PeerAdmissions::default(), [GatewayId(1), GatewayId(2)]);
+    assert_eq!(gateway.reported_until(&peers, s(1)), None);
+    gateway.record_report(1, &[REPORT_TAG], s(1));
+    assert_eq!(
+        gateway.reported_until(&peers, s(1)),
+        None,
+        "one peer has never reported"
+    );
+    gateway.record_report(2, &[REPORT_TAG], s(1) + REPORT_INTERVAL);
     assert_eq!(
-        w.reported_until(&peers, s(1) + REPORT_INTERVAL),
+        gateway.reported_until(&peers, s(1) + REPORT_INTERVAL),
         Some(s(1)),
-        "up to the older word"
+        "the time of the older report"
     );
     assert_eq!(
-        w.reported_until(&peers, s(1) + SILENCE_TIMEOUT),
+        gateway.reported_until(&peers, s(1) + SILENCE_TIMEOUT),
         None,
-        "one has fallen silent"
+        "one peer is silent"
     );
     assert_eq!(
-        w.reported_until(&[], s(1)),
+        gateway.reported_until(&[], s(1)),
         None,
-        "a lone gateway has nobody to hear"
+        "a gateway without peers receives no reports"
     );
 }
 
 #[test]
-fn reports_fit_a_datagram_are_repeated_and_end() {
-    let mut w = PeerAdmissions::default();
+fn changed_names_are_reported_several_times_in_datagrams_within_the_size_limit() {
+    let mut gateway = PeerAdmissions::default();
     let all: Vec<_> = (0..50).map(|i| admitted(&format!("{i}/9"), 1.0)).collect();
     for _ in 0..REPORT_REPEATS {
-        let sent = w.report(&all, 256);
-        assert!(sent.iter().all(|d| d.len() <= 256 && d[0] == REPORT_TAG));
+        let sent = gateway.report(&all, 256);
+        assert!(
+            sent.iter()
+                .all(|datagram| datagram.len() <= 256 && datagram[0] == REPORT_TAG)
+        );
         assert_eq!(
             sent.iter()
-                .map(|d| (d.len() - 1) / ENTRY_BYTES)
+                .map(|datagram| (datagram.len() - 1) / ENTRY_BYTES)
                 .sum::<usize>(),
             50
         );
     }
-    assert_eq!(w.report(&all, 256), [[REPORT_TAG]], "nothing changed since");
+    assert_eq!(
+        gateway.report(&all, 256),
+        [[REPORT_TAG]],
+        "nothing has changed since"
+    );
     assert!(
-        !w.record_report(0, &[0, 1, 2, 3, 4, 5], s(0)),
-        "the module's own datagrams are not reports"
+        !gateway.record_report(0, &[0, 1, 2, 3, 4, 5], s(0)),
+        "other datagrams of the decision module are not reports"
     );
 }
