--- a/crates/gateway/src/backend_list/name_table.rs
+++ b/crates/gateway/src/backend_list/name_table.rs
@@ -16,16 +16,16 @@
 /// Numeric ids for the names that the discovery service uses.
 pub struct NameTable {
     zones: Vec<String>,
-    kinds: Vec<String>,
+    machine_types: Vec<String>,
     ids: HashMap<String, BackendId>,
 }
 
 impl NameTable {
     /// Creates a table with the zones and machine types of the settings, in their order.
-    pub fn new(zones: Vec<String>, kinds: Vec<String>) -> Self {
+    pub fn new(zones: Vec<String>, machine_types: Vec<String>) -> Self {
         NameTable {
             zones,
-            kinds,
+            machine_types,
             ids: HashMap::new(),
         }
     }
@@ -83,7 +83,7 @@
                 _ => Health::Draining,
             },
             since: Duration::from_millis(member.up_since_ms),
-            kind: position(&self.kinds, &member.flavor),
+            kind: position(&self.machine_types, &member.flavor),
             zone: position(&self.zones, &member.locality),
             cell: member.cell,
             weight: member.size,
--- a/crates/gateway/src/backends/connection_pools.rs
+++ b/crates/gateway/src/backends/connection_pools.rs
@@ -77,12 +77,12 @@
     /// its own.
     pub(super) fn pool(&self, name: &str) -> Rc<Pool> {
         let mut pools = self.pools.borrow_mut();
-        pools.retain(|p| p.1.strong_count() > 0);
-        let known = pools
+        pools.retain(|entry| entry.1.strong_count() > 0);
+        let existing = pools
             .iter()
-            .find(|p| !name.is_empty() && p.0 == name)
-            .and_then(|p| p.1.upgrade());
-        known.unwrap_or_else(|| {
+            .find(|entry| !name.is_empty() && entry.0 == name)
+            .and_then(|entry| entry.1.upgrade());
+        existing.unwrap_or_else(|| {
             let pool = Rc::<Pool>::default();
             pools.push((name.to_owned(), Rc::downgrade(&pool)));
             pool
--- a/crates/gateway/src/backends/protocol.rs
+++ b/crates/gateway/src/backends/protocol.rs
@@ -21,8 +21,8 @@
 pub trait BackendProtocol {
     /// Adds the headers that the gateway itself sends with a request to a backend.
     fn add_request_headers(&self, headers: &mut HeaderMap, time_left: Duration, backend: &str);
-    /// Returns what a response says about the execution of its request; `asked` are the headers of the request.
-    fn verdict(&self, asked: &HeaderMap, status: StatusCode, headers: &HeaderMap) -> Verdict;
+    /// Returns what a response says about the execution of its request; `request` are the headers of the request.
+    fn verdict(&self, request: &HeaderMap, status: StatusCode, headers: &HeaderMap) -> Verdict;
     /// Returns whether a response may be forwarded to the client if no better response arrives.
     fn may_forward(&self, verdict: Verdict, status: StatusCode, headers: &HeaderMap) -> bool;
     /// Removes the response headers that are not meant for the client.
@@ -40,7 +40,7 @@
     }
 
     fn verdict(&self, _: &HeaderMap, status: StatusCode, headers: &HeaderMap) -> Verdict {
-        let unprocessed = headers.get(&UNPROCESSED).is_some_and(|v| v == "1");
+        let unprocessed = headers.get(&UNPROCESSED).is_some_and(|value| value == "1");
         match status {
             StatusCode::OK => Verdict::Succeeded,
             StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if unprocessed => {
@@ -74,9 +74,9 @@
         .to_str()
         .unwrap_or("")
         .split(',')
-        .filter_map(|f| f.trim().split_once('='))
+        .filter_map(|field| field.trim().split_once('='))
         .collect();
-    let value = |name: &String| fields.iter().find(|f| f.0 == name)?.1.parse().ok();
+    let value = |name: &String| fields.iter().find(|field| field.0 == name)?.1.parse().ok();
     names
         .iter()
         .map(value)
--- a/crates/gateway/src/bodies.rs
+++ b/crates/gateway/src/bodies.rs
@@ -150,7 +150,7 @@
                 on_complete();
             }
         }
-        Poll::Ready(frame.map(|f| f.map_err(Error::from)))
+        Poll::Ready(frame.map(|frame| frame.map_err(Error::from)))
     }
 }
 
@@ -213,7 +213,7 @@
     pub fn new(body: &RequestBody) -> Self {
         match body {
             RequestBody::Buffered(bytes) => {
-                let beginning = Some(bytes.clone()).filter(|b| !b.is_empty());
+                let beginning = Some(bytes.clone()).filter(|bytes| !bytes.is_empty());
                 Upload {
                     beginning,
                     rest: None,
@@ -263,7 +263,7 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        self.beginning.is_none() && self.rest.as_ref().is_none_or(|r| r.is_complete())
+        self.beginning.is_none() && self.rest.as_ref().is_none_or(|rest| rest.is_complete())
     }
 
     fn size_hint(&self) -> SizeHint {
@@ -305,7 +305,7 @@
         length: Option<u64>,
     ) -> (Self, oneshot::Receiver<StreamEnd>) {
         let (end_sender, end_receiver) = oneshot::channel();
-        let beginning = Some(beginning).filter(|f| !f.is_empty());
+        let beginning = Some(beginning).filter(|bytes| !bytes.is_empty());
         let (silence, on_end) = (SilenceTimer::default(), None);
         (
             StreamedResponse {
@@ -348,7 +348,7 @@
             Some(Ok(_)) => self.finished = self.rest.is_end_stream(),
             None => self.finished = true,
         }
-        Poll::Ready(frame.map(|f| f.map_err(Error::from)))
+        Poll::Ready(frame.map(|frame| frame.map_err(Error::from)))
     }
 
     fn is_end_stream(&self) -> bool {
@@ -408,7 +408,7 @@
     fn size_hint(&self) -> SizeHint {
         match self {
             ResponseBody::Buffered(bytes) => {
-                SizeHint::with_exact(bytes.as_ref().map_or(0, |b| b.len() as u64))
+                SizeHint::with_exact(bytes.as_ref().map_or(0, |bytes| bytes.len() as u64))
             }
             ResponseBody::Streamed(body) => body.size_hint(),
         }
--- a/crates/gateway/src/clients/services.rs
+++ b/crates/gateway/src/clients/services.rs
@@ -69,7 +69,7 @@
             });
             let must_close =
                 closes_connection || closes_connections || connection.request_body_unread.get();
-            if must_close || clients.closes_for_others(now) {
+            if must_close || clients.closes_for_waiting_clients(now) {
                 let close = HeaderValue::from_static("close");
                 response.headers_mut().insert(CONNECTION, close);
             }
@@ -126,7 +126,7 @@
     }
 
     /// Returns whether a response closes its connection to make room for waiting clients.
-    fn closes_for_others(&self, now: Duration) -> bool {
+    fn closes_for_waiting_clients(&self, now: Duration) -> bool {
         let mut admission = self.admission.borrow_mut();
         admission.closes_after_response(self.max_connections.get(), now)
     }
--- a/crates/gateway/src/counter_client/mod.rs
+++ b/crates/gateway/src/counter_client/mod.rs
@@ -186,8 +186,8 @@
         stream: &mut CallStream,
     ) -> Result<Disconnected, Error> {
         // Reads from the owned half, which skips the next `read` system call after a read that did not fill the buffer.
-        let (mut reading, socket) = socket.into_split();
-        stream.write(&socket)?;
+        let (mut reader, writer) = socket.into_split();
+        stream.write(&writer)?;
         let deadline = sleep_until(self.clock.instant(self.clock.now() + self.timeout));
         tokio::pin!(deadline);
         let mut timer_armed = true;
@@ -200,7 +200,7 @@
             }
             tokio::select! {
                 biased;
-                read = reading.read_buf(&mut stream.received) => {
+                read = reader.read_buf(&mut stream.received) => {
                     if read? == 0 {
                         return Err(ErrorKind::UnexpectedEof.into());
                     }
@@ -212,14 +212,14 @@
                         return Ok(Disconnected::ActorEnded);
                     };
                     moved = self.handle_messages(message, stream);
-                    stream.write(&socket)?;
+                    stream.write(&writer)?;
                     if !timer_armed {
                         timer_armed = true;
                         let at = self.clock.now() + self.timeout;
                         deadline.as_mut().reset(self.clock.instant(at));
                     }
                 }
-                _ = socket.writable(), if !stream.unwritten.is_empty() => stream.write(&socket)?,
+                _ = writer.writable(), if !stream.unwritten.is_empty() => stream.write(&writer)?,
                 () = &mut deadline, if timer_armed => {
                     timer_armed = self.end_timed_out_calls(stream, deadline.as_mut()).await?;
                 }
--- a/crates/gateway/src/peer_admissions.rs
+++ b/crates/gateway/src/peer_admissions.rs
@@ -60,9 +60,9 @@
 #[derive(Default)]
 pub struct PeerAdmissions {
     /// Own reports by name hash.
-    own: HashMap<u64, OwnReport>,
+    own_reports: HashMap<u64, OwnReport>,
     /// Reports of the peers by name hash and gateway number.
-    peers: HashMap<u64, BTreeMap<u32, PeerReport>>,
+    peer_reports: HashMap<u64, BTreeMap<u32, PeerReport>>,
     /// When each peer last sent a report, by gateway number.
     last_heard: BTreeMap<u32, Duration>,
     /// When names without valid reports were last removed.
@@ -82,7 +82,7 @@
             let name_hash = hash_name(&admitted.name);
             let units = admitted.units as f32;
             names.insert(name_hash);
-            let own = self.own.entry(name_hash).or_default();
+            let own = self.own_reports.entry(name_hash).or_default();
             if own.units != units {
                 own.units = units;
                 own.repeats_left = REPORT_REPEATS;
@@ -93,7 +93,8 @@
             }
         }
         // A name that is not passed in any more is in no quota window.
-        self.own.retain(|name_hash, _| names.contains(name_hash));
+        self.own_reports
+            .retain(|name_hash, _| names.contains(name_hash));
         if entries.is_empty() {
             return vec![vec![REPORT_TAG]];
         }
@@ -119,14 +120,14 @@
                     units,
                     received_at: now,
                 };
-                let reports = self.peers.entry(name_hash).or_default();
+                let reports = self.peer_reports.entry(name_hash).or_default();
                 reports.insert(from, report);
             }
         }
         self.last_heard.insert(from, now);
         if now >= self.swept_at + SWEEP_INTERVAL {
             self.swept_at = now;
-            self.peers
+            self.peer_reports
                 .retain(|_, reports| reports.values().any(|report| report.is_valid(now)));
         }
         true
@@ -134,7 +135,7 @@
 
     /// Returns the sum of the units that the peers have reported under a name.
     pub fn admitted_by_peers(&self, name: &str, now: Duration) -> f64 {
-        let reports = self.peers.get(&hash_name(name)).into_iter();
+        let reports = self.peer_reports.get(&hash_name(name)).into_iter();
         let reports = reports.flat_map(BTreeMap::values);
         let valid = reports.filter(|report| report.is_valid(now));
         valid.map(|report| report.units).sum()
--- a/crates/gateway/src/platform_protocol.rs
+++ b/crates/gateway/src/platform_protocol.rs
@@ -42,7 +42,7 @@
     operations: HashMap<Arc<str>, Operation>,
     plans: HashMap<Arc<str>, PlanId>,
     max_units: f64,
-    gateways: u32,
+    gateway_count: u32,
 }
 
 impl DecodingTables {
@@ -72,7 +72,7 @@
             } else {
                 f64::MAX
             },
-            gateways: settings.gateways,
+            gateway_count: settings.gateways,
         }
     }
 }
@@ -174,9 +174,9 @@
 
     /// Returns whether a weight is within the limits of the settings.
     fn allows(&self, weight: &Weight) -> bool {
-        let has_gateways =
-            (1..=self.gateways).contains(&weight.spread) && weight.first < self.gateways;
-        has_gateways && weight.units > 0.0 && weight.units <= self.max_units
+        let is_range_valid =
+            (1..=self.gateway_count).contains(&weight.spread) && weight.first < self.gateway_count;
+        is_range_valid && weight.units > 0.0 && weight.units <= self.max_units
     }
 }
 
