--- a/crates/registry/src/allotments.rs
+++ b/crates/registry/src/allotments.rs
@@ -1,4 +1,4 @@
-//! What passes between the coordinator and proxies about allotments.
+//! Messages about quota allotments between the coordinator and proxies.
 
 use std::time::Duration;
 
@@ -8,7 +8,8 @@
 use crate::registry::Registry;
 
 impl Registry {
-    /// A proxy reports what it holds. It goes by the term: another coordinator's is none of this one's business.
+    /// Records the allotments that a proxy reports to hold. A report addressed to the coordinator of another term is
+    /// ignored.
     pub(crate) fn receive_allotments(
         &mut self,
         link: LinkNumber,
@@ -26,7 +27,7 @@
         }
     }
 
-    /// A proxy has taken a change.
+    /// Records that a proxy has applied a change of its allotments.
     pub(crate) fn acknowledge_allotments(&mut self, link: LinkNumber, term: u64, revision: u64) {
         let Some(session) = self.proxies.get(link) else {
             return;
@@ -39,7 +40,7 @@
         }
     }
 
-    /// Divides the quotas anew when that is due, and sends the changes.
+    /// Divides the quotas again if due, and sends the changes to the proxies.
     pub(crate) fn send_allotments(&mut self, now: Duration) {
         let Some((term, changes)) = self.role.divide_quotas(&self.lease, now) else {
             return;
@@ -54,15 +55,15 @@
         }
     }
 
-    /// Renews the holders' leases, and tells them what those out of contact hold.
+    /// Renews the proxies' leases on their allotments, and tells proxies how much of each quota the absent ones hold.
     pub(crate) fn send_allotment_status(&mut self, now: Duration) {
         let Some(term) = self.role.acting_term(&self.lease, now) else {
             return;
         };
         let attached = self.proxies.attached_count(now);
         let known = self.proxies.known_count(now).max(1);
-        let missing_part = known.saturating_sub(attached) as f64 / known as f64;
-        let absent = self.role.allotments().absent(missing_part, now);
+        let missing_fraction = known.saturating_sub(attached) as f64 / known as f64;
+        let absent = self.role.allotments().absent(missing_fraction, now);
         let message = Message::AllotmentStatus {
             term,
             departed_proxies: self.proxies.departed_count() as u32,
--- a/crates/registry/src/backend_list.rs
+++ b/crates/registry/src/backend_list.rs
@@ -1,5 +1,5 @@
-//! The platform's list of backends: its pages, whether a new reading differs from the last, and the pages that proxies
-//! are sent.
+//! The platform's list of backends: parsing its pages, detecting changes between two readings, and splitting the list
+//! into messages for proxies.
 
 use std::net::SocketAddrV4;
 
@@ -7,38 +7,38 @@
 use damsonbeam_control::messages::{Backend, BackendList, BackendListVersion};
 use simd_json::prelude::*;
 
-/// Backends in one message at most: their entries take about 100 bytes each.
+/// Maximum number of backends in one message to a proxy; an entry takes about 100 bytes.
 const BACKENDS_PER_PAGE: usize = 512;
-/// The state of a backend that takes requests.
+/// The state of a backend that accepts requests; any other state means that the backend is draining.
 const READY: &str = "ready";
 
-/// Why a page of the list can't be read.
+/// An error in a page of the list.
 #[derive(Debug, thiserror::Error)]
 pub enum PageError {
-    /// It is not JSON.
+    /// The page is not valid JSON.
     #[error(transparent)]
     Json(#[from] JsonError),
-    /// It holds no list.
-    #[error("no `instances`")]
+    /// The page has no array `instances`.
+    #[error("field `instances` is missing or not an array")]
     NoInstances,
-    /// An entry of the list is incomplete, or a field of it is wrong.
-    #[error("an entry lacks a field")]
+    /// A field of an entry is missing or invalid.
+    #[error("an entry has a missing or invalid field")]
     IncompleteEntry,
 }
 
-/// A page of the list.
+/// One page of the platform's list.
 #[derive(Debug, PartialEq)]
 pub struct Page {
-    /// Its backends.
+    /// The backends on the page.
     pub backends: Vec<Backend>,
-    /// Names the next page; `None`: this is the last.
+    /// The token of the next page; `None` on the last page.
     pub next_token: Option<String>,
 }
 
-/// Reads the body of a page.
+/// Parses the body of a page.
 ///
 /// # Errors
-/// Where it is no page of the list.
+/// Fails if the body is not a valid page of the list.
 pub fn read_page(body: Vec<u8>) -> Result<Page, PageError> {
     let page = parse(body)?;
     let entries = page.get("instances").and_then(|list| list.as_array());
@@ -66,8 +66,8 @@
     })
 }
 
-/// Whether proxies need the new list: that less is left of a warm-up they know by themselves, but not that it starts
-/// again.
+/// Returns whether proxies need the new list. Proxies count down the remaining warm-up of a backend themselves, so a
+/// shorter warm-up is no change; a longer one means that the warm-up has started again.
 pub fn has_changed(old: &[Backend], new: &[Backend]) -> bool {
     old.len() != new.len() || old.iter().zip(new).any(|(old, new)| !is_same(old, new))
 }
@@ -80,8 +80,8 @@
     without_warm_up(old) == without_warm_up(new) && new.warm_up_left_ms <= old.warm_up_left_ms
 }
 
-/// The revision of a reading of the list. Only changes raise it: proxies fetch the list from a registry whose version is
-/// above theirs.
+/// Returns the revision of a newly read list: 1 in a new term, otherwise the known one, incremented only if the list has
+/// changed, because proxies fetch the list from any registry with a version above theirs.
 pub fn next_revision(known: BackendListVersion, term: u64, has_changed: bool) -> u64 {
     if known.term == term {
         known.revision + u64::from(has_changed)
@@ -90,7 +90,7 @@
     }
 }
 
-/// The list in pages of the same version for proxies; one at least.
+/// Splits the list into pages of the same version for proxies; an empty list gives one empty page.
 pub fn split_pages(list: &BackendList) -> Vec<BackendList> {
     let page = |backends: &[_]| BackendList {
         version: list.version,
--- a/crates/registry/src/calls.rs
+++ b/crates/registry/src/calls.rs
@@ -1,12 +1,12 @@
-//! Which outside call a request line means, by a tree of matchers: each node takes a segment of the path, a leaf the
+//! Parses request lines of the HTTP API with a tree of matchers: each inner node matches a path segment, each leaf a
 //! method.
 
 use std::collections::BTreeMap;
 
-/// What a caller wants.
+/// A request of the HTTP API.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Call {
-    /// The proxies for a client.
+    /// Looks up the proxies for a client.
     Lookup {
         /// The host that the client wants to reach.
         host: String,
@@ -15,47 +15,47 @@
         /// The client's zone.
         zone: String,
     },
-    /// To change the configuration.
-    Change,
-    /// The configuration.
-    Read,
-    /// To take a zone out of service, or back in.
+    /// Changes the configuration.
+    ChangeConfig,
+    /// Reads the configuration.
+    ReadConfig,
+    /// Starts or ends the evacuation of a zone.
     Evacuate {
         /// The zone.
         zone: String,
-        /// Whether it is to be out of service.
+        /// Whether the zone is to be out of service.
         evacuated: bool,
     },
-    /// To change the mirror rules.
+    /// Changes the mirror rules.
     ChangeMirrorRules,
-    /// The mirror rules.
+    /// Reads the mirror rules.
     ReadMirrorRules,
-    /// The state of the system.
-    State,
+    /// Reads the state of the system.
+    ReadState,
 }
 
-/// Why a request line means no call.
+/// An error in a request line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CallError {
-    /// There is no such path.
+    /// The path is unknown.
     #[error("no such path")]
     UnknownPath,
-    /// The path is known, the method is not.
+    /// The path is known but does not allow the method.
     #[error("no such method")]
     UnknownMethod,
 }
 
 type Query = BTreeMap<String, String>;
-/// Makes a call of the wildcard segments and the query.
-type MakeCall = fn(&[&str], &Query) -> Call;
+/// Builds a call from the wildcard segments and the query.
+type BuildCall = fn(&[&str], &Query) -> Call;
 
 enum Matcher {
-    /// A given segment.
+    /// Matches the given path segment.
     Segment(&'static str, Vec<Matcher>),
-    /// Any segment that is not empty; it is handed to the leaf.
+    /// Matches any segment that is not empty, and passes it to the leaf.
     Wildcard(Vec<Matcher>),
-    /// A method, where the path ends.
-    Method(&'static str, MakeCall),
+    /// Matches a method at the end of the path.
+    Method(&'static str, BuildCall),
 }
 
 fn matchers() -> Vec<Matcher> {
@@ -78,18 +78,18 @@
             evacuated: false,
         }),
     ]);
-    let copies = vec![
+    let mirror_rules = vec![
         Method("PATCH", |_, _| Call::ChangeMirrorRules),
         Method("GET", |_, _| Call::ReadMirrorRules),
     ];
     let configuration = vec![
-        Method("PATCH", |_, _| Call::Change),
-        Method("GET", |_, _| Call::Read),
+        Method("PATCH", |_, _| Call::ChangeConfig),
+        Method("GET", |_, _| Call::ReadConfig),
     ];
     let all = vec![
         Segment("lookup", vec![lookup]),
-        Segment("state", vec![Method("GET", |_, _| Call::State)]),
-        Segment("copies", copies),
+        Segment("state", vec![Method("GET", |_, _| Call::ReadState)]),
+        Segment("copies", mirror_rules),
         Segment("configuration", configuration),
         Segment("evacuations", vec![evacuations]),
     ];
@@ -97,11 +97,11 @@
 }
 
 impl Call {
-    /// Reads a request line.
+    /// Parses the method, path and query of a request line.
     ///
     /// # Errors
-    /// Where there is no such call.
-    pub fn read(method: &str, path: &str, query: Option<&str>) -> Result<Call, CallError> {
+    /// Fails if the path is unknown or does not allow the method.
+    pub fn parse(method: &str, path: &str, query: Option<&str>) -> Result<Call, CallError> {
         let pairs = query.unwrap_or_default().split('&');
         let pairs = pairs.filter_map(|pair| pair.split_once('='));
         let query = pairs
@@ -109,11 +109,11 @@
             .collect();
         let path = path.strip_prefix('/').ok_or(CallError::UnknownPath)?;
         let segments: Vec<&str> = path.split('/').collect();
-        find(&matchers(), method, &segments, &mut Vec::new(), &query)
+        match_segments(&matchers(), method, &segments, &mut Vec::new(), &query)
     }
 }
 
-fn find<'a>(
+fn match_segments<'a>(
     matchers: &[Matcher],
     method: &str,
     segments: &[&'a str],
@@ -121,17 +121,17 @@
     query: &Query,
 ) -> Result<Call, CallError> {
     let Some((first, rest)) = segments.split_first() else {
-        let make = find_method(matchers, method)?;
-        return Ok(make(wildcards, query));
+        let build = find_method(matchers, method)?;
+        return Ok(build(wildcards, query));
     };
     for matcher in matchers {
         match matcher {
-            Matcher::Segment(name, below) if name == first => {
-                return find(below, method, rest, wildcards, query);
+            Matcher::Segment(name, children) if name == first => {
+                return match_segments(children, method, rest, wildcards, query);
             }
-            Matcher::Wildcard(below) if !first.is_empty() => {
+            Matcher::Wildcard(children) if !first.is_empty() => {
                 wildcards.push(first);
-                return find(below, method, rest, wildcards, query);
+                return match_segments(children, method, rest, wildcards, query);
             }
             _ => {}
         }
@@ -139,17 +139,17 @@
     Err(CallError::UnknownPath)
 }
 
-fn find_method(matchers: &[Matcher], method: &str) -> Result<MakeCall, CallError> {
-    let mut is_path = false;
+fn find_method(matchers: &[Matcher], method: &str) -> Result<BuildCall, CallError> {
+    let mut is_known_path = false;
     for matcher in matchers {
-        if let Matcher::Method(name, make) = matcher {
+        if let Matcher::Method(name, build) = matcher {
             if *name == method {
-                return Ok(*make);
+                return Ok(*build);
             }
-            is_path = true;
+            is_known_path = true;
         }
     }
-    Err(if is_path {
+    Err(if is_known_path {
         CallError::UnknownMethod
     } else {
         CallError::UnknownPath
--- a/crates/registry/src/common_time.rs
+++ b/crates/registry/src/common_time.rs
@@ -1,17 +1,18 @@
-//! The system's common time, by which slots of shared counts are named: that of the coordinator, whoever it is.
+//! The common time of the system, which numbers the slots of the shared counts: the clock of the coordinator, adopted
+//! by all other processes.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use tokio::time::Instant;
 
-/// A registry that has not heard of the common time by then begins it by its machine's own clock.
-const OWN_CLOCK_AFTER: Duration = Duration::from_millis(700);
+/// A registry that has not received the common time this long after its start takes its machine's clock instead.
+const OWN_CLOCK_FALLBACK_DELAY: Duration = Duration::from_millis(700);
 
-/// The time since this process's start, and the common time as far as it is known.
+/// The time since the start of this process, and the offset of the common time, if known.
 #[derive(Debug)]
 pub(crate) struct CommonTime {
     started: Instant,
-    /// The common time less this process's, in milliseconds.
+    /// The common time minus the time since the start of this process, in milliseconds.
     offset_ms: Option<i64>,
 }
 
@@ -23,29 +24,29 @@
         }
     }
 
-    /// The time since this process's start.
+    /// Returns the time since the start of this process.
     pub(crate) fn now(&self) -> Duration {
         self.started.elapsed()
     }
 
-    /// The common time in milliseconds; `None`: it is not known yet.
+    /// Returns the common time in milliseconds; `None` if it is not known yet.
     pub(crate) fn now_ms(&self) -> Option<u64> {
         let own_ms = self.now().as_millis() as i64;
         Some((own_ms + self.offset_ms?).max(0) as u64)
     }
 
-    /// Another process names the common time. What the coordinator names prevails, anything else only where nothing is
-    /// known.
-    pub(crate) fn observe(&mut self, time_ms: Option<u64>, is_coordinators: bool) {
-        let is_wanted = self.offset_ms.is_none() || is_coordinators;
-        if let Some(time_ms) = time_ms.filter(|_| is_wanted) {
+    /// Processes the common time reported by another process. A time from the coordinator is always adopted, any other
+    /// one only if the common time is not known yet.
+    pub(crate) fn observe(&mut self, time_ms: Option<u64>, is_from_coordinator: bool) {
+        let adopts = self.offset_ms.is_none() || is_from_coordinator;
+        if let Some(time_ms) = time_ms.filter(|_| adopts) {
             self.offset_ms = Some(time_ms as i64 - self.now().as_millis() as i64);
         }
     }
 
-    /// Begins the common time where nobody has named it for some time.
-    pub(crate) fn begin_when_due(&mut self) {
-        if self.offset_ms.is_none() && self.now() >= OWN_CLOCK_AFTER {
+    /// Takes the machine's clock as the common time if no process has reported one within the fallback delay.
+    pub(crate) fn start_own_clock_if_due(&mut self) {
+        if self.offset_ms.is_none() && self.now() >= OWN_CLOCK_FALLBACK_DELAY {
             let unix_time = SystemTime::now()
                 .duration_since(UNIX_EPOCH)
                 .unwrap_or_default();
--- a/crates/registry/src/coordinator.rs
+++ b/crates/registry/src/coordinator.rs
@@ -1,9 +1,9 @@
-//! The coordinator's role at one registry: acts that only the holder of the lease may do, each checked against the lease
-//! when it is done. Free of I/O.
+//! The coordinator's role at one registry: the actions reserved for the lease holder, each checked against the lease
+//! at the time of the action. Free of I/O.
 //!
-//! A registry that was frozen, slowed or cut off may be in the middle of an act when its lease ends. It asks here
-//! before each act: an act under a term that is over is not done. What it sent before bears its term, by which
-//! proxies, stores and other registries drop it once they know a later one.
+//! The lease of a registry that was suspended, slowed down or partitioned may end in the middle of an action. Each step
+//! therefore checks the lease again, and a step under an expired term is not done. Messages carry the sender's term, so
+//! that proxies, stores and other registries discard those of an earlier term once they know a later one.
 
 use std::time::Duration;
 
@@ -14,23 +14,23 @@
 use crate::backend_list;
 use crate::counts::SharedCounts;
 
-/// Between two divisions of the quotas.
+/// Interval between two divisions of the quotas among the proxies.
 const DIVISION_INTERVAL: Duration = Duration::from_millis(1000);
-/// The first term of all: no coordinator was before it.
+/// The first term of the whole system: no coordinator precedes it.
 const FIRST_TERM: u64 = 1;
 
-/// What became of a reading of the platform's list.
+/// The outcome of publishing a list read from the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListOutcome {
-    /// The lease has ended since the reading began: it was dropped.
+    /// The lease has ended since the reading began: the list was discarded.
     LeaseLost,
-    /// Proxies have this list already.
+    /// The list equals the one that proxies have.
     Unchanged,
-    /// Proxies and stores are to get it.
+    /// The list differs and is to be sent to proxies and to the store.
     Changed,
 }
 
-/// Shared counts that are to be sent, and the term under which they were kept.
+/// Totals of the shared counts to send, and the term under which they were kept.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CountTotals {
     /// The coordinator's term.
@@ -39,11 +39,12 @@
     pub totals: Vec<NamedCount>,
 }
 
-/// The role of the coordinator, held or not.
+/// The coordinator's role, whether this registry holds it or not.
 #[derive(Debug, Default)]
 pub struct CoordinatorRole {
+    /// The term of the role when the lease was last checked; `None` if the role is not held.
     term: Option<u64>,
-    /// The platform's list has been read in the present term.
+    /// Whether the platform's list has been read in the current term.
     has_read_list: bool,
     counts: SharedCounts,
     allotments: AllotmentLedger,
@@ -51,9 +52,9 @@
 }
 
 impl CoordinatorRole {
-    /// Follows the lease; returns whether the role was taken or is over. `is_initial_start`: this process has run since the
-    /// very first start of the whole system.
-    pub fn follow_lease(
+    /// Sets the role's term to the term of the held lease; returns whether the role was taken, lost or changed its term.
+    /// `is_initial_start` says that this process takes part in the very first start of the whole system.
+    pub fn sync_with_lease(
         &mut self,
         held_term: Option<u64>,
         is_initial_start: bool,
@@ -70,22 +71,23 @@
         has_changed
     }
 
-    /// The term of the role as of the last look at the lease; acts ask [`CoordinatorRole::acting_term`].
+    /// Returns the term of the role when the lease was last checked. Actions must use [`CoordinatorRole::acting_term`].
     pub fn term(&self) -> Option<u64> {
         self.term
     }
 
-    /// The term under which this registry may act now.
+    /// Returns the term under which this registry may act now; `None` if the lease is not held in the role's term.
     pub fn acting_term(&self, lease: &LeaseElection, now: Duration) -> Option<u64> {
         self.term.filter(|term| lease.held_term(now) == Some(*term))
     }
 
-    /// Whether the list known here may be sent: a coordinator that has not read it yet sends none.
+    /// Returns whether the known list may be sent: a coordinator sends none before it has read the list in its term.
     pub fn may_send_list(&self) -> bool {
         self.term.is_none() || self.has_read_list
     }
 
-    /// Takes a reading of the list that began under a term.
+    /// Replaces `known` by a list whose reading began in the term `began_in`, unless that term is over or `known` is of
+    /// a later term.
     pub fn publish_list(
         &mut self,
         lease: &LeaseElection,
@@ -114,22 +116,22 @@
         }
     }
 
-    /// The counts that this registry keeps as the coordinator.
+    /// Returns the counts that this registry keeps as the coordinator.
     pub fn counts_mut(&mut self) -> &mut SharedCounts {
         &mut self.counts
     }
 
-    /// What each proxy may hold of the quotas.
+    /// Returns the ledger of the quota allotments of all proxies.
     pub fn allotments_mut(&mut self) -> &mut AllotmentLedger {
         &mut self.allotments
     }
 
-    /// What each proxy may hold of the quotas.
+    /// Returns the ledger of the quota allotments of all proxies.
     pub fn allotments(&self) -> &AllotmentLedger {
         &self.allotments
     }
 
-    /// Divides the quotas anew when that is due; returns the changes to be sent and the term they are made under.
+    /// Divides the quotas again if due; returns the changes to send and their term.
     pub fn divide_quotas(
         &mut self,
         lease: &LeaseElection,
@@ -144,8 +146,8 @@
         Some((term, self.allotments.divide(&demands, now)))
     }
 
-    /// Takes the counts of a proxy's incarnation; returns the totals of the same names. `None` where this registry is not
-    /// the coordinator.
+    /// Records the counts reported by an incarnation of a proxy; returns the totals under the same names, or `None` if
+    /// this registry is not the coordinator.
     pub fn record_counts(
         &mut self,
         lease: &LeaseElection,
@@ -161,7 +163,7 @@
         Some(CountTotals { term, totals })
     }
 
-    /// Totals that all proxies are to be sent now; `None` where there are none.
+    /// Returns the totals that are due to be sent to all proxies; `None` if there are none.
     pub fn take_count_updates(
         &mut self,
         lease: &LeaseElection,
--- a/crates/registry/src/directory.rs
+++ b/crates/registry/src/directory.rs
@@ -1,58 +1,59 @@
-//! The directory's decision: which proxies a client is named. Free of I/O.
+//! The directory's decision: which proxies a client is given. Free of I/O.
 //!
-//! A client is named the ready proxies of its own region, where load evens out over the zones for a millisecond; another
-//! region costs a round trip on every request. Others are named where the region has none, or where it has lost some
-//! without a plan and is left with one, whose loss would leave the client without any.
+//! A client gets the ready proxies of its own region. Within a region, load is balanced over the zones at the cost of
+//! about a millisecond; another region costs a round trip on every request. Proxies of other regions are added if the
+//! region has no ready proxy, or if it has lost proxies without a planned shutdown and only one is left: if that one
+//! fails too, the client would have none.
 //!
-//! Requests on routes with home regions may reach proxies of their homes and of the client's region alone, except after
-//! an unplanned loss. What a region lost by plan is no such loss: proxies that left in order widen no answer beyond the
-//! homes. Where that leaves none, the client gets no answer: nothing it could be named may take its requests.
+//! Requests on routes with home regions may only reach proxies of the home regions and of the client's region, except
+//! after an unplanned loss. A planned shutdown is no such loss: it never extends an answer beyond the home regions. If
+//! no proxy is left under these rules, the lookup returns none, because no proxy may take the client's requests.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// Addresses in an answer at most, by the protocol.
+/// Maximum number of addresses in an answer, set by the protocol.
 const MAX_ADDRESSES: usize = 64;
-/// With fewer proxies than this in a region that has lost some, those of other regions are named too.
-const ENOUGH_AFTER_LOSS: usize = 2;
+/// Number of ready proxies in a region with a recent loss below which proxies of other regions are added.
+const MIN_LOCAL_AFTER_LOSS: usize = 2;
 
-/// What a proxy is at.
+/// The lifecycle phase of a proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProxyPhase {
-    /// It has not taken requests yet.
+    /// The proxy does not accept requests yet.
     Starting,
-    /// It takes requests.
+    /// The proxy accepts requests.
     Ready,
-    /// It was ready and is shutting down by plan.
+    /// The proxy was ready and is shutting down as planned.
     Leaving,
 }
 
-/// A proxy as it reported itself.
+/// A proxy as described by its own status reports.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProxyEndpoint {
-    /// Where clients reach it.
+    /// The address for client connections.
     pub address: SocketAddr,
-    /// Its zone.
+    /// The proxy's zone.
     pub zone: String,
-    /// Its region.
+    /// The proxy's region.
     pub region: String,
-    /// What it is at.
+    /// The proxy's phase.
     pub phase: ProxyPhase,
 }
 
-/// Where the requests for a host may be served.
+/// The home regions in which requests for a host may be served.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum HomeRegions {
-    /// The configuration is not known here, or not all of it.
+    /// This registry does not have the whole configuration.
     Unknown,
-    /// None of the host's routes has homes.
+    /// None of the host's routes has home regions.
     Anywhere,
-    /// The regions that all routes with homes have in common.
+    /// The regions common to all of the host's routes with home regions.
     Only(BTreeSet<String>),
 }
 
 impl HomeRegions {
-    fn include(&self, region: &str) -> bool {
+    fn contains(&self, region: &str) -> bool {
         match self {
             HomeRegions::Unknown => false,
             HomeRegions::Anywhere => true,
@@ -61,51 +62,51 @@
     }
 }
 
-/// Who asks, and what is known of its region and of the host that it asks for.
+/// A directory lookup: the client's location, and what is known of its region and of the requested host.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Lookup<'a> {
     /// The client's region.
     pub region: &'a str,
     /// The client's zone.
     pub zone: &'a str,
-    /// Where the host's requests may be served.
+    /// The home regions of the requested host.
     pub homes: HomeRegions,
-    /// The client's region has lately lost a proxy without a plan.
+    /// Whether the client's region has recently lost a proxy without a planned shutdown.
     pub has_recent_loss: bool,
 }
 
 impl Lookup<'_> {
-    /// The proxies that the client is named, near ones first; none where it must not be led to any.
-    pub fn proxies(&self, endpoints: &[ProxyEndpoint]) -> Vec<SocketAddr> {
+    /// Returns the proxies for the client, the nearest first; none if no proxy may take its requests.
+    pub fn select_proxies(&self, endpoints: &[ProxyEndpoint]) -> Vec<SocketAddr> {
         let ready = |proxy: &&ProxyEndpoint| proxy.phase == ProxyPhase::Ready;
         let in_region = |proxy: &&ProxyEndpoint| proxy.region == self.region;
         let local: Vec<&ProxyEndpoint> = endpoints.iter().filter(ready).filter(in_region).collect();
-        let enough = if self.has_recent_loss {
-            ENOUGH_AFTER_LOSS
+        let min_local = if self.has_recent_loss {
+            MIN_LOCAL_AFTER_LOSS
         } else {
             1
         };
-        if local.len() >= enough {
-            return self.near_first(local);
+        if local.len() >= min_local {
+            return self.nearest_first(local);
         }
         let allowed: Vec<&ProxyEndpoint> = endpoints
             .iter()
-            .filter(|proxy| self.may_lead_to(&proxy.region))
+            .filter(|proxy| self.is_region_allowed(&proxy.region))
             .collect();
         let reachable: Vec<&ProxyEndpoint> = allowed.iter().copied().filter(ready).collect();
         if reachable.is_empty() {
-            // Nobody is ready: whoever is there may still answer, or soon.
-            return self.near_first(allowed);
+            // No allowed proxy is ready. Starting ones will accept requests soon, and leaving ones may still do so.
+            return self.nearest_first(allowed);
         }
-        self.near_first(reachable)
+        self.nearest_first(reachable)
     }
 
-    /// Whether the client may be led to proxies of a region.
-    fn may_lead_to(&self, region: &str) -> bool {
-        region == self.region || self.has_recent_loss || self.homes.include(region)
+    /// Returns whether the client may be given proxies of a region.
+    fn is_region_allowed(&self, region: &str) -> bool {
+        region == self.region || self.has_recent_loss || self.homes.contains(region)
     }
 
-    fn near_first(&self, mut proxies: Vec<&ProxyEndpoint>) -> Vec<SocketAddr> {
+    fn nearest_first(&self, mut proxies: Vec<&ProxyEndpoint>) -> Vec<SocketAddr> {
         proxies.sort_by_key(|proxy| {
             let is_far = proxy.region != self.region;
             let is_other_zone = proxy.zone != self.zone;
--- a/crates/registry/src/gossip.rs
+++ b/crates/registry/src/gossip.rs
@@ -1,4 +1,4 @@
-//! The socket for datagrams among registries.
+//! The UDP socket for gossip between registries.
 
 use std::io;
 use std::net::SocketAddr;
@@ -11,10 +11,10 @@
 
 use crate::registry::{OutgoingDatagram, SharedRegistry};
 
-/// A datagram's size at most.
+/// Maximum size of a datagram, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 64 << 10;
 
-/// Sends and receives datagrams; all registries use the same port.
+/// Sends and receives gossip datagrams. All registries use the same port.
 #[derive(Clone)]
 pub(crate) struct GossipSocket {
     socket: Rc<UdpSocket>,
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Hands all datagrams to the registry, and sends its answers.
+    /// Passes received datagrams to the registry and sends its answers, for as long as the process runs.
     pub(crate) async fn receive_all(self, registry: SharedRegistry) {
         let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         loop {
--- a/crates/registry/src/host_homes.rs
+++ b/crates/registry/src/host_homes.rs
@@ -1,4 +1,4 @@
-//! The home regions of each host's routes, kept up with the configuration item by item. Free of I/O.
+//! The home regions of each host's routes, updated with each changed item of the configuration. Free of I/O.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,29 +9,29 @@
 /// The home regions of routes, by host.
 #[derive(Debug, Default)]
 pub struct HostHomes {
-    /// The host of each route that has homes.
+    /// The host of each route with home regions, by route name.
     hosts: BTreeMap<String, String>,
-    /// The homes of each such route, by host and by the route's name.
+    /// The home regions of each of these routes, by host and route name.
     homes: BTreeMap<String, BTreeMap<String, BTreeSet<String>>>,
 }
 
 impl HostHomes {
-    /// Takes an item of the configuration that has changed.
+    /// Applies a changed item of the configuration.
     pub fn update(&mut self, item: &Item) {
         if item.key.kind != ItemKind::Route {
             return;
         }
-        self.forget(&item.key.name);
+        self.remove(&item.key.name);
         if item.is_removed() {
             return;
         }
-        // A route that can't be read is not in force anywhere.
+        // No proxy applies an invalid route either.
         if let Ok(route) = Route::try_from(item) {
             self.add(route);
         }
     }
 
-    fn forget(&mut self, route: &str) {
+    fn remove(&mut self, route: &str) {
         let Some(host) = self.hosts.remove(route) else {
             return;
         };
@@ -53,8 +53,8 @@
         self.hosts.insert(route.name, route.host);
     }
 
-    /// Where the requests for a host may be served: the regions that all its routes with homes have in common.
-    pub fn of(&self, host: &str) -> HomeRegions {
+    /// Returns where requests for a host may be served: the regions common to all its routes with home regions.
+    pub fn home_regions(&self, host: &str) -> HomeRegions {
         let host = host.to_ascii_lowercase();
         let Some(routes) = self.homes.get(&host) else {
             return HomeRegions::Anywhere;
--- a/crates/registry/src/known_proxies.rs
+++ b/crates/registry/src/known_proxies.rs
@@ -1,5 +1,5 @@
-//! Which proxies there are by all that they have reported, on whatever connection: what each is at, and which were lost
-//! without a plan. Free of I/O.
+//! The proxies known from their status reports, whichever connection the reports came over: their phases, and which
+//! proxies were lost without a planned shutdown. Free of I/O.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -8,9 +8,10 @@
 
 use crate::directory::ProxyPhase;
 
-/// Proxies not seen for this long may be serving out of contact: until then their share of each quota stays theirs.
+/// Time after the last report of a proxy during which the proxy keeps its share of each quota, because it may still be
+/// serving clients without contact to the registries.
 const KNOWN_TIMEOUT: Duration = Duration::from_secs(30);
-/// A loss without a plan counts as recent for this long.
+/// Time for which an unplanned loss counts as recent.
 const RECENT_LOSS: Duration = Duration::from_secs(15);
 
 #[derive(Debug)]
@@ -19,7 +20,7 @@
     zone: String,
     phase: ProxyPhase,
     last_seen: Duration,
-    /// When an incarnation of it was last replaced that had not left by plan.
+    /// Time at which a ready incarnation of the proxy was last replaced without a planned shutdown.
     crashed_at: Option<Duration>,
 }
 
@@ -45,12 +46,13 @@
         self.phase = match (self.phase, status.ready) {
             (_, true) => ProxyPhase::Ready,
             (ProxyPhase::Starting, false) => ProxyPhase::Starting,
-            // A proxy ceases to be ready when it begins to shut down, and at no other time.
+            // A proxy stops being ready only when its shutdown begins.
             (ProxyPhase::Ready | ProxyPhase::Leaving, false) => ProxyPhase::Leaving,
         };
     }
 
-    /// When it was last lost without a plan; `is_attached`: whether it is there now.
+    /// Returns the time of the proxy's last unplanned loss. A ready proxy that is not attached counts as lost since it
+    /// was last seen.
     fn lost_at(&self, is_attached: bool) -> Option<Duration> {
         if self.phase == ProxyPhase::Ready && !is_attached {
             Some(self.last_seen)
@@ -60,19 +62,19 @@
     }
 }
 
-/// The proxies seen of late, by node.
+/// The proxies seen recently, by node.
 #[derive(Debug, Default)]
 pub struct KnownProxies {
     by_node: BTreeMap<String, KnownProxy>,
-    /// The incarnations that have said their last word, by node, until another runs there.
+    /// Incarnations that have sent a departure notice, by node, until another incarnation runs on the node.
     departed: BTreeMap<String, u64>,
 }
 
 impl KnownProxies {
-    /// A proxy has reported its status; returns the incarnation that it takes the place of.
+    /// Processes a status report; returns the incarnation that the reporting one has replaced, if any.
     pub fn observe(&mut self, status: &ProxyStatus, now: Duration) -> Option<u64> {
         if self.departed.get(&status.node) == Some(&status.incarnation) {
-            // A late one: nothing comes after the last word.
+            // A report from before the departure notice that was delayed on another connection.
             return None;
         }
         self.departed.remove(&status.node);
@@ -85,38 +87,39 @@
         (before != status.incarnation).then_some(before)
     }
 
-    /// Whether another incarnation was seen last where this one ran.
+    /// Returns whether another incarnation was last seen on the node of this one.
     pub fn is_replaced(&self, status: &ProxyStatus) -> bool {
         let known = self.by_node.get(&status.node);
         known.is_some_and(|proxy| proxy.incarnation != status.incarnation)
     }
 
-    /// A proxy has said its last word: it admits nothing any more, and counts no more at once.
-    pub fn depart(&mut self, status: &ProxyStatus) {
+    /// Processes a departure notice. The proxy admits no more requests, so it is no longer counted from now on.
+    pub fn record_departure(&mut self, status: &ProxyStatus) {
         self.by_node.remove(&status.node);
         self.departed
             .insert(status.node.clone(), status.incarnation);
     }
 
-    /// How many proxies have left by plan and are not back.
+    /// Returns the number of proxies that have shut down as planned and have not started again.
     pub fn departed_count(&self) -> usize {
         self.departed.len()
     }
 
-    /// How many proxies may be using their shares of what all may use together.
-    pub fn count(&mut self, now: Duration) -> usize {
+    /// Removes proxies not seen for `KNOWN_TIMEOUT`; returns the number of the others, which may be using their shares
+    /// of the quotas.
+    pub fn expire_and_count(&mut self, now: Duration) -> usize {
         self.by_node
             .retain(|_, proxy| now < proxy.last_seen + KNOWN_TIMEOUT);
         self.by_node.len()
     }
 
-    /// What a proxy is at.
+    /// Returns the phase of a proxy; `Starting` if the proxy is not known.
     pub fn phase(&self, node: &str) -> ProxyPhase {
         let known = self.by_node.get(node);
         known.map_or(ProxyPhase::Starting, |proxy| proxy.phase)
     }
 
-    /// The zones of proxies that were lost without a plan not long ago; `attached`: the nodes that are there now.
+    /// Returns the zones of proxies lost recently without a planned shutdown. `attached` are the nodes now attached.
     pub fn zones_with_recent_loss(&self, attached: &BTreeSet<&str>, now: Duration) -> Vec<&str> {
         let is_recent = |node: &str, proxy: &KnownProxy| {
             let lost_at = proxy.lost_at(attached.contains(node));
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -1,15 +1,16 @@
-//! The registry: it knows the other registries, the proxies, the backends and the configuration, and takes the outside
-//! calls. One registry at a time is the coordinator, which reads the platform's list and keeps the shared counts. It is
-//! not for storing anything: what must last is the configuration store's.
+//! The registry process. A registry tracks the other registries, the proxies, the backends and the configuration, and
+//! serves the HTTP API of operators and of the directory. One registry at a time holds the coordinator lease: the
+//! coordinator reads the platform's list of backends and keeps the shared request counts. A registry stores nothing on
+//! disk; the configuration store keeps all durable state.
 //!
-//! In reading order:
+//! Modules in reading order:
 //!
 //! - [`coordinator`], [`counts`], [`backend_list`], [`directory`], [`host_homes`], [`known_proxies`], [`partners`],
 //!   [`calls`]: decisions, free of I/O
 //! - `common_time`, `proxies`, `store_session`: the parts of a registry's state
-//! - `registry`: the state as a whole, and what happens to it; `store_messages`: what the store sends; `proxy_updates`:
-//!   what proxies are sent, `allotments`: of their quotas; `state_report`: what operators are shown
-//! - `gossip`, `links`, `operators`, `platform`: sockets and connections; `report`: bodies of answers
+//! - `registry`: the whole state and its transitions; `store_messages`: messages from the store; `proxy_updates`:
+//!   messages to proxies; `allotments`: messages about quota allotments; `state_report`: the state report for operators
+//! - `gossip`, `links`, `operators`, `platform`: sockets and connections; `report`: JSON response bodies
 #![warn(clippy::too_many_lines, unreachable_pub)]
 
 mod allotments;
@@ -49,33 +50,33 @@
 use gossip::GossipSocket;
 use registry::{Registry, SharedRegistry};
 
-/// Between two ticks of the registry.
+/// Interval between two ticks of the registry.
 const TICK: Duration = Duration::from_millis(50);
-/// Between two attempts to accept or open a connection.
+/// Pause after a failed attempt to accept or open a connection.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
-/// After SIGTERM, calls that are under way are answered within this.
+/// Time after SIGTERM during which requests in progress are still answered.
 const SHUTDOWN_TIME: Duration = Duration::from_millis(1200);
 
-/// Why a registry can't run.
+/// An error that prevents a registry from running.
 #[derive(Debug, thiserror::Error)]
 pub enum RegistryError {
-    /// Signals can't be waited for.
+    /// A signal handler can't be installed.
     #[error(transparent)]
     Signal(#[from] io::Error),
-    /// The port for datagrams is not to be had.
-    #[error("the port for datagrams: {0}")]
+    /// The UDP port for gossip can't be bound.
+    #[error("the UDP port for gossip cannot be bound: {0}")]
     Gossip(io::Error),
     /// An address can't be listened on.
     #[error(transparent)]
     Listen(#[from] LinkError),
 }
 
-/// Runs one registry until it is told to end.
+/// Runs one registry until SIGTERM.
 ///
 /// # Errors
-/// Where an address can't be listened on.
+/// Fails if a signal handler can't be installed, the gossip port can't be bound or an address can't be listened on.
 pub async fn run(settings: Settings) -> Result<(), RegistryError> {
-    // SIGHUP ends a program that has not asked for it.
+    // Without a handler, SIGHUP would terminate the process.
     let mut terminate = signal(SignalKind::terminate())?;
     let mut hangup = signal(SignalKind::hangup())?;
     let settings = Rc::new(settings);
@@ -84,7 +85,10 @@
         .await
         .map_err(RegistryError::Gossip)?;
     serve_all(&registry, &settings, &gossip)?;
-    log::info!("registry: {} serves.", settings.node_name);
+    log::info!(
+        "registry: {} accepts client connections.",
+        settings.node_name
+    );
     let mut tick = interval(TICK);
     tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
@@ -98,14 +102,14 @@
                 let datagrams = registry.borrow_mut().leave();
                 gossip.send(datagrams).await;
                 sleep(SHUTDOWN_TIME).await;
-                log::info!("registry: ends.");
+                log::info!("registry: exiting.");
                 return Ok(());
             }
         }
     }
 }
 
-/// Starts the tasks of all sockets and connections.
+/// Spawns the tasks that serve all sockets and connections.
 fn serve_all(
     registry: &SharedRegistry,
     settings: &Settings,
--- a/crates/registry/src/links.rs
+++ b/crates/registry/src/links.rs
@@ -1,4 +1,4 @@
-//! The held connections: those that proxies open, and the one to the store on this machine.
+//! The persistent connections: those opened by proxies, and the one to the store on this machine.
 
 use std::time::Duration;
 
@@ -12,10 +12,12 @@
 use crate::registry::SharedRegistry;
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
-/// The store sends when there is something to send; it is on this machine, so nothing else can be silent.
+/// Time without a message after which the connection to the store is closed. The store has no heartbeats and sends only
+/// on events. A long limit is safe because the store runs on the same machine: no network failure can be behind its
+/// silence.
 const STORE_SILENCE_TIMEOUT: Duration = Duration::from_secs(3600);
 
-/// Accepts the connections of proxies.
+/// Accepts connections of proxies and processes their messages.
 pub(crate) async fn accept_proxies(registry: SharedRegistry, listener: TcpListener) {
     for link in 1u64.. {
         let Ok((stream, _)) = listener.accept().await else {
@@ -36,7 +38,7 @@
     }
 }
 
-/// Connects to the store, again and again for as long as the process runs.
+/// Connects to the store and processes its messages; reconnects for as long as the process runs.
 pub(crate) async fn keep_store_connected(registry: SharedRegistry) {
     let address = {
         let registry = registry.borrow();
--- a/crates/registry/src/main.rs
+++ b/crates/registry/src/main.rs
@@ -1,11 +1,10 @@
-//! `damsonbeam-registry`: one registry process.
+//! Entry point of `damsonbeam-registry`, which runs one registry process.
 
 use std::process::ExitCode;
 
 use damsonbeam_control::program::run_program;
 
 fn main() -> ExitCode {
-    let about =
-        "One registry: members, backends, and the outside calls. Configured by DAMSONBEAM_CONFIG.";
+    let about = "Runs one registry process. Configured by DAMSONBEAM_CONFIG.";
     run_program("registry", about, damsonbeam_registry::run)
 }
--- a/crates/registry/src/operators.rs
+++ b/crates/registry/src/operators.rs
@@ -1,4 +1,4 @@
-//! Calls from outside over HTTP: operators' commands, the directory, the state of the system.
+//! The HTTP API of the registry: operators' commands, directory lookups and the state report.
 
 use std::convert::Infallible;
 use std::time::Duration;
@@ -21,24 +21,25 @@
 use crate::registry::SharedRegistry;
 use crate::report::{self, ErrorReport, LookupReport};
 
-/// An outside call is answered within this: its caller looks elsewhere after a second of silence.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(4000);
-/// Bytes of an operator's call at most.
-const MAX_CALL_BYTES: usize = 16 << 20;
-/// How long clients may keep an answer of the directory.
+/// Longest wait for the store's reply to a command. A caller turns to another registry after a second without data.
+const STORE_REPLY_TIMEOUT: Duration = Duration::from_millis(4000);
+/// Maximum body size of a request, in bytes.
+const MAX_BODY_BYTES: usize = 16 << 20;
+/// Default time for which clients may cache a directory response, in seconds.
 const DIRECTORY_TTL_S: f64 = 3.0;
-/// A connection ends after this.
+/// Maximum lifetime of a connection.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(60);
-/// The answer to operators where no majority of the voters has answered of late.
-const OUT_OF_CONTACT: &str = "this machine is cut off from most of the core: try another";
-/// The answer to clients that can't be named any proxy.
-const NO_PROXY: &str = "no proxy is known that may take the host's requests";
+/// The error for operators if no majority of the voters has answered recently.
+const OUT_OF_CONTACT: &str =
+    "this registry is not in contact with a majority of the core; try another machine";
+/// The error for clients that can't be given any proxy.
+const NO_PROXY: &str = "no known proxy may serve requests for this host";
 
-type Answer = Response<Full<Bytes>>;
-/// Which items an answer shows.
-type ShowItems = fn(&ConfigSnapshot) -> Vec<u8>;
+type HttpResponse = Response<Full<Bytes>>;
+/// Renders the part of the configuration that a response contains.
+type RenderConfig = fn(&ConfigSnapshot) -> Vec<u8>;
 
-/// Serves outside calls on one address.
+/// Accepts connections on one address and serves their requests.
 pub(crate) async fn serve(registry: SharedRegistry, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
@@ -48,7 +49,7 @@
         stream.set_nodelay(true).ok();
         let registry = registry.clone();
         tokio::task::spawn_local(async move {
-            let service = service_fn(move |request| answer_call(registry.clone(), request));
+            let service = service_fn(move |request| handle_request(registry.clone(), request));
             let io = TokioIo::new(stream);
             let connection = http1::Builder::new().serve_connection(io, service);
             timeout(CONNECTION_TIMEOUT, connection).await.ok();
@@ -56,27 +57,32 @@
     }
 }
 
-async fn answer_call(
+async fn handle_request(
     registry: SharedRegistry,
     request: Request<Incoming>,
-) -> Result<Answer, Infallible> {
+) -> Result<HttpResponse, Infallible> {
     let uri = request.uri();
-    let call = Call::read(request.method().as_str(), uri.path(), uri.query());
+    let call = Call::parse(request.method().as_str(), uri.path(), uri.query());
     Ok(match call {
         Ok(call) => dispatch(registry, call, request).await,
-        Err(CallError::UnknownPath) => error(StatusCode::NOT_FOUND, "no such call"),
-        Err(CallError::UnknownMethod) => {
-            error(StatusCode::METHOD_NOT_ALLOWED, "no such method here")
-        }
+        Err(CallError::UnknownPath) => error_response(StatusCode::NOT_FOUND, "no such path"),
+        Err(CallError::UnknownMethod) => error_response(
+            StatusCode::METHOD_NOT_ALLOWED,
+            "method not allowed for this path",
+        ),
     })
 }
 
-async fn dispatch(registry: SharedRegistry, call: Call, request: Request<Incoming>) -> Answer {
+async fn dispatch(
+    registry: SharedRegistry,
+    call: Call,
+    request: Request<Incoming>,
+) -> HttpResponse {
     let to_json = ConfigSnapshot::to_json;
     match call {
         Call::Lookup { host, region, zone } => look_up(&registry, &host, &region, &zone),
-        Call::State => answer(StatusCode::OK, registry.borrow().describe()),
-        Call::Read => submit(&registry, Command::Read, to_json).await,
+        Call::ReadState => json_response(StatusCode::OK, registry.borrow().state_report_json()),
+        Call::ReadConfig => submit(&registry, Command::Read, to_json).await,
         Call::ReadMirrorRules => {
             submit(
                 &registry,
@@ -86,104 +92,110 @@
             .await
         }
         Call::Evacuate { zone, evacuated } => evacuate(&registry, zone, evacuated).await,
-        Call::Change => change(&registry, request, ConfigChange::from_json).await,
+        Call::ChangeConfig => change_config(&registry, request, ConfigChange::from_json).await,
         Call::ChangeMirrorRules => {
-            change(&registry, request, ConfigChange::from_mirror_rules_json).await
+            change_config(&registry, request, ConfigChange::from_mirror_rules_json).await
         }
     }
 }
 
-fn look_up(registry: &SharedRegistry, host: &str, region: &str, zone: &str) -> Answer {
+fn look_up(registry: &SharedRegistry, host: &str, region: &str, zone: &str) -> HttpResponse {
     let registry = registry.borrow();
     let lookup = registry.lookup(host, region, zone);
-    let addresses = lookup.proxies(&registry.proxy_endpoints());
+    let addresses = lookup.select_proxies(&registry.proxy_endpoints());
     if addresses.is_empty() {
-        return error(StatusCode::SERVICE_UNAVAILABLE, NO_PROXY);
+        return error_response(StatusCode::SERVICE_UNAVAILABLE, NO_PROXY);
     }
     let ttl_s = DIRECTORY_TTL_S.min(registry.settings().bound("ttl_max_s", DIRECTORY_TTL_S));
-    answer(
+    json_response(
         StatusCode::OK,
         report::to_json(&LookupReport { addresses, ttl_s }),
     )
 }
 
-async fn evacuate(registry: &SharedRegistry, zone: String, evacuated: bool) -> Answer {
+async fn evacuate(registry: &SharedRegistry, zone: String, evacuated: bool) -> HttpResponse {
     if !registry.borrow().settings().regions.contains_key(&zone) {
-        return error(StatusCode::NOT_FOUND, "no such zone");
+        return error_response(StatusCode::NOT_FOUND, "no such zone");
     }
-    let what = if evacuated { "requested" } else { "ended" };
-    log::info!("operator: evacuation of {zone} {what}.");
+    let action = if evacuated { "requested" } else { "ended" };
+    log::info!("operator: evacuation of {zone} {action}.");
     let command = Command::Evacuate { zone, evacuated };
     submit(registry, command, ConfigSnapshot::to_json).await
 }
 
-/// Takes a change of the configuration. A body that can't be read is rejected in contact or out of it: the verdict rests
-/// on the body alone, so every registry gives the same one at any time, and no part of it has gone any further.
-async fn change(
+/// Submits a configuration change. An invalid body is rejected even while this registry is out of contact: validation
+/// depends on the body alone, so every registry gives the same result at any time, and no part of the change was
+/// submitted.
+async fn change_config(
     registry: &SharedRegistry,
     request: Request<Incoming>,
     read: fn(Vec<u8>) -> Result<ConfigChange, InvalidConfig>,
-) -> Answer {
-    let body = Limited::new(request.into_body(), MAX_CALL_BYTES)
+) -> HttpResponse {
+    let body = Limited::new(request.into_body(), MAX_BODY_BYTES)
         .collect()
         .await;
     let Ok(body) = body else {
-        return error(
+        return error_response(
             StatusCode::BAD_REQUEST,
-            "the body breaks off, or is too large",
+            "the request body is incomplete or too large",
         );
     };
     match read(body.to_bytes().to_vec()) {
         Ok(change) => submit(registry, Command::Change(change), ConfigSnapshot::to_json).await,
-        Err(invalid) => error(StatusCode::BAD_REQUEST, &invalid.to_string()),
+        Err(invalid) => error_response(StatusCode::BAD_REQUEST, &invalid.to_string()),
     }
 }
 
-/// Hands a command to the store. A registry out of contact neither acknowledges nor rejects nor reads: it sends the caller
-/// elsewhere. What the store replies comes from a round of the consensus, which a majority has taken part in.
-async fn submit(registry: &SharedRegistry, command: Command, show: ShowItems) -> Answer {
+/// Submits a command to the store and renders its reply. A registry out of contact neither confirms, rejects nor reads:
+/// it directs the caller to another machine. The store replies after a consensus round with a majority of the voters.
+async fn submit(registry: &SharedRegistry, command: Command, render: RenderConfig) -> HttpResponse {
     if !registry.borrow().is_in_contact() {
-        return error(StatusCode::SERVICE_UNAVAILABLE, OUT_OF_CONTACT);
+        return error_response(StatusCode::SERVICE_UNAVAILABLE, OUT_OF_CONTACT);
     }
     let submitted = registry.borrow_mut().submit(command);
     let Some(reply) = submitted else {
-        return error(StatusCode::SERVICE_UNAVAILABLE, "the store is not reached");
+        return error_response(
+            StatusCode::SERVICE_UNAVAILABLE,
+            "the store is not connected",
+        );
     };
-    match timeout(ANSWER_TIMEOUT, reply).await {
-        Ok(Ok(reply)) => answer_reply(reply, show),
-        Ok(Err(_)) | Err(_) => error(
+    match timeout(STORE_REPLY_TIMEOUT, reply).await {
+        Ok(Ok(reply)) => reply_response(reply, render),
+        Ok(Err(_)) | Err(_) => error_response(
             StatusCode::SERVICE_UNAVAILABLE,
             "the store did not answer in time",
         ),
     }
 }
 
-fn answer_reply(reply: CommandReply, show: ShowItems) -> Answer {
+fn reply_response(reply: CommandReply, render: RenderConfig) -> HttpResponse {
     match reply {
-        CommandReply::Done => answer(StatusCode::OK, "{}"),
+        CommandReply::Done => json_response(StatusCode::OK, "{}"),
         CommandReply::Config(items) => {
             let mut snapshot = ConfigSnapshot::default();
             for item in items {
                 snapshot.merge(item);
             }
-            answer(StatusCode::OK, show(&snapshot))
+            json_response(StatusCode::OK, render(&snapshot))
         }
         CommandReply::Invalid(reason) => {
             log::info!("operator: a call is rejected: {reason}.");
-            error(StatusCode::BAD_REQUEST, &reason)
+            error_response(StatusCode::BAD_REQUEST, &reason)
+        }
+        CommandReply::Unavailable(reason) => {
+            error_response(StatusCode::SERVICE_UNAVAILABLE, &reason)
         }
-        CommandReply::Unavailable(reason) => error(StatusCode::SERVICE_UNAVAILABLE, &reason),
     }
 }
 
-fn answer(status: StatusCode, body: impl Into<Bytes>) -> Answer {
-    let mut answer = Response::new(Full::new(body.into()));
-    *answer.status_mut() = status;
+fn json_response(status: StatusCode, body: impl Into<Bytes>) -> HttpResponse {
+    let mut response = Response::new(Full::new(body.into()));
+    *response.status_mut() = status;
     let json = HeaderValue::from_static("application/json");
-    answer.headers_mut().insert(CONTENT_TYPE, json);
-    answer
+    response.headers_mut().insert(CONTENT_TYPE, json);
+    response
 }
 
-fn error(status: StatusCode, reason: &str) -> Answer {
-    answer(status, report::to_json(&ErrorReport { error: reason }))
+fn error_response(status: StatusCode, reason: &str) -> HttpResponse {
+    json_response(status, report::to_json(&ErrorReport { error: reason }))
 }
--- a/crates/registry/src/platform.rs
+++ b/crates/registry/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's list of backends, read by the coordinator.
+//! Reads the platform's list of backends while this registry is the coordinator.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,25 +13,25 @@
 
 use crate::TICK;
 use crate::backend_list::{Page, PageError, read_page};
-use crate::registry::{SharedRegistry, log_list_dropped};
+use crate::registry::{SharedRegistry, log_list_discarded};
 
-/// Between two readings of the list, as a part of the time in which a drain must be obeyed: the rest is for a
-/// coordinator's loss.
+/// Interval between two readings of the list, as a fraction of the time within which a drain must take effect. The rest
+/// of that time is a margin for the loss of the coordinator.
 const POLL_FRACTION_OF_DRAIN: f64 = 0.2;
-/// The time in which a drain must be obeyed, where the settings do not say.
+/// Default time within which a drain must take effect, in milliseconds.
 const DEFAULT_DRAIN_MS: u64 = 2500;
-/// A call to the platform is given up after this.
+/// Timeout of a call to the platform.
 const CALL_TIMEOUT: Duration = Duration::from_millis(900);
-/// A coordinator takes this part of the calls that the platform allows: two coordinators in a row, each with its own
-/// calls in one second, stay within it.
+/// Fraction of the platform's rate limit that a coordinator uses: if the role changes, the old and the new coordinator
+/// together stay within the limit in any one second.
 const FRACTION_OF_RATE: f64 = 0.5;
 
-/// Why a page of the list can't be read.
+/// An error in reading a page of the list.
 #[derive(Debug, thiserror::Error)]
 enum PlatformError {
-    #[error("no answer in time")]
+    #[error("the call to the platform timed out")]
     Timeout,
-    #[error("answered {0}")]
+    #[error("the platform answered with status {0}")]
     Status(StatusCode),
     #[error(transparent)]
     Io(#[from] std::io::Error),
@@ -43,7 +43,7 @@
     Page(#[from] PageError),
 }
 
-/// Reads the list again and again while this registry is the coordinator, within the rate that all share.
+/// Reads the list repeatedly while this registry is the coordinator, within its part of the platform's rate limit.
 pub(crate) async fn poll(registry: SharedRegistry) {
     let Some(api) = registry.borrow().settings().cloud_api else {
         return;
@@ -68,7 +68,7 @@
     }
 }
 
-/// All pages of the list; `None` where one can't be read, or where the lease has ended before it is asked for.
+/// Reads all pages of the list; returns `None` if a page can't be read or the lease ends before a page is requested.
 async fn read_list(
     registry: &SharedRegistry,
     platform: SocketAddr,
@@ -79,7 +79,7 @@
     let mut path = "/instances".to_string();
     loop {
         if registry.borrow().acting_term() != Some(term) {
-            log_list_dropped(term);
+            log_list_discarded(term);
             return None;
         }
         let page = match fetch_page(platform, path).await {
--- a/crates/registry/src/proxies.rs
+++ b/crates/registry/src/proxies.rs
@@ -1,4 +1,4 @@
-//! The proxies that are connected, and those seen of late.
+//! The sessions of connected proxies, and the proxies seen recently.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -11,19 +11,20 @@
 use crate::directory::ProxyEndpoint;
 use crate::known_proxies::KnownProxies;
 
-/// A proxy that sent nothing for this long is not attached any more, and not named to clients.
+/// A proxy that has sent nothing for this long is no longer attached, and not given to clients.
 const ATTACHED_TIMEOUT: Duration = Duration::from_millis(1300);
 
-/// Numbers the connections of proxies.
+/// Identifies a connection of a proxy.
 pub(crate) type LinkNumber = u64;
 
-/// A connection of a proxy.
+/// The session with a proxy over one connection.
 pub(crate) struct ProxySession {
     status: ProxyStatus,
     sender: MessageSender,
     last_seen: Duration,
-    /// The number of the last update sent, and of the last one acknowledged.
+    /// Number of the last update sent.
     last_update: u64,
+    /// Number of the last update that the proxy has acknowledged.
     acknowledged: u64,
     exchanges_load_reports: bool,
 }
@@ -70,7 +71,7 @@
     }
 }
 
-/// The connections of proxies, and what is known of each proxy from any of them.
+/// The sessions with proxies by connection, and the state of each proxy across its connections.
 #[derive(Default)]
 pub(crate) struct ProxySessions {
     sessions: BTreeMap<LinkNumber, ProxySession>,
@@ -94,13 +95,13 @@
         self.sessions.get_mut(&link)
     }
 
-    /// The proxies that have sent something of late.
+    /// Returns the sessions in which a status or count report was received within `ATTACHED_TIMEOUT`.
     pub(crate) fn attached(&self, now: Duration) -> impl Iterator<Item = &ProxySession> {
         let is_attached = move |session: &&ProxySession| now < session.last_seen + ATTACHED_TIMEOUT;
         self.sessions.values().filter(is_attached)
     }
 
-    /// How many proxies are attached; one that has just reconnected counts once.
+    /// Returns the number of attached proxies; a proxy with several connections counts once.
     pub(crate) fn attached_count(&self, now: Duration) -> usize {
         self.attached_nodes(now).len()
     }
@@ -112,18 +113,18 @@
             .collect()
     }
 
-    /// How many proxies may be using their shares of what all may use together.
+    /// Returns the number of proxies that may be using their shares of the quotas.
     pub(crate) fn known_count(&mut self, now: Duration) -> usize {
-        self.known.count(now)
+        self.known.expire_and_count(now)
     }
 
-    /// The zones of proxies that were lost without a plan not long ago.
+    /// Returns the zones of proxies lost recently without a planned shutdown.
     pub(crate) fn zones_with_recent_loss(&self, now: Duration) -> Vec<&str> {
         self.known
             .zones_with_recent_loss(&self.attached_nodes(now), now)
     }
 
-    /// The attached proxies, each once, as the directory names them.
+    /// Returns the attached proxies, each once, as entries of the directory.
     pub(crate) fn endpoints(
         &self,
         now: Duration,
@@ -143,8 +144,8 @@
         by_node.into_values().collect()
     }
 
-    /// A proxy has reported its status, on whatever connection; returns an incarnation that is gone for good: this one took
-    /// its place, and nothing comes from it any more.
+    /// Processes a status report received over any connection; returns the incarnation that the reporting one has
+    /// replaced, if that incarnation has no open connection left.
     pub(crate) fn observe(&mut self, status: &ProxyStatus, now: Duration) -> Option<u64> {
         let replaced = self.known.observe(status, now)?;
         (!self.has_session(replaced)).then_some(replaced)
@@ -155,12 +156,13 @@
         sessions.any(|session| session.status.incarnation == incarnation)
     }
 
-    /// Whether a process whose connection has ended is gone for good: another runs in its place.
+    /// Returns whether a proxy process is gone for good: another incarnation has replaced it, and it has no open
+    /// connection.
     pub(crate) fn is_gone(&self, status: &ProxyStatus) -> bool {
         self.known.is_replaced(status) && !self.has_session(status.incarnation)
     }
 
-    /// Takes the status that came on a connection; returns whether the connection is new.
+    /// Stores the status received over a connection; returns whether the connection is new.
     pub(crate) fn update_status(
         &mut self,
         link: LinkNumber,
@@ -185,8 +187,8 @@
         true
     }
 
-    /// A report of counts shows that a proxy is attached, too.
-    pub(crate) fn touch(&mut self, link: LinkNumber, now: Duration) {
+    /// Records activity on a connection. Count reports also show that a proxy is attached.
+    pub(crate) fn record_activity(&mut self, link: LinkNumber, now: Duration) {
         if let Some(session) = self.sessions.get_mut(&link) {
             session.last_seen = now;
         }
@@ -204,24 +206,24 @@
         }
     }
 
-    /// A proxy says that it has left; returns its last status.
-    pub(crate) fn depart(&mut self, link: LinkNumber) -> Option<&ProxyStatus> {
+    /// Processes a departure notice; returns the proxy's last status.
+    pub(crate) fn record_departure(&mut self, link: LinkNumber) -> Option<&ProxyStatus> {
         let session = self.sessions.get(&link)?;
-        self.known.depart(&session.status);
+        self.known.record_departure(&session.status);
         Some(&session.status)
     }
 
-    /// How many proxies have left by plan and are not back.
+    /// Returns the number of proxies that have shut down as planned and have not started again.
     pub(crate) fn departed_count(&self) -> usize {
         self.known.departed_count()
     }
 
-    /// A connection has ended.
+    /// Removes the session of a closed connection.
     pub(crate) fn remove(&mut self, link: LinkNumber) -> Option<ProxySession> {
         self.sessions.remove(&link)
     }
 
-    /// Sends a message to the process of an incarnation, over its latest connection.
+    /// Sends a message to the proxy process with this incarnation, over its latest connection.
     pub(crate) fn send_to(&self, incarnation: u64, message: &Message) {
         let mut sessions = self.sessions.values().rev();
         let session = sessions.find(|session| session.status.incarnation == incarnation);
@@ -230,7 +232,7 @@
         }
     }
 
-    /// Sends a message to all proxies.
+    /// Sends a message over all connections of proxies.
     pub(crate) fn broadcast(&self, message: &Message) {
         let bytes = encode(message);
         for session in self.sessions.values() {
--- a/crates/registry/src/proxy_updates.rs
+++ b/crates/registry/src/proxy_updates.rs
@@ -1,4 +1,4 @@
-//! What proxies are sent: heartbeats, configuration, backends and counts, in messages of bounded size.
+//! Messages to proxies: heartbeats, configuration, backends and counts, each of bounded size.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -19,33 +19,34 @@
 use crate::proxies::{LinkNumber, ProxySession};
 use crate::registry::Registry;
 
-/// A proxy of another region gets one in so many heartbeats where this registry is not the coordinator: bytes between
-/// regions are paid for.
-const FAR_HEARTBEAT_EVERY: u32 = 3;
+/// A registry other than the coordinator sends a heartbeat to proxies of other regions only once in this many rounds,
+/// because traffic between regions is charged for.
+const REMOTE_HEARTBEAT_ROUNDS: u32 = 3;
 
-/// What heartbeats of one round have in common.
+/// The contents shared by all heartbeats of one round.
 struct HeartbeatRound {
     heartbeat: Heartbeat,
-    /// Ready proxies by region and node name, in the order of their positions.
+    /// Region and node name of the ready proxies. A proxy's position is its index among those of its region.
     ready: BTreeSet<(String, String)>,
     endpoints: Vec<ProxyEndpoint>,
 }
 
 impl Registry {
-    /// Whether this registry pushes updates to a proxy: to those of its region, and as the coordinator to all. The others
-    /// get them from registries of their own region, find by the heartbeats what they lack, and ask for it.
+    /// Returns whether this registry pushes updates to a proxy: the coordinator pushes to all proxies, other registries
+    /// to those of their region. Proxies of other regions get updates from registries of their own region; they detect
+    /// missing ones by the versions in heartbeats and request them.
     fn pushes_to(&self, status: &ProxyStatus) -> bool {
         let is_own_region = self.region_of(&status.zone) == self.settings().region;
         self.role.term().is_some() || is_own_region
     }
 
-    /// Sends heartbeats to all proxies whose turn it is.
+    /// Sends the heartbeats of one round, and the allotment status.
     pub(crate) fn send_heartbeats(&mut self) {
-        let round = self.heartbeat_round();
+        let round = self.prepare_heartbeats();
         self.heartbeat_round += 1;
-        let is_far_turn = self.heartbeat_round.is_multiple_of(FAR_HEARTBEAT_EVERY);
+        let is_remote_round = self.heartbeat_round.is_multiple_of(REMOTE_HEARTBEAT_ROUNDS);
         for (_, session) in self.proxies.all() {
-            if is_far_turn || self.pushes_to(session.status()) {
+            if is_remote_round || self.pushes_to(session.status()) {
                 self.send_heartbeat(session, &round);
             }
         }
@@ -54,13 +55,13 @@
 
     /// Sends a heartbeat to a proxy that has just connected.
     fn send_first_heartbeat(&mut self, link: LinkNumber) {
-        let round = self.heartbeat_round();
+        let round = self.prepare_heartbeats();
         if let Some(session) = self.proxies.get(link) {
             self.send_heartbeat(session, &round);
         }
     }
 
-    fn heartbeat_round(&mut self) -> HeartbeatRound {
+    fn prepare_heartbeats(&mut self) -> HeartbeatRound {
         let now = self.now();
         let config_digest = if self.has_all_items {
             self.config.digest()
@@ -106,13 +107,14 @@
         }));
         if session.exchanges_load_reports() {
             let address = SocketAddr::from(status.address);
-            let turn = self.heartbeat_round;
-            let partners = partners::partners(&round.endpoints, address, &region, turn);
+            let number = self.heartbeat_round;
+            let partners = partners::select_partners(&round.endpoints, address, &region, number);
             session.send(&partners_message(&partners));
         }
     }
 
-    /// Takes a proxy's status; one that has just connected is sent the list and a heartbeat.
+    /// Processes a proxy's status. A proxy that has just connected is sent a heartbeat, and the backend list if this
+    /// registry pushes updates to it.
     pub(crate) fn receive_status(
         &mut self,
         link: LinkNumber,
@@ -136,7 +138,8 @@
         self.send_first_heartbeat(link);
     }
 
-    /// Takes a proxy's counts. A registry that is not the coordinator does not answer: the proxy keeps to its share.
+    /// Records a proxy's counts and answers with the totals. A registry that is not the coordinator does not answer;
+    /// without totals, the proxy limits itself to its own share of each quota.
     pub(crate) fn receive_counts(&mut self, link: LinkNumber, counts: &[NamedCount]) {
         let now = self.now();
         let Some(session) = self.proxies.get(link) else {
@@ -148,12 +151,12 @@
             .record_counts(&self.lease, now, incarnation, counts);
         if let Some(CountTotals { term, totals }) = totals {
             session.send(&Message::CountTotals { term, totals });
-            self.proxies.touch(link, now);
+            self.proxies.record_activity(link, now);
             self.role.allotments_mut().see(incarnation, now);
         }
     }
 
-    /// Sends the totals of tenants near their quotas to all proxies.
+    /// Sends the due totals of tenants near or above their quotas to all proxies.
     pub(crate) fn send_count_updates(&mut self, now: Duration) {
         let totals = self.role.take_count_updates(&self.lease, now);
         if let Some(CountTotals { term, totals }) = totals {
@@ -162,8 +165,8 @@
         }
     }
 
-    /// Answers a proxy that catches up. Without everything that its store has committed, the registry does not answer: a
-    /// proxy would take a part for the whole.
+    /// Answers a configuration transfer request of a proxy. A registry that does not have all committed items does not
+    /// answer, because the proxy would take the partial configuration for the whole.
     pub(crate) fn answer_transfer(&mut self, link: LinkNumber, message: &TransferMessage) {
         if !self.has_all_items {
             return;
@@ -174,8 +177,8 @@
         }
     }
 
-    /// Pushes items that were just committed. Of more than a few messages of them each proxy is only told that there are
-    /// some, and fetches them at its own pace, from one registry.
+    /// Pushes newly committed items to proxies. If the items exceed `CHUNKS_IN_FLIGHT` messages, proxies are only
+    /// notified of the change, and each fetches the items at its own pace from one registry.
     pub(crate) fn push_items(&mut self, items: Vec<Item>) {
         if !self.has_all_items {
             return;
@@ -200,8 +203,8 @@
         }
     }
 
-    /// Sends the list of backends to one proxy, or to all. It may have been read by another registry: where this one is not
-    /// the coordinator, an old list is better than none.
+    /// Sends the list of backends to one proxy, or to all. A registry that is not the coordinator sends a list read by
+    /// another registry, even if it may be out of date: an old list is better than none.
     pub(crate) fn send_backends(&mut self, link: Option<LinkNumber>) {
         if self.backends.version.term == 0 || !self.role.may_send_list() {
             return;
--- a/crates/registry/src/registry.rs
+++ b/crates/registry/src/registry.rs
@@ -1,7 +1,8 @@
-//! What one registry knows and does: time and messages come in; what goes out is returned, or handed to connections.
+//! The state of one registry. Ticks and received messages are its inputs; outgoing datagrams are returned to the caller,
+//! and messages to proxies and to the store are written to their connections.
 //!
-//! The parts have one owner each: [`CommonTime`], [`Membership`], [`LeaseElection`], [`Contact`], [`CoordinatorRole`],
-//! [`ProxySessions`] and [`StoreSession`]. The registry connects them.
+//! The state is made of [`CommonTime`], [`Membership`], [`LeaseElection`], [`Contact`], [`CoordinatorRole`],
+//! [`ProxySessions`] and [`StoreSession`]. [`Registry`] owns them and passes information between them.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -28,13 +29,14 @@
 use crate::proxies::{LinkNumber, ProxySessions};
 use crate::store_session::StoreSession;
 
-/// Between two heartbeats to a proxy: three in the time after which it would look for another coordinator.
+/// Interval between two heartbeats to a proxy: three heartbeats fit into the time after which a proxy looks for another
+/// coordinator.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
 
-/// The registry, shared by the tasks of its one thread. No task holds the borrow over an `await`.
+/// The registry, shared by the tasks of its one thread. No task may hold a borrow across an `await`.
 pub(crate) type SharedRegistry = Rc<RefCell<Registry>>;
 
-/// The bytes of a datagram, and the registry that it is for.
+/// The address of the receiving registry and the encoded datagram.
 pub(crate) type OutgoingDatagram = (Ip, Vec<u8>);
 
 pub(crate) struct Registry {
@@ -48,14 +50,15 @@
     pub(crate) proxies: ProxySessions,
     pub(crate) store: StoreSession,
     pub(crate) config: ConfigSnapshot,
-    /// Follows from the configuration; kept up to date because clients ask many times a second.
+    /// Home regions by host, derived from `config`. Updated with each changed item instead of computed per lookup,
+    /// because clients send many lookups a second.
     pub(crate) host_homes: HostHomes,
-    /// The store has sent everything that it knows to be committed.
+    /// Whether the store has sent all items that it knows to be committed.
     pub(crate) has_all_items: bool,
     pub(crate) backends: BackendList,
     was_in_contact: bool,
     next_heartbeat_at: Duration,
-    /// Counts the rounds of heartbeats.
+    /// Number of heartbeat rounds sent so far.
     pub(crate) heartbeat_round: u32,
     is_leaving: bool,
 }
@@ -90,7 +93,7 @@
         &self.settings
     }
 
-    /// The time since this process's start.
+    /// Returns the time since the start of this process.
     pub(crate) fn now(&self) -> Duration {
         self.time.now()
     }
@@ -99,7 +102,7 @@
         self.settings.regions.get(zone).cloned().unwrap_or_default()
     }
 
-    /// All registries not known to be dead, this one first.
+    /// Returns all registries not known to be dead, this one first.
     pub(crate) fn registries(&self) -> Vec<Ip> {
         let others = self
             .membership
@@ -109,26 +112,27 @@
         std::iter::once(self.own_ip).chain(others).collect()
     }
 
-    /// Whether this registry may answer for the whole system.
+    /// Returns whether this registry may answer for the whole system: a majority of the voters has answered recently,
+    /// and no newer epoch of the voters is known.
     pub(crate) fn is_in_contact(&self) -> bool {
         self.contact.is_in_contact(self.now()) && !self.lease.is_behind()
     }
 
-    /// The term under which this registry may act as the coordinator now.
+    /// Returns the term under which this registry may act as the coordinator now; `None` if it may not.
     pub(crate) fn acting_term(&self) -> Option<u64> {
         self.role.acting_term(&self.lease, self.now())
     }
 
-    /// The proxies as the directory names them.
+    /// Returns the attached proxies as entries of the directory.
     pub(crate) fn proxy_endpoints(&self) -> Vec<ProxyEndpoint> {
         self.proxies
             .endpoints(self.now(), |zone| self.region_of(zone))
     }
 
-    /// What the directory's answer to a client rests on, besides the proxies.
+    /// Returns the inputs of a directory lookup other than the proxies.
     pub(crate) fn lookup<'a>(&self, host: &str, region: &'a str, zone: &'a str) -> Lookup<'a> {
         let homes = if self.has_all_items {
-            self.host_homes.of(host)
+            self.host_homes.home_regions(host)
         } else {
             HomeRegions::Unknown
         };
@@ -145,19 +149,19 @@
         }
     }
 
-    /// Time has passed: datagrams to send.
+    /// Runs all periodic work; returns the datagrams to send.
     pub(crate) fn tick(&mut self) -> Vec<OutgoingDatagram> {
         let now = self.now();
-        self.time.begin_when_due();
+        self.time.start_own_clock_if_due();
         let mut datagrams = self.tick_membership(now);
         datagrams.extend(self.probe_voters(now));
-        self.store.ask_epoch_when_due(now);
+        self.store.query_epoch_if_due(now);
         let alive = self.membership.alive();
         datagrams.extend(self.tick_lease(now, &alive));
-        self.follow_lease(now);
+        self.sync_role(now);
         self.send_count_updates(now);
         self.send_allotments(now);
-        self.note_contact(now);
+        self.update_contact(now);
         if now >= self.next_heartbeat_at {
             self.next_heartbeat_at = now + HEARTBEAT_INTERVAL;
             self.send_heartbeats();
@@ -172,7 +176,7 @@
         self.encode_all(output.datagrams)
     }
 
-    /// Probes whose answers show that a majority of the voters is in contact.
+    /// Returns the probes that are due; their answers show whether a majority of the voters is in contact.
     fn probe_voters(&mut self, now: Duration) -> Vec<OutgoingDatagram> {
         let probes = self.contact.tick(now).into_iter();
         let pings = probes.map(|(to, number)| (to, GossipBody::Ping { number }));
@@ -190,43 +194,43 @@
         }
     }
 
-    /// A message of the lease to all other registries.
+    /// Returns datagrams that carry a lease message to all other registries.
     fn lease_datagrams(&mut self, alive: &[Ip], message: &LeaseMessage) -> Vec<OutgoingDatagram> {
         let others = alive.iter().filter(|ip| **ip != self.own_ip);
         let bodies = others.map(|to| (*to, GossipBody::Lease(message.clone())));
         self.encode_all(bodies.collect())
     }
 
-    /// The coordinator's role goes with the lease.
-    fn follow_lease(&mut self, now: Duration) {
+    /// Takes or gives up the coordinator's role according to the lease.
+    fn sync_role(&mut self, now: Duration) {
         let held_term = self.lease.held_term(now);
         let is_initial_start = self.settings.initial_start;
-        if !self.role.follow_lease(held_term, is_initial_start, now) {
+        if !self.role.sync_with_lease(held_term, is_initial_start, now) {
             return;
         }
         match self.role.term() {
             Some(term) => {
                 log::info!("coordinator: acquired the lease, term {term}.");
-                // Proxies that have not heard of it report no counts, and are missing from the totals.
+                // Proxies report their counts only to a coordinator that they know of; until then the totals lack them.
                 self.next_heartbeat_at = now;
             }
             None => log::info!("coordinator: the lease is lost."),
         }
     }
 
-    fn note_contact(&mut self, now: Duration) {
+    fn update_contact(&mut self, now: Duration) {
         let is_in_contact = self.is_in_contact();
         if is_in_contact == self.was_in_contact {
             return;
         }
-        let what = if is_in_contact { "with" } else { "lost with" };
-        log::info!("contact: {what} a majority of the voters.");
-        // Proxies that start wait for this.
+        let change = if is_in_contact { "established" } else { "lost" };
+        log::info!("contact: contact with a majority of the voters {change}.");
+        // Starting proxies wait for a heartbeat from a registry in contact.
         self.next_heartbeat_at = now;
         self.was_in_contact = is_in_contact;
     }
 
-    /// SIGTERM: names a successor, if this registry is the coordinator.
+    /// Prepares the shutdown after SIGTERM: a coordinator transfers the lease. Returns the datagrams to send.
     pub(crate) fn leave(&mut self) -> Vec<OutgoingDatagram> {
         self.is_leaving = true;
         let now = self.now();
@@ -235,9 +239,9 @@
             return vec![];
         };
         if let LeaseMessage::Transfer { to, .. } = &message {
-            log::info!("coordinator: transfers the lease to {}.", ip_addr(*to));
+            log::info!("coordinator: transferring the lease to {}.", ip_addr(*to));
         }
-        self.role.follow_lease(None, false, now);
+        self.role.sync_with_lease(None, false, now);
         self.lease_datagrams(&alive, &message)
     }
 
@@ -258,7 +262,7 @@
         })
     }
 
-    /// Takes a datagram of another registry; returns the answers.
+    /// Processes a datagram of another registry; returns the answers to send.
     pub(crate) fn receive_datagram(&mut self, datagram: &Datagram) -> Vec<OutgoingDatagram> {
         let now = self.now();
         let from = datagram.from;
@@ -283,7 +287,7 @@
         self.encode_all(answers)
     }
 
-    /// Takes a reading of the platform's list that began under that term.
+    /// Publishes the platform's list, which was read under `term`, unless that term is over.
     pub(crate) fn publish_list(&mut self, term: u64, backends: Vec<Backend>) {
         let now = self.now();
         let known = &mut self.backends;
@@ -291,23 +295,23 @@
             .role
             .publish_list(&self.lease, now, term, backends, known)
         {
-            ListOutcome::LeaseLost => log_list_dropped(term),
+            ListOutcome::LeaseLost => log_list_discarded(term),
             ListOutcome::Unchanged => {}
             ListOutcome::Changed => {
-                log::info!("list: {} backends.", self.backends.backends.len());
+                log::info!("list: changed, {} backends.", self.backends.backends.len());
                 self.send_backends(None);
                 self.store.send_backends(&self.backends);
             }
         }
     }
 
-    /// Hands a command to the store; `None` where it can't be reached.
+    /// Submits a command to the store; returns the receiver of the reply, or `None` if the store is not connected.
     pub(crate) fn submit(&mut self, command: Command) -> Option<oneshot::Receiver<CommandReply>> {
         let now = self.now();
         self.store.submit(command, now)
     }
 
-    /// Takes a message of a proxy.
+    /// Processes a message of a proxy.
     pub(crate) fn receive_from_proxy(
         &mut self,
         link: LinkNumber,
@@ -336,7 +340,8 @@
         }
     }
 
-    /// The connection of a proxy has ended.
+    /// Removes the session of a closed connection, and releases the allotments of a proxy process that has been
+    /// replaced.
     pub(crate) fn proxy_disconnected(&mut self, link: LinkNumber) {
         let Some(session) = self.proxies.remove(link) else {
             return;
@@ -348,18 +353,18 @@
         }
     }
 
-    /// A proxy's last word: it admits nothing any more, and what it held is free.
+    /// Processes a proxy's departure notice: the proxy admits no more requests, so its allotments are released.
     fn proxy_departed(&mut self, link: LinkNumber) {
-        if let Some(status) = self.proxies.depart(link) {
+        if let Some(status) = self.proxies.record_departure(link) {
             log::info!("proxies: {} has left by plan.", status.node);
             self.role.allotments_mut().release(status.incarnation);
         }
     }
 }
 
-/// A reading of the list that began under a lease that is over.
-pub(crate) fn log_list_dropped(term: u64) {
-    log::info!("list: the lease is lost, the reading of term {term} is dropped.");
+/// Logs that a list is discarded because the lease under which its reading began is over.
+pub(crate) fn log_list_discarded(term: u64) {
+    log::info!("list: the lease is lost, discarding the list read in term {term}.");
 }
 
 fn log_changes(changes: &[MembershipChange]) {
--- a/crates/registry/src/report.rs
+++ b/crates/registry/src/report.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers to outside calls, as JSON. The fields' names are those of the operators' pages.
+//! JSON response bodies of the HTTP API. The field names are documented for operators and must not change.
 
 use std::net::SocketAddr;
 
@@ -11,12 +11,12 @@
     pub(crate) up_ms: u64,
     /// Registries not known to be dead.
     pub(crate) registries: Vec<String>,
-    /// The epoch of the voters; 0: none is known here.
+    /// The epoch of the voters; 0 if none is known.
     pub(crate) epoch: u64,
     pub(crate) voters: Vec<String>,
-    /// Whether a majority of the voters has answered of late.
+    /// Whether this registry is in contact with a majority of the voters.
     pub(crate) in_contact: bool,
-    /// How long ago a majority answered; `None`: never.
+    /// Time since a majority last answered, in milliseconds; `None` if it never has.
     pub(crate) contact_age_ms: Option<u64>,
     pub(crate) coordinator: Option<CoordinatorReport>,
     pub(crate) store_reached: bool,
@@ -32,7 +32,7 @@
     pub(crate) term: u64,
 }
 
-/// The platform's list as it is known here.
+/// The platform's list as known to this registry.
 #[derive(Serialize)]
 pub(crate) struct ListReport {
     pub(crate) term: u64,
@@ -48,7 +48,7 @@
     pub(crate) news_not_acknowledged: u64,
 }
 
-/// The directory's answer.
+/// The response to a directory lookup.
 #[derive(Serialize)]
 pub(crate) struct LookupReport {
     pub(crate) addresses: Vec<SocketAddr>,
@@ -60,7 +60,7 @@
     pub(crate) error: &'a str,
 }
 
-/// The text of a report; these types hold nothing that has none.
+/// Serializes a report as JSON. Serialization of these types can't fail.
 pub(crate) fn to_json<T: Serialize>(report: &T) -> Vec<u8> {
     serde_json::to_vec(report).unwrap_or_default()
 }
--- a/crates/registry/src/state_report.rs
+++ b/crates/registry/src/state_report.rs
@@ -1,4 +1,4 @@
-//! The state of the system as one registry sees it.
+//! Builds the state report: the state of the system as one registry sees it.
 
 use std::time::Duration;
 
@@ -8,8 +8,8 @@
 use crate::report::{self, CoordinatorReport, ListReport, ProxyReport, StateReport};
 
 impl Registry {
-    /// The state of the system as seen from here, for `damsonbeam-ctl state`.
-    pub(crate) fn describe(&self) -> Vec<u8> {
+    /// Returns the state report as JSON, for `damsonbeam-ctl state`.
+    pub(crate) fn state_report_json(&self) -> Vec<u8> {
         let now = self.now();
         let voters = self
             .lease
--- a/crates/registry/src/store_messages.rs
+++ b/crates/registry/src/store_messages.rs
@@ -1,4 +1,4 @@
-//! What the store on this machine sends: voters, committed items, replies.
+//! Processes the messages of the store on this machine: voters, committed items and replies to commands.
 
 use damsonbeam_control::address::ip_texts;
 use damsonbeam_control::config::{Item, ItemKind, Tenant};
@@ -9,20 +9,20 @@
 use crate::registry::Registry;
 
 impl Registry {
-    /// The connection to the store is up.
+    /// Starts the session over a new connection to the store.
     pub(crate) fn store_connected(&mut self, sender: MessageSender) {
         self.store.connect(sender);
         self.store.send_roster(self.membership.alive());
         log::info!("store: connected.");
     }
 
-    /// The connection to the store has ended.
+    /// Ends the session after its connection was closed.
     pub(crate) fn store_disconnected(&mut self) {
         self.store.disconnect();
         log::warn!("store: disconnected.");
     }
 
-    /// Takes a message of the store.
+    /// Processes a message of the store.
     pub(crate) fn receive_from_store(&mut self, message: Message) {
         match message {
             Message::Roster { ips } => {
@@ -32,8 +32,8 @@
             }
             Message::Voters { epoch, voters } => self.set_voters(VoterSet::new(epoch, voters)),
             Message::EpochConfirmed { number, epoch } => {
-                // It is valid from when the store was asked.
-                if let Some(asked_at) = self.store.receive_epoch(number) {
+                // The validity of the confirmed epoch starts when the query was sent.
+                if let Some(asked_at) = self.store.receive_epoch_answer(number) {
                     self.lease.confirm_epoch(epoch, asked_at);
                 }
             }
@@ -59,7 +59,7 @@
         self.membership.add_seeds(voters.voters().iter().copied());
         self.contact.set_voters(voters.clone());
         self.lease.set_voters(voters);
-        self.store.forget_epoch_question();
+        self.store.discard_epoch_query();
     }
 
     fn apply_committed(&mut self, items: Vec<Item>, complete: bool) {
--- a/crates/registry/src/store_session.rs
+++ b/crates/registry/src/store_session.rs
@@ -1,5 +1,5 @@
-//! The session with the configuration store on this machine: commands without a reply, the roster that it was sent, and the
-//! question whether its epoch is still the present one.
+//! The session with the configuration store on this machine: commands that wait for a reply, the roster last sent to the
+//! store, and the periodic query for the store's epoch.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -10,27 +10,27 @@
 use damsonbeam_control::messages::{BackendList, Command, CommandReply, Message};
 use tokio::sync::oneshot;
 
-/// Between two questions on the store's epoch: several in the time for which its answer is valid.
-const EPOCH_QUESTION_INTERVAL: Duration = Duration::from_millis(250);
+/// Interval between an answered epoch query and the next one: several queries fit into the validity of one answer.
+const EPOCH_QUERY_INTERVAL: Duration = Duration::from_millis(250);
 
-/// An operator's call that waits for the store's reply.
+/// A submitted command that waits for the store's reply.
 struct PendingReply {
     reply_to: oneshot::Sender<CommandReply>,
     submitted_at: Duration,
 }
 
-/// A question on the store's epoch.
-struct EpochQuestion {
+/// A query for the store's epoch.
+struct EpochQuery {
     number: u64,
     asked_at: Duration,
     is_answered: bool,
 }
 
-impl EpochQuestion {
-    /// Whether another is to be asked.
-    fn is_over(&self, now: Duration) -> bool {
+impl EpochQuery {
+    /// Returns whether the next query is due. An unanswered query is repeated when its answer would no longer be valid.
+    fn is_expired(&self, now: Duration) -> bool {
         let wait = if self.is_answered {
-            EPOCH_QUESTION_INTERVAL
+            EPOCH_QUERY_INTERVAL
         } else {
             EPOCH_CONFIRMATION_VALIDITY
         };
@@ -38,15 +38,15 @@
     }
 }
 
-/// The session, connected or not.
+/// The session with the store, connected or not.
 #[derive(Default)]
 pub(crate) struct StoreSession {
     sender: Option<MessageSender>,
     last_number: u64,
     pending_replies: HashMap<u64, PendingReply>,
-    /// The registries alive as the store was told last.
+    /// The registries alive according to the roster last sent to the store.
     roster_sent: Vec<Ip>,
-    epoch_question: Option<EpochQuestion>,
+    epoch_query: Option<EpochQuery>,
 }
 
 impl StoreSession {
@@ -59,10 +59,10 @@
         self.sender = Some(sender);
     }
 
-    /// The callers of commands without a reply get none.
+    /// Ends the session. The callers of commands that still wait for a reply get an error.
     pub(crate) fn disconnect(&mut self) {
         self.sender = None;
-        self.epoch_question = None;
+        self.epoch_query = None;
         self.pending_replies.clear();
     }
 
@@ -71,7 +71,7 @@
         self.last_number
     }
 
-    /// Submits a command; `None` where the store can't be reached.
+    /// Submits a command; returns the receiver of the reply, or `None` if the store is not connected.
     pub(crate) fn submit(
         &mut self,
         command: Command,
@@ -91,14 +91,15 @@
         Some(reply)
     }
 
-    /// The store replies to a command.
+    /// Passes the store's reply to the caller of the command.
     pub(crate) fn receive_reply(&mut self, number: u64, reply: CommandReply) {
         if let Some(pending) = self.pending_replies.remove(&number) {
             pending.reply_to.send(reply).ok();
         }
     }
 
-    /// The store asks whether a command is still wanted; no answer means that it is not.
+    /// Answers the store's question whether the caller of a command still waits, and for how long so far. Sends nothing
+    /// for an abandoned command; the store then does not carry out the command.
     pub(crate) fn confirm_submit(&self, number: u64, now: Duration) {
         let pending = self.pending_replies.get(&number);
         let pending = pending.filter(|pending| !pending.reply_to.is_closed());
@@ -109,12 +110,12 @@
         }
     }
 
-    /// Asks for the store's epoch when it is time to.
-    pub(crate) fn ask_epoch_when_due(&mut self, now: Duration) {
+    /// Queries the store's epoch if a query is due.
+    pub(crate) fn query_epoch_if_due(&mut self, now: Duration) {
         let is_due = self
-            .epoch_question
+            .epoch_query
             .as_ref()
-            .is_none_or(|question| question.is_over(now));
+            .is_none_or(|query| query.is_expired(now));
         if !is_due || self.sender.is_none() {
             return;
         }
@@ -122,29 +123,30 @@
         if let Some(sender) = &self.sender {
             sender.send(&Message::ConfirmEpoch { number });
         }
-        self.epoch_question = Some(EpochQuestion {
+        self.epoch_query = Some(EpochQuery {
             number,
             asked_at: now,
             is_answered: false,
         });
     }
 
-    /// The store answers the question on its epoch; returns when it was asked. `None`: it is another question.
-    pub(crate) fn receive_epoch(&mut self, number: u64) -> Option<Duration> {
-        let question = self.epoch_question.as_mut()?;
-        if question.number != number {
+    /// Marks the epoch query with this number as answered; returns when the query was sent, or `None` if this is not the
+    /// latest query.
+    pub(crate) fn receive_epoch_answer(&mut self, number: u64) -> Option<Duration> {
+        let query = self.epoch_query.as_mut()?;
+        if query.number != number {
             return None;
         }
-        question.is_answered = true;
-        Some(question.asked_at)
+        query.is_answered = true;
+        Some(query.asked_at)
     }
 
-    /// The voters have changed: what was asked of the epoch before is of no use.
-    pub(crate) fn forget_epoch_question(&mut self) {
-        self.epoch_question = None;
+    /// Discards the epoch query after a change of the voters: its answer would be about the previous epoch.
+    pub(crate) fn discard_epoch_query(&mut self) {
+        self.epoch_query = None;
     }
 
-    /// The store must know the other machines.
+    /// Sends the registries alive to the store if they have changed: the store finds the other machines by them.
     pub(crate) fn send_roster(&mut self, alive: Vec<Ip>) {
         if alive == self.roster_sent {
             return;
--- a/crates/registry/tests/calls.rs
+++ b/crates/registry/tests/calls.rs
@@ -1,38 +1,38 @@
-//! Which outside call a request line means.
+//! Tests of the parser for request lines of the HTTP API.
 
 use damsonbeam_registry::calls::{Call, CallError};
 
 #[test]
-fn a_call_is_recognised_by_path_then_method() {
-    let zone = |evacuated| {
+fn request_line_is_matched_by_path_then_method() {
+    let evacuate = |evacuated| {
         Ok(Call::Evacuate {
             zone: "brest-a".into(),
             evacuated,
         })
     };
     assert_eq!(
-        Call::read("POST", "/-/evacuations/brest-a", None),
-        zone(true)
+        Call::parse("POST", "/-/evacuations/brest-a", None),
+        evacuate(true)
     );
     assert_eq!(
-        Call::read("DELETE", "/-/evacuations/brest-a", None),
-        zone(false)
+        Call::parse("DELETE", "/-/evacuations/brest-a", None),
+        evacuate(false)
     );
     assert_eq!(
-        Call::read("PUT", "/-/evacuations/brest-a", None),
+        Call::parse("PUT", "/-/evacuations/brest-a", None),
         Err(CallError::UnknownMethod)
     );
     assert_eq!(
-        Call::read("POST", "/-/evacuations/", None),
+        Call::parse("POST", "/-/evacuations/", None),
         Err(CallError::UnknownPath)
     );
     assert_eq!(
-        Call::read("GET", "/-/evacuations", None),
+        Call::parse("GET", "/-/evacuations", None),
         Err(CallError::UnknownPath)
     );
     assert_eq!(
-        Call::read("PATCH", "/-/configuration", None),
-        Ok(Call::Change)
+        Call::parse("PATCH", "/-/configuration", None),
+        Ok(Call::ChangeConfig)
     );
     let lookup = Call::Lookup {
         host: "x".into(),
@@ -40,7 +40,7 @@
         zone: "brest-a".into(),
     };
     assert_eq!(
-        Call::read(
+        Call::parse(
             "GET",
             "/-/lookup",
             Some("name=x&region=finistere&zone=brest-a")
--- a/crates/registry/tests/coordinator.rs
+++ b/crates/registry/tests/coordinator.rs
@@ -1,5 +1,5 @@
-//! Acts of the coordinator against the lease itself: a holder that was frozen, slowed or cut off does none of
-//! them late.
+//! Tests of the coordinator's actions against the lease: a holder that was suspended, slowed down or partitioned does
+//! not complete an action after its lease has ended.
 
 use std::time::Duration;
 
@@ -38,15 +38,15 @@
     election
 }
 
-/// Two voters that reach each other, in steps of 50 ms; one of them may be frozen.
-fn play(all: &mut [LeaseElection; 2], ms: std::ops::Range<u64>, frozen: Option<usize>) {
+/// Runs the elections of two connected voters in steps of 50 ms. The voter with index `suspended` does not run.
+fn run_elections(all: &mut [LeaseElection; 2], ms: std::ops::Range<u64>, suspended: Option<usize>) {
     for t in ms.step_by(50) {
-        for n in (0..2).filter(|n| Some(*n) != frozen) {
+        for n in (0..2).filter(|n| Some(*n) != suspended) {
             all[n].confirm_epoch(1, at(t));
             let Some(claim) = all[n].tick(at(t), &[ME, OTHER]) else {
                 continue;
             };
-            if frozen.is_some() {
+            if suspended.is_some() {
                 continue;
             }
             let from = [ME, OTHER];
@@ -57,15 +57,17 @@
     }
 }
 
-/// The first of two voters holds the lease, at 3 s, and has read the list once.
-fn holder() -> ([LeaseElection; 2], CoordinatorRole, BackendList, u64) {
+/// Returns a state at 3 s in which the first of two voters holds the lease and has published the list once.
+fn lease_holder() -> ([LeaseElection; 2], CoordinatorRole, BackendList, u64) {
     let mut all = [election(ME), election(OTHER)];
-    play(&mut all, 0..3000, None);
-    let term = all[0].held_term(at(3000)).expect("the first holds it");
+    run_elections(&mut all, 0..3000, None);
+    let term = all[0]
+        .held_term(at(3000))
+        .expect("the first voter holds the lease");
     let (mut role, mut list) = (CoordinatorRole::default(), BackendList::default());
     assert!(
-        role.follow_lease(Some(term), false, at(0)) && !role.may_send_list(),
-        "it gives a list that it has not read"
+        role.sync_with_lease(Some(term), false, at(0)) && !role.may_send_list(),
+        "a list may be sent before it was read in this term"
     );
     let reading = role.publish_list(&all[0], at(3000), term, vec![backend("i-1")], &mut list);
     assert_eq!(
@@ -76,35 +78,35 @@
 }
 
 #[test]
-fn a_reading_that_outlives_the_lease_is_dropped_though_the_holder_has_not_looked_since() {
-    let (all, mut role, mut list, term) = holder();
-    // Frozen between two pages for 1.5 s: no tick has come, so the role still bears the term.
-    let woken = at(4500);
+fn list_read_past_the_end_of_the_lease_is_discarded_before_the_next_tick() {
+    let (all, mut role, mut list, term) = lease_holder();
+    // The process was suspended between two pages for 1.5 s: no tick has run, so the role still has the term.
+    let resumed_at = at(4500);
     assert_eq!(role.term(), Some(term));
     assert_eq!(
-        role.acting_term(&all[0], woken),
+        role.acting_term(&all[0], resumed_at),
         None,
-        "it would ask for the next page"
+        "the next page would be requested"
     );
     let before = list.clone();
-    let reading = role.publish_list(&all[0], woken, term, vec![backend("i-2")], &mut list);
+    let reading = role.publish_list(&all[0], resumed_at, term, vec![backend("i-2")], &mut list);
     assert_eq!((reading, &list), (ListOutcome::LeaseLost, &before));
 }
 
 #[test]
-fn a_reading_begun_in_an_earlier_term_is_dropped_in_the_next_term_of_the_same_registry() {
-    let (mut all, mut role, mut list, term) = holder();
-    play(&mut all, 3000..9000, Some(0));
-    play(&mut all, 9000..16_000, None);
+fn list_read_in_an_earlier_term_is_discarded_in_a_later_term_of_the_same_registry() {
+    let (mut all, mut role, mut list, term) = lease_holder();
+    run_elections(&mut all, 3000..9000, Some(0));
+    run_elections(&mut all, 9000..16_000, None);
     let Some(next) = all[0].held_term(at(15_950)) else {
-        // The other one has it: nothing of the first one's is published either.
-        role.follow_lease(None, false, at(0));
+        // The other voter holds the lease: the first one's list is not published either.
+        role.sync_with_lease(None, false, at(0));
         let reading = role.publish_list(&all[0], at(15_950), term, vec![backend("i-2")], &mut list);
         assert_eq!(reading, ListOutcome::LeaseLost);
         return;
     };
     assert!(next > term);
-    role.follow_lease(Some(next), false, at(0));
+    role.sync_with_lease(Some(next), false, at(0));
     assert_eq!(
         role.publish_list(&all[0], at(15_950), term, vec![backend("i-2")], &mut list),
         ListOutcome::LeaseLost
@@ -116,15 +118,15 @@
 }
 
 #[test]
-fn a_list_of_a_later_term_is_not_replaced_and_an_unchanged_one_is_not_sent_again() {
-    let (all, mut role, mut list, term) = holder();
+fn list_of_a_later_term_is_not_replaced_and_an_unchanged_list_is_not_sent_again() {
+    let (all, mut role, mut list, term) = lease_holder();
     let again = role.publish_list(&all[0], at(3050), term, vec![backend("i-1")], &mut list);
     assert_eq!(
         (again, list.version.revision),
         (ListOutcome::Unchanged, 1),
-        "proxies would ask for the same list"
+        "a higher revision would make proxies fetch the same list"
     );
-    // The store has told of a list by a later holder.
+    // The store has sent a list of a later holder.
     let mut later = BackendList {
         version: BackendListVersion {
             term: term + 1,
@@ -141,8 +143,8 @@
 }
 
 #[test]
-fn counts_are_answered_by_the_holder_alone_and_bear_its_term() {
-    let (all, mut role, _, term) = holder();
+fn counts_are_answered_only_by_the_lease_holder_and_with_its_term() {
+    let (all, mut role, _, term) = lease_holder();
     let counts = [NamedCount {
         name: "1/x".into(),
         admitted: 3.0,
@@ -154,20 +156,21 @@
     assert_eq!((answer.term, answer.totals[0].admitted), (term, 3.0));
     role.counts_mut().set_rate("x", 1.0);
     assert!(role.record_counts(&all[0], at(3060), 8, &counts).is_some());
-    // Woken after a freeze, before any tick: no answer, and no totals to all.
+    // Resumed after a suspension, before any tick: no answer, and no totals for all proxies.
     assert_eq!(role.record_counts(&all[0], at(4500), 7, &counts), None);
     assert_eq!(role.take_count_updates(&all[0], at(4500)), None);
-    // The next coordinator begins with counts of its own.
+    // A later term starts without counts of the earlier one.
     assert!(
-        role.follow_lease(None, false, at(0)) && role.follow_lease(Some(term + 2), false, at(0))
+        role.sync_with_lease(None, false, at(0))
+            && role.sync_with_lease(Some(term + 2), false, at(0))
     );
     assert_eq!(role.counts_mut().take_updates(), vec![]);
 }
 
 #[test]
-fn a_refused_holder_names_no_coordinator_of_an_earlier_term() {
-    let (mut all, _, _, term) = holder();
-    // A later term is told by a voter that has granted it: the holder's own claim is over at once.
+fn refused_holder_reports_no_coordinator_of_an_earlier_term() {
+    let (mut all, _, _, term) = lease_holder();
+    // A refusal with a later term, which the voter has granted, ends the holder's own claim at once.
     all[0].receive(
         OTHER,
         &LeaseMessage::Refuse {
--- a/crates/registry/tests/counts.rs
+++ b/crates/registry/tests/counts.rs
@@ -1,4 +1,4 @@
-//! The shared counts as the coordinator keeps them.
+//! Tests of the shared counts that the coordinator keeps.
 
 use std::time::Duration;
 
@@ -14,33 +14,49 @@
 }
 
 #[test]
-fn a_count_reported_twice_counts_once_and_a_new_incarnation_adds_to_its_last() {
+fn repeated_report_counts_once_and_a_new_incarnation_is_added_to_the_previous_one() {
     let mut counts = SharedCounts::default();
     let at = Duration::from_secs(1);
-    let mut hold = |life, held, asked| counts.record(life, &count("1/x", held, asked), at);
-    assert_eq!(hold(7, 3.0, 4.0), count("1/x", 3.0, 4.0));
-    assert_eq!(hold(7, 3.0, 4.0), count("1/x", 3.0, 4.0));
-    assert_eq!(hold(8, 2.0, 2.0), count("1/x", 5.0, 6.0));
-    assert_eq!(hold(7, 2.0, 5.0), count("1/x", 4.0, 7.0));
+    let mut record = |incarnation, admitted, requested| {
+        counts.record(incarnation, &count("1/x", admitted, requested), at)
+    };
+    assert_eq!(record(7, 3.0, 4.0), count("1/x", 3.0, 4.0));
+    assert_eq!(record(7, 3.0, 4.0), count("1/x", 3.0, 4.0));
+    assert_eq!(record(8, 2.0, 2.0), count("1/x", 5.0, 6.0));
+    assert_eq!(record(7, 2.0, 5.0), count("1/x", 4.0, 7.0));
 }
 
 #[test]
-fn all_proxies_get_totals_of_a_tenant_near_its_quota_and_of_no_other() {
+fn all_proxies_get_the_totals_only_of_tenants_near_their_quota() {
     let mut counts = SharedCounts::default();
     counts.set_rate("x", 10.0);
     counts.set_rate("y", 100.0);
-    for life in 0..9 {
-        counts.record(life, &count("1/x", 1.0, 1.0), Duration::from_millis(500));
-        counts.record(life, &count("1/y", 1.0, 1.0), Duration::from_millis(500));
+    for incarnation in 0..9 {
+        counts.record(
+            incarnation,
+            &count("1/x", 1.0, 1.0),
+            Duration::from_millis(500),
+        );
+        counts.record(
+            incarnation,
+            &count("1/y", 1.0, 1.0),
+            Duration::from_millis(500),
+        );
     }
     assert_eq!(counts.take_updates(), [count("1/x", 9.0, 9.0)]);
-    assert!(counts.take_updates().is_empty(), "told once");
+    assert!(
+        counts.take_updates().is_empty(),
+        "an update was returned twice"
+    );
     counts.record(1, &count("9/x", 1.0, 1.0), Duration::from_millis(4000));
-    assert!(counts.take_updates().is_empty(), "it has been quiet since");
+    assert!(
+        counts.take_updates().is_empty(),
+        "a tenant without recent requests is still hot"
+    );
 }
 
 #[test]
-fn a_report_that_comes_late_takes_nothing_back_and_one_that_undoes_does() {
+fn late_report_does_not_lower_the_total_but_a_reverted_admission_does() {
     let mut counts = SharedCounts::default();
     let mut record = |admitted, requested| {
         let report = NamedCount {
@@ -52,6 +68,14 @@
     };
     assert_eq!(record(5.0, 5.0), 5.0);
     assert_eq!(record(9.0, 10.0), 9.0);
-    assert_eq!(record(5.0, 5.0), 9.0, "of a connection that was replaced");
-    assert_eq!(record(8.0, 10.0), 8.0, "admitted, then undone");
+    assert_eq!(
+        record(5.0, 5.0),
+        9.0,
+        "a late report over a replaced connection was counted"
+    );
+    assert_eq!(
+        record(8.0, 10.0),
+        8.0,
+        "a reverted admission is still counted"
+    );
 }
--- a/crates/registry/tests/directory.rs
+++ b/crates/registry/tests/directory.rs
@@ -1,5 +1,5 @@
-//! Where clients are sent: what is left of a region by plan or by a loss, the homes of the host's routes, and regions
-//! without proxies.
+//! Tests of the proxies that a directory lookup returns: after planned shutdowns and unplanned losses in a region, with
+//! home regions of the host's routes, and for regions without proxies.
 
 use std::net::SocketAddr;
 
@@ -20,7 +20,7 @@
     }
 }
 
-/// A client of region `x`.
+/// A lookup by a client in region `x`.
 fn lookup(homes: HomeRegions, has_recent_loss: bool) -> Lookup<'static> {
     Lookup {
         region: "x",
@@ -38,7 +38,7 @@
     numbers.iter().map(|n| address(*n)).collect()
 }
 
-/// All that may be known of a host's homes.
+/// Each kind of knowledge about a host's home regions.
 fn all_homes() -> [HomeRegions; 5] {
     [
         HomeRegions::Unknown,
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_region_with_proxies_is_named_alone_its_zone_first() {
+fn client_gets_only_the_proxies_of_its_region_and_those_of_its_zone_first() {
     let mut all = vec![
         proxy(1, "x", Ready),
         proxy(2, "x", Ready),
@@ -60,14 +60,14 @@
     all[0].zone = "x-b".into();
     for homes in all_homes() {
         for has_recent_loss in [false, true] {
-            let named = lookup(homes.clone(), has_recent_loss).proxies(&all);
+            let named = lookup(homes.clone(), has_recent_loss).select_proxies(&all);
             assert_eq!(named, addresses(&[2, 1]), "{homes:?} {has_recent_loss}");
         }
     }
 }
 
 #[test]
-fn the_one_that_is_left_by_plan_is_named_alone() {
+fn last_ready_proxy_after_a_planned_shutdown_is_returned_alone() {
     let all = [
         proxy(1, "x", Leaving),
         proxy(2, "x", Ready),
@@ -75,81 +75,92 @@
         proxy(4, "z", Ready),
     ];
     for homes in all_homes() {
-        let named = lookup(homes.clone(), false).proxies(&all);
+        let named = lookup(homes.clone(), false).select_proxies(&all);
         assert_eq!(named, addresses(&[2]), "{homes:?}");
     }
 }
 
 #[test]
-fn where_none_is_left_by_plan_only_homes_are_named_besides_those_that_leave() {
+fn without_a_ready_proxy_after_planned_shutdowns_only_home_regions_are_added() {
     let all = [
         proxy(1, "x", Leaving),
         proxy(2, "y", Ready),
         proxy(3, "z", Ready),
     ];
-    let named = |homes| lookup(homes, false).proxies(&all);
+    let named = |homes| lookup(homes, false).select_proxies(&all);
     assert_eq!(named(HomeRegions::Anywhere), addresses(&[2, 3]));
     assert_eq!(named(only(&["x", "z"])), addresses(&[3]));
-    // Its requests may go nowhere else: the ones that leave still answer for a while.
+    // No other region is allowed; proxies that are shutting down still answer for a while.
     assert_eq!(named(only(&["x"])), addresses(&[1]));
     assert_eq!(named(HomeRegions::Unknown), addresses(&[1]));
-    let gone = &all[1..];
-    assert_eq!(lookup(only(&["x"]), false).proxies(gone), addresses(&[]));
+    let after_shutdown = &all[1..];
     assert_eq!(
-        lookup(HomeRegions::Unknown, false).proxies(gone),
+        lookup(only(&["x"]), false).select_proxies(after_shutdown),
+        addresses(&[])
+    );
+    assert_eq!(
+        lookup(HomeRegions::Unknown, false).select_proxies(after_shutdown),
         addresses(&[])
     );
 }
 
 #[test]
-fn after_a_loss_to_one_or_to_none_others_are_named_too() {
+fn after_an_unplanned_loss_with_one_or_no_proxy_left_other_regions_are_added() {
     let all = [
         proxy(1, "x", Ready),
         proxy(2, "y", Ready),
         proxy(3, "z", Ready),
     ];
     for homes in all_homes() {
-        let to_one = lookup(homes.clone(), true).proxies(&all);
-        assert_eq!(to_one, addresses(&[1, 2, 3]), "{homes:?}");
-        let to_none = lookup(homes.clone(), true).proxies(&all[1..]);
-        assert_eq!(to_none, addresses(&[2, 3]), "{homes:?}");
+        let one_left = lookup(homes.clone(), true).select_proxies(&all);
+        assert_eq!(one_left, addresses(&[1, 2, 3]), "{homes:?}");
+        let none_left = lookup(homes.clone(), true).select_proxies(&all[1..]);
+        assert_eq!(none_left, addresses(&[2, 3]), "{homes:?}");
     }
 }
 
 #[test]
-fn an_evacuated_region_keeps_its_clients_for_evacuations_are_of_backends() {
-    // Nothing of an evacuation is an input: its proxies are ready, and were not lost.
+fn evacuated_region_keeps_its_clients_because_evacuations_concern_backends() {
+    // An evacuation is no input of a lookup: the proxies of the region are ready and were not lost.
     let all = [proxy(1, "x", Ready), proxy(2, "y", Ready)];
-    let named = lookup(only(&["y"]), false).proxies(&all);
+    let named = lookup(only(&["y"]), false).select_proxies(&all);
     assert_eq!(named, addresses(&[1]));
 }
 
 #[test]
-fn a_client_of_a_region_without_proxies_is_led_to_homes() {
+fn client_in_a_region_without_proxies_gets_proxies_of_the_home_regions() {
     let all = [
         proxy(1, "y", Ready),
         proxy(2, "z", Ready),
         proxy(3, "z", Starting),
     ];
-    let named = |homes| lookup(homes, false).proxies(&all);
+    let named = |homes| lookup(homes, false).select_proxies(&all);
     assert_eq!(named(HomeRegions::Anywhere), addresses(&[1, 2]));
     assert_eq!(named(only(&["z"])), addresses(&[2]));
     assert_eq!(named(only(&["w"])), addresses(&[]));
 }
 
 #[test]
-fn with_none_ready_whoever_may_answer_soon_is_named() {
+fn without_any_ready_proxy_the_starting_ones_are_returned() {
     let all = [proxy(4, "x", Starting), proxy(5, "y", Starting)];
     assert_eq!(
-        lookup(HomeRegions::Anywhere, false).proxies(&all),
+        lookup(HomeRegions::Anywhere, false).select_proxies(&all),
         addresses(&[4, 5]),
-        "no answer at all is worse"
+        "starting proxies are better than no answer"
+    );
+    assert_eq!(
+        lookup(only(&["x"]), false).select_proxies(&all),
+        addresses(&[4])
     );
-    assert_eq!(lookup(only(&["x"]), false).proxies(&all), addresses(&[4]));
 }
 
 #[test]
-fn no_more_are_named_than_the_protocol_allows() {
+fn number_of_addresses_is_limited_by_the_protocol() {
     let all: Vec<ProxyEndpoint> = (0..100).map(|n| proxy(n, "x", Ready)).collect();
-    assert_eq!(lookup(HomeRegions::Anywhere, false).proxies(&all).len(), 64);
+    assert_eq!(
+        lookup(HomeRegions::Anywhere, false)
+            .select_proxies(&all)
+            .len(),
+        64
+    );
 }
--- a/crates/registry/tests/host_homes.rs
+++ b/crates/registry/tests/host_homes.rs
@@ -1,4 +1,4 @@
-//! The home regions of each host's routes, as the configuration changes.
+//! Tests of the home regions of each host's routes as the configuration changes.
 
 use damsonbeam_control::config::{Item, ItemKey, ItemKind, ProposalNumber};
 use damsonbeam_registry::directory::HomeRegions;
@@ -31,29 +31,33 @@
 }
 
 #[test]
-fn homes_are_those_that_all_routes_of_a_host_have_in_common() {
+fn home_regions_of_a_host_are_those_common_to_all_its_routes() {
     let mut homes = HostHomes::default();
-    assert_eq!(homes.of("h"), HomeRegions::Anywhere);
+    assert_eq!(homes.home_regions("h"), HomeRegions::Anywhere);
     homes.update(&route("free", "H", &[]));
-    assert_eq!(homes.of("h"), HomeRegions::Anywhere);
+    assert_eq!(homes.home_regions("h"), HomeRegions::Anywhere);
     homes.update(&route("a", "H", &["x", "y"]));
-    assert_eq!(homes.of("h"), only(&["x", "y"]));
+    assert_eq!(homes.home_regions("h"), only(&["x", "y"]));
     homes.update(&route("b", "h", &["y", "z"]));
-    assert_eq!(homes.of("H"), only(&["y"]));
+    assert_eq!(homes.home_regions("H"), only(&["y"]));
     homes.update(&route("c", "h", &["x"]));
-    assert_eq!(homes.of("h"), only(&[]));
-    assert_eq!(homes.of("other"), HomeRegions::Anywhere);
+    assert_eq!(homes.home_regions("h"), only(&[]));
+    assert_eq!(homes.home_regions("other"), HomeRegions::Anywhere);
 }
 
 #[test]
-fn a_route_that_changes_or_goes_takes_its_homes_along() {
+fn home_regions_follow_a_route_that_changes_its_host_or_is_removed() {
     let mut homes = HostHomes::default();
     homes.update(&route("a", "h", &["x"]));
     homes.update(&route("a", "g", &["y"]));
-    assert_eq!(homes.of("h"), HomeRegions::Anywhere);
-    assert_eq!(homes.of("g"), only(&["y"]));
+    assert_eq!(homes.home_regions("h"), HomeRegions::Anywhere);
+    assert_eq!(homes.home_regions("g"), only(&["y"]));
     homes.update(&item("a", ItemKind::Tenant, None));
-    assert_eq!(homes.of("g"), only(&["y"]), "a tenant of the same name");
+    assert_eq!(
+        homes.home_regions("g"),
+        only(&["y"]),
+        "a removed tenant with the route's name has no effect"
+    );
     homes.update(&item("a", ItemKind::Route, None));
-    assert_eq!(homes.of("g"), HomeRegions::Anywhere);
+    assert_eq!(homes.home_regions("g"), HomeRegions::Anywhere);
 }
--- a/crates/registry/tests/known_proxies.rs
+++ b/crates/registry/tests/known_proxies.rs
@@ -1,4 +1,4 @@
-//! What each proxy is at by its reports, and which were lost without a plan.
+//! Tests of the phases of proxies derived from their status reports, and of the detection of unplanned losses.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -21,13 +21,13 @@
     Duration::from_secs(seconds)
 }
 
-fn lost<'a>(known: &'a KnownProxies, attached: &[&str], seconds: u64) -> Vec<&'a str> {
+fn zones_with_loss<'a>(known: &'a KnownProxies, attached: &[&str], seconds: u64) -> Vec<&'a str> {
     let attached: BTreeSet<&str> = attached.iter().copied().collect();
     known.zones_with_recent_loss(&attached, at(seconds))
 }
 
 #[test]
-fn a_proxy_that_ceases_to_be_ready_leaves_by_plan_and_is_no_loss() {
+fn proxy_that_stops_being_ready_is_leaving_and_not_lost() {
     let mut known = KnownProxies::default();
     known.observe(&status("a", 1, false), at(0));
     assert_eq!(known.phase("a"), ProxyPhase::Starting);
@@ -36,54 +36,70 @@
     known.observe(&status("a", 1, false), at(2));
     known.observe(&status("a", 1, false), at(3));
     assert_eq!(known.phase("a"), ProxyPhase::Leaving);
-    assert!(lost(&known, &[], 4).is_empty());
-    // Started again, by plan as well.
+    assert!(zones_with_loss(&known, &[], 4).is_empty());
+    // The restart after a planned shutdown is no loss either.
     known.observe(&status("a", 2, false), at(5));
     assert_eq!(known.phase("a"), ProxyPhase::Starting);
-    assert!(lost(&known, &["a"], 5).is_empty());
+    assert!(zones_with_loss(&known, &["a"], 5).is_empty());
 }
 
 #[test]
-fn a_ready_proxy_that_is_gone_or_comes_back_as_another_incarnation_was_lost() {
+fn ready_proxy_that_disappears_or_restarts_counts_as_lost() {
     let mut known = KnownProxies::default();
     known.observe(&status("a", 1, true), at(0));
-    assert!(lost(&known, &["a"], 1).is_empty());
-    assert_eq!(lost(&known, &[], 1), ["zone-of-a"]);
-    assert!(lost(&known, &[], 15).is_empty(), "not recent any more");
+    assert!(zones_with_loss(&known, &["a"], 1).is_empty());
+    assert_eq!(zones_with_loss(&known, &[], 1), ["zone-of-a"]);
+    assert!(
+        zones_with_loss(&known, &[], 15).is_empty(),
+        "the loss is still recent after 15 s"
+    );
     known.observe(&status("a", 2, false), at(16));
-    assert_eq!(lost(&known, &["a"], 17), ["zone-of-a"]);
+    assert_eq!(zones_with_loss(&known, &["a"], 17), ["zone-of-a"]);
     known.observe(&status("a", 2, true), at(18));
-    assert_eq!(lost(&known, &["a"], 30), ["zone-of-a"]);
-    assert!(lost(&known, &["a"], 31).is_empty());
+    assert_eq!(zones_with_loss(&known, &["a"], 30), ["zone-of-a"]);
+    assert!(zones_with_loss(&known, &["a"], 31).is_empty());
 }
 
 #[test]
-fn a_proxy_unseen_for_long_counts_no_more() {
+fn proxy_not_seen_for_30_s_is_no_longer_counted() {
     let mut known = KnownProxies::default();
     known.observe(&status("a", 1, true), at(0));
     known.observe(&status("b", 1, true), at(10));
-    assert_eq!(known.count(at(29)), 2);
-    assert_eq!(known.count(at(30)), 1);
-    assert_eq!(known.phase("a"), ProxyPhase::Starting, "forgotten");
+    assert_eq!(known.expire_and_count(at(29)), 2);
+    assert_eq!(known.expire_and_count(at(30)), 1);
+    assert_eq!(
+        known.phase("a"),
+        ProxyPhase::Starting,
+        "an expired proxy is still known"
+    );
 }
 
 #[test]
-fn the_last_word_ends_a_proxys_count_at_once_until_another_incarnation_runs_there() {
+fn departed_proxy_is_not_counted_until_another_incarnation_runs_on_its_node() {
     let mut known = KnownProxies::default();
     known.observe(&status("a", 1, true), at(0));
     known.observe(&status("b", 1, true), at(0));
     known.observe(&status("a", 1, false), at(1));
-    known.depart(&status("a", 1, false));
-    assert_eq!((known.count(at(1)), known.departed_count()), (1, 1));
-    // A status that was on its way over another connection brings nothing back.
+    known.record_departure(&status("a", 1, false));
+    assert_eq!(
+        (known.expire_and_count(at(1)), known.departed_count()),
+        (1, 1)
+    );
+    // A status that was delayed on another connection does not restore the proxy.
     known.observe(&status("a", 1, false), at(2));
-    assert_eq!((known.count(at(2)), known.departed_count()), (1, 1));
+    assert_eq!(
+        (known.expire_and_count(at(2)), known.departed_count()),
+        (1, 1)
+    );
     known.observe(&status("a", 2, false), at(3));
-    assert_eq!((known.count(at(3)), known.departed_count()), (2, 0));
+    assert_eq!(
+        (known.expire_and_count(at(3)), known.departed_count()),
+        (2, 0)
+    );
 }
 
 #[test]
-fn a_new_incarnation_takes_the_place_of_the_one_before() {
+fn new_incarnation_replaces_the_previous_one() {
     let mut known = KnownProxies::default();
     assert_eq!(known.observe(&status("a", 1, true), at(0)), None);
     assert_eq!(known.observe(&status("a", 1, true), at(1)), None);
--- a/crates/registry/tests/start.rs
+++ b/crates/registry/tests/start.rs
@@ -1,7 +1,8 @@
-//! Beside what it tests, it has the program built wherever the workspace's tests are: the whole system's test runs it.
+//! Tests the start of the program with invalid settings. The test also makes Cargo build the program whenever the
+//! workspace's tests are built, because the system test runs it.
 
 #[test]
-fn faults_of_the_settings_file_are_one_line_with_file_and_field() {
+fn invalid_settings_are_reported_in_one_line_with_file_and_field() {
     let program = env!("CARGO_BIN_EXE_damsonbeam-registry").as_ref();
     damsonbeam_lab::programs::says_what_is_wrong_with_its_settings(program, "registry");
 }
