--- a/crates/mirror/src/budget.rs
+++ b/crates/mirror/src/budget.rs
@@ -1,48 +1,49 @@
-//! What copies may use: requests and bytes a second by rule, this proxy's part of what all may; and nothing at all while
-//! the proxy itself is pressed.
+//! The budget of mirrored requests: requests and bytes per second by rule, of which each proxy has an equal part. No
+//! request is mirrored while the proxy itself is overloaded.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
 use damsonbeam_control::config::MirrorRule;
 
-/// Saved up for this long at most.
+/// Time over which unused budget accumulates, in seconds.
 const BURST_S: f64 = 1.0;
-/// Copies under way or waiting at this proxy, and their bytes.
+/// Maximum number of mirrored requests in flight or waiting at this proxy.
 pub const MAX_IN_FLIGHT: usize = 64;
-/// Bytes of mirrored requests that are out at most.
+/// Maximum total size of the mirrored requests in flight, in bytes.
 pub const MAX_BYTES_IN_FLIGHT: usize = 1 << 20;
-/// A body above this is not copied: its caller's session is broken then.
+/// Maximum size of a mirrored body, in bytes. A request with a larger body is not mirrored, which makes its caller's
+/// session incomplete.
 pub const MAX_BODY_BYTES: usize = 64 << 10;
-/// A timer that fires this much late tells of a processor that has too much to do.
-const PRESSURE_LATENESS: Duration = Duration::from_millis(25);
-/// Copies rest for this long then.
-const PRESSURE_PAUSE: Duration = Duration::from_millis(500);
+/// Timer delay from which on the processor counts as overloaded.
+const OVERLOAD_TIMER_DELAY: Duration = Duration::from_millis(25);
+/// Time without mirroring after an overload was detected.
+const OVERLOAD_PAUSE: Duration = Duration::from_millis(500);
 
-/// Why a mirrored request is not sent.
+/// The reason why a selected request has no mirrored answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum DropReason {
-    /// Over the rule's requests or bytes a second.
+    /// The rule's limit of requests or bytes per second is exceeded.
     Budget,
-    /// Too many under way here.
+    /// Too many mirrored requests are in flight at this proxy.
     Full,
-    /// The proxy is pressed.
-    Pressed,
-    /// The body is too large, or not here as a whole.
+    /// The proxy is overloaded.
+    Overloaded,
+    /// The body is too large, or was not received completely.
     Body,
-    /// No instance where it may be served, or its address is a real backend's.
+    /// The rule has no instance in an allowed region, or only ones with the address of a real backend.
     Nowhere,
-    /// Sent, and no answer came, or a broken one.
+    /// The mirrored request was sent, but no answer or only an incomplete one was received.
     Unanswered,
 }
 
 impl DropReason {
-    /// As figures name it.
+    /// Returns the name of the reason in metrics and reports.
     pub fn name(self) -> &'static str {
         match self {
             DropReason::Budget => "budget",
             DropReason::Full => "full",
-            DropReason::Pressed => "pressed",
+            DropReason::Overloaded => "pressed",
             DropReason::Body => "body",
             DropReason::Nowhere => "nowhere",
             DropReason::Unanswered => "unanswered",
@@ -50,14 +51,16 @@
     }
 }
 
+/// Unused budget of a rule: requests, and bytes, that may be mirrored now.
 #[derive(Debug, Default)]
 struct TokenBucket {
     requests: f64,
     bytes: f64,
-    at: Option<Duration>,
+    /// Time of the last refill.
+    refilled_at: Option<Duration>,
 }
 
-/// What mirrored requests may use up.
+/// The budget of mirrored requests at this proxy.
 #[derive(Debug, Default)]
 pub struct Budget {
     buckets: HashMap<String, TokenBucket>,
@@ -67,17 +70,17 @@
 }
 
 impl Budget {
-    /// A timer fired so much late.
-    pub fn timer_fired(&mut self, by: Duration, now: Duration) {
-        if by >= PRESSURE_LATENESS {
-            self.paused_until = now + PRESSURE_PAUSE;
+    /// Processes the delay with which a timer fired. A long delay pauses mirroring.
+    pub fn timer_fired(&mut self, delay: Duration, now: Duration) {
+        if delay >= OVERLOAD_TIMER_DELAY {
+            self.paused_until = now + OVERLOAD_PAUSE;
         }
     }
 
-    /// Whether a copy of so many bytes may go, of `proxies` that share the rule's budget.
+    /// Takes a request of `bytes` bytes from the rule's budget, which `proxies` proxies share in equal parts.
     ///
     /// # Errors
-    /// Why not.
+    /// Fails with the reason if the request must not be mirrored.
     pub fn admit(
         &mut self,
         rule: &MirrorRule,
@@ -86,7 +89,7 @@
         now: Duration,
     ) -> Result<(), DropReason> {
         if now < self.paused_until {
-            return Err(DropReason::Pressed);
+            return Err(DropReason::Overloaded);
         }
         if bytes > MAX_BODY_BYTES {
             return Err(DropReason::Body);
@@ -94,17 +97,18 @@
         if self.in_flight >= MAX_IN_FLIGHT || self.bytes_in_flight + bytes > MAX_BYTES_IN_FLIGHT {
             return Err(DropReason::Full);
         }
-        let part = 1.0 / f64::from(proxies.max(1));
-        let (requests_per_s, bytes_per_s) = (rule.requests_per_s * part, rule.bytes_per_s * part);
+        let share = 1.0 / f64::from(proxies.max(1));
+        let (requests_per_s, bytes_per_s) = (rule.requests_per_s * share, rule.bytes_per_s * share);
         let bucket = self.buckets.entry(rule.name.clone()).or_default();
-        let since = bucket
-            .at
+        let elapsed_s = bucket
+            .refilled_at
             .map_or(BURST_S, |at| now.saturating_sub(at).as_secs_f64());
-        bucket.at = Some(now);
-        // One at least may be saved up, or many proxies would never copy anything.
+        bucket.refilled_at = Some(now);
+        // The capacity is at least one request: with a smaller one, no proxy of a large system would ever mirror a
+        // request.
         bucket.requests =
-            (bucket.requests + requests_per_s * since).min((requests_per_s * BURST_S).max(1.0));
-        bucket.bytes = (bucket.bytes + bytes_per_s * since)
+            (bucket.requests + requests_per_s * elapsed_s).min((requests_per_s * BURST_S).max(1.0));
+        bucket.bytes = (bucket.bytes + bytes_per_s * elapsed_s)
             .min((bytes_per_s * BURST_S).max(MAX_BODY_BYTES as f64));
         if rule.requests_per_s > 0.0 && bucket.requests < 1.0
             || rule.bytes_per_s > 0.0 && bucket.bytes < bytes as f64
@@ -118,7 +122,7 @@
         Ok(())
     }
 
-    /// A copy is over.
+    /// Releases the in-flight quota of a mirrored request of `bytes` bytes that has ended.
     pub fn done(&mut self, bytes: usize) {
         self.in_flight -= 1;
         self.bytes_in_flight -= bytes;
--- a/crates/mirror/src/selection.rs
+++ b/crates/mirror/src/selection.rs
@@ -1,5 +1,5 @@
-//! Who is copied: by a keyed hash of the caller, so that every proxy chooses the same, whoever was chosen stays so while
-//! the share grows, and nothing of the caller's key is kept.
+//! Selects the callers whose requests are mirrored, by a keyed hash of the caller: every proxy selects the same
+//! callers, a selected caller stays selected while the share grows, and the caller's key is not stored.
 
 use std::collections::HashMap;
 use std::hash::Hasher;
@@ -9,11 +9,11 @@
 use damsonbeam_control::config::{MirrorRule, SelectionKey, TrialInstance};
 use siphasher::sip::SipHasher24;
 
-/// A caller as far as anybody has to tell it from others: a hash by the rule's name.
+/// The hash that identifies a caller under a rule.
 pub type Caller = u64;
 
-/// The same at every proxy and in every life: by the rule's name and the caller alone, so that another version of a rule
-/// chooses the same, and two rules choose apart.
+/// Returns the hash of a caller. The hash depends only on the rule's name and the caller, so it is the same at every
+/// proxy and after a restart: all versions of a rule select the same callers, and different rules select independently.
 pub fn caller(rule: &MirrorRule, tenant: &str, key: &str) -> Caller {
     let mut hash = SipHasher24::new_with_keys(0x6d75_6d6d_6572, rule.name.len() as u64);
     hash.write(rule.name.as_bytes());
@@ -25,77 +25,84 @@
     hash.finish()
 }
 
-/// Whether a rule mirrors the requests of a caller.
+/// Returns whether a rule mirrors the requests of a caller.
 pub fn is_chosen(rule: &MirrorRule, caller: Caller) -> bool {
     (caller as f64) < rule.share * 2f64.powi(64)
 }
 
-/// Rules in force. A new version takes the old one's place at its own moment, by the common time, so that all proxies that
-/// know it switch together; one that learns of it late marks its copies with the version it has.
+/// The rules in force. A new version replaces the old one at its start by the common time (the coordinator's clock), so
+/// that all proxies that know the version switch together. A proxy that learns of it late marks mirrored requests with
+/// the version that it still uses.
 #[derive(Debug, Default)]
 pub struct ActiveRules {
+    /// By name, the version in force and the next one.
     rules: HashMap<String, (Option<MirrorRule>, Option<MirrorRule>)>,
 }
 
 impl ActiveRules {
-    /// The rules as they stand; what is gone is gone at once.
+    /// Applies the configured rules. A new version takes effect at its start; a removed rule ends at once.
     pub fn update(&mut self, rules: Vec<MirrorRule>, common_ms: u64) {
         self.rules
-            .retain(|name, _| rules.iter().any(|r| r.name == *name));
+            .retain(|name, _| rules.iter().any(|rule| rule.name == *name));
         for rule in rules {
-            let (now, next) = self.rules.entry(rule.name.clone()).or_default();
-            let known = [&*now, &*next]
+            let (current, next) = self.rules.entry(rule.name.clone()).or_default();
+            let known = [&*current, &*next]
                 .into_iter()
                 .flatten()
-                .any(|k| k.version >= rule.version);
+                .any(|known| known.version >= rule.version);
             if !known {
-                if next.as_ref().is_some_and(|n| n.from_ms <= common_ms) {
-                    *now = next.take();
+                if next.as_ref().is_some_and(|next| next.from_ms <= common_ms) {
+                    *current = next.take();
                 }
                 *next = Some(rule);
             }
         }
     }
 
-    /// The rules by which that service's requests are copied at that time.
+    /// Returns the rules by which requests of a service are mirrored at the given common time.
     pub fn rules_for(&mut self, service: &str, common_ms: u64) -> Vec<&MirrorRule> {
-        for (now, next) in self.rules.values_mut() {
-            if next.as_ref().is_some_and(|n| n.from_ms <= common_ms) {
-                *now = next.take();
+        for (current, next) in self.rules.values_mut() {
+            if next.as_ref().is_some_and(|next| next.from_ms <= common_ms) {
+                *current = next.take();
             }
         }
-        let rules = self.rules.values().filter_map(|r| r.0.as_ref());
-        let on =
-            |r: &&MirrorRule| r.service == service && (r.until_ms == 0 || common_ms < r.until_ms);
-        rules.filter(on).collect()
+        let rules = self
+            .rules
+            .values()
+            .filter_map(|versions| versions.0.as_ref());
+        let is_active = |rule: &&MirrorRule| {
+            rule.service == service && (rule.until_ms == 0 || common_ms < rule.until_ms)
+        };
+        rules.filter(is_active).collect()
     }
 
-    /// Whether there is no rule.
+    /// Returns whether there is no rule.
     pub fn is_empty(&self) -> bool {
         self.rules.is_empty()
     }
 
-    /// The names of the rules.
+    /// Returns the names of the rules.
     pub fn names(&self) -> impl Iterator<Item = &str> {
         self.rules.keys().map(String::as_str)
     }
 }
 
-/// The instance that a caller's copies go to: always the same while the list stands, of the regions that its homes allow.
+/// Returns the trial instance for a caller, and its address: always the same one while the rule's instances stay the
+/// same. Only instances in allowed regions, and without the address of a real backend, are considered.
 pub fn instance<'a>(
     rule: &'a MirrorRule,
     caller: Caller,
-    homes: &dyn Fn(&str) -> bool,
+    is_allowed_region: &dyn Fn(&str) -> bool,
     is_real: &dyn Fn(SocketAddr) -> bool,
 ) -> Option<(&'a TrialInstance, SocketAddr)> {
-    let all: Vec<(&TrialInstance, SocketAddr)> = rule
+    let candidates: Vec<(&TrialInstance, SocketAddr)> = rule
         .instances
         .iter()
-        .filter(|t| homes(&t.region))
-        .filter_map(|t| Some((t, t.address(is_real)?)))
+        .filter(|trial| is_allowed_region(&trial.region))
+        .filter_map(|trial| Some((trial, trial.address(is_real)?)))
         .collect();
-    (!all.is_empty()).then(|| all[(caller >> 32) as usize % all.len()])
+    (!candidates.is_empty()).then(|| candidates[(caller >> 32) as usize % candidates.len()])
 }
 
-/// How long a copy may take: nobody waits for it.
+/// Timeout of a mirrored request. The timeout is long because no client waits for the answer.
 pub const COPY_TIMEOUT: Duration = Duration::from_secs(10);
--- a/crates/mirror/tests/common/mod.rs
+++ b/crates/mirror/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A rule as an operator's call has it.
+//! Builds mirror rules from the JSON of an operator's request.
 
 use damsonbeam_control::config::ConfigChange;
 use damsonbeam_control::config::MirrorRule;
@@ -10,8 +10,8 @@
     );
     MirrorRule::try_from(
         &ConfigChange::from_mirror_rules_json(text.into_bytes())
-            .expect("reads")
+            .expect("the JSON is valid")
             .items[0],
     )
-    .expect("a rule")
+    .expect("the rule is valid")
 }
