--- a/crates/load-reports/src/gossip.rs
+++ b/crates/load-reports/src/gossip.rs
@@ -1,5 +1,5 @@
-//! Who is told what, when: each round a few partners, some of the own region, now and then one of another; datagrams of
-//! bounded size in bounded number, whatever the number of proxies.
+//! Gossip of summaries: in each round a proxy sends to a few partners of its region, and every few rounds to one of
+//! another region. The size and the number of datagrams are bounded, whatever the number of proxies.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -12,95 +12,101 @@
 use crate::observation::{BackendKey, Observer};
 use crate::summaries::{Origin, Summary, SummaryTable};
 
-/// The first byte of a datagram. Of another version nothing is read.
+/// The protocol version, sent as the first byte of a datagram. Datagrams of another version are ignored.
 pub const VERSION: u8 = 1;
-/// Between two rounds, and of so many one goes to another region too.
+/// Mean interval between two rounds.
 pub const ROUND_INTERVAL: Duration = Duration::from_millis(200);
-const FAR_EVERY: u32 = 5;
-/// Partners of the own region in a round.
+/// One round in this many also sends to a partner of another region.
+const FAR_ROUND_INTERVAL: u32 = 5;
+/// Number of partners of the own region in a round.
 const NEAR_PARTNERS: usize = 2;
-/// Summaries in a datagram: it stays whole on any link.
+/// Maximum number of summaries in a datagram, which keeps it small enough not to be fragmented on any link.
 const MAX_SUMMARIES: usize = 64;
-/// Of which so many may be the own: others' must come through too.
+/// Maximum number of own summaries in a datagram, which leaves room to forward those of other proxies.
 const MAX_OWN_SUMMARIES: usize = 40;
-/// Datagrams heard of one sender in a second: its two or three partners' share and chance. More is a flood.
+/// Maximum number of datagrams accepted from one sender in a second: a sender's two or three datagrams a round, with a
+/// margin for random selection. More are treated as a flood and ignored.
 const MAX_DATAGRAMS_PER_S: u32 = 24;
 
-/// Senders whose datagrams are counted; beyond these all counts begin anew.
+/// Maximum number of senders whose datagrams are counted; beyond it all counts are reset.
 const MAX_SENDERS: usize = 4096;
 
-/// What goes from one proxy to another.
+/// A message from one proxy to another.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub struct Datagram {
-    /// Who sends it.
+    /// The sender.
     pub from: Origin,
-    /// What it tells of backends.
+    /// The sender's own summaries and those that it forwards.
     pub summaries: Vec<Summary>,
 }
 
-/// A datagram's bytes.
+/// Encodes a datagram with its version byte.
 pub fn pack(datagram: &Datagram) -> Vec<u8> {
     let mut out = vec![VERSION];
     out.extend(bitcode::encode(datagram));
     out
 }
 
-/// A datagram of these bytes; `None` where they are none, or of another version.
+/// Decodes a datagram; returns `None` if the bytes are invalid or of another version.
 pub fn unpack(bytes: &[u8]) -> Option<Datagram> {
     let (version, rest) = bytes.split_first()?;
     (*version == VERSION).then(|| bitcode::decode(rest).ok())?
 }
 
-/// Partners as the registry names them: addresses, told apart by whatever the carrier uses.
+/// The gossip state of one proxy. `P` is the address type of the transport, by which partners are identified.
 #[derive(Clone, Debug)]
 pub struct Gossip<P> {
-    me: Origin,
-    /// The partners of the own region.
+    own_origin: Origin,
+    /// Partners of the own region, as assigned by the registry.
     pub near: Vec<P>,
-    /// The partners of other regions.
+    /// Partners of other regions, as assigned by the registry.
     pub far: Vec<P>,
-    next: Duration,
+    next_round_at: Duration,
     rounds: u32,
+    /// Number of the last own summaries.
     number: u32,
-    heard: HashMap<P, (u32, u64)>,
+    /// By sender, the number of datagrams received in a second, and that second.
+    received_counts: HashMap<P, (u32, u64)>,
     rng: SmallRng,
-    /// What others have reported.
+    /// The summaries of other proxies.
     pub table: SummaryTable,
-    /// What was observed here.
+    /// The observations of this proxy.
     pub observer: Observer,
 }
 
 impl<P: Clone + Eq + std::hash::Hash> Gossip<P> {
-    /// Nobody is known yet. `me`: by which others know this proxy.
-    pub fn new(me: Origin, seed: u64) -> Self {
+    /// Creates the gossip state of the proxy that others know as `own_origin`, without partners.
+    pub fn new(own_origin: Origin, seed: u64) -> Self {
         Gossip {
-            me,
+            own_origin,
             near: Vec::new(),
             far: Vec::new(),
-            next: Duration::ZERO,
+            next_round_at: Duration::ZERO,
             rounds: 0,
             number: 0,
-            heard: HashMap::new(),
+            received_counts: HashMap::new(),
             rng: SmallRng::seed_from_u64(seed),
             table: SummaryTable::default(),
             observer: Observer::default(),
         }
     }
 
-    /// Time passed: what goes to whom.
+    /// Runs a round if due; returns the datagrams to send, with their receivers.
     pub fn tick(&mut self, now: Duration) -> Vec<(P, Vec<u8>)> {
-        if now < self.next {
+        if now < self.next_round_at {
             return vec![];
         }
-        // By lot a little apart: all at once would be heard all at once.
-        self.next = now + ROUND_INTERVAL.mul_f64(self.rng.random_range(0.9..1.1));
+        // Random jitter: synchronized proxies would all send, and all receive, at the same moment.
+        self.next_round_at = now + ROUND_INTERVAL.mul_f64(self.rng.random_range(0.9..1.1));
         self.rounds += 1;
         self.number = self.number.wrapping_add(1);
         self.table.expire(now);
         let mut own = self.observer.all(now);
-        // The busiest first: they are what others want to know of.
-        own.sort_unstable_by_key(|(mark, s)| (std::cmp::Reverse((s.full, s.failed, s.out)), *mark));
-        let (origin, number) = (self.me, self.number);
+        // The most loaded backends first, because other proxies need to avoid these.
+        own.sort_unstable_by_key(|(backend, s)| {
+            (std::cmp::Reverse((s.full, s.failed, s.out)), *backend)
+        });
+        let (origin, number) = (self.own_origin, self.number);
         let mut summaries: Vec<Summary> = own
             .into_iter()
             .take(MAX_OWN_SUMMARIES)
@@ -112,27 +118,31 @@
                 observation,
             })
             .collect();
-        let room = MAX_SUMMARIES - summaries.len();
-        summaries.extend(self.table.take_forwards(room, now));
+        let forward_limit = MAX_SUMMARIES - summaries.len();
+        summaries.extend(self.table.take_forwards(forward_limit, now));
         if summaries.is_empty() {
             return vec![];
         }
         let bytes = pack(&Datagram {
-            from: self.me,
+            from: self.own_origin,
             summaries,
         });
-        let mut to: Vec<P> = self
+        let mut receivers: Vec<P> = self
             .near
             .choose_multiple(&mut self.rng, NEAR_PARTNERS)
             .cloned()
             .collect();
-        if self.rounds.is_multiple_of(FAR_EVERY) {
-            to.extend(self.far.choose(&mut self.rng).cloned());
+        if self.rounds.is_multiple_of(FAR_ROUND_INTERVAL) {
+            receivers.extend(self.far.choose(&mut self.rng).cloned());
         }
-        to.into_iter().map(|p| (p, bytes.clone())).collect()
+        receivers
+            .into_iter()
+            .map(|receiver| (receiver, bytes.clone()))
+            .collect()
     }
 
-    /// A datagram came; says whether anything was taken from it.
+    /// Processes a received datagram; returns whether it contained new information. `wanted` returns whether a backend
+    /// is known here; summaries of other backends are ignored.
     pub fn receive(
         &mut self,
         from: P,
@@ -141,28 +151,30 @@
         now: Duration,
     ) -> bool {
         let second = now.as_secs();
-        if self.heard.len() > MAX_SENDERS {
-            self.heard.clear();
+        if self.received_counts.len() > MAX_SENDERS {
+            self.received_counts.clear();
         }
-        let heard = self.heard.entry(from).or_insert((0, second));
-        if heard.1 != second {
-            *heard = (0, second);
+        let received = self.received_counts.entry(from).or_insert((0, second));
+        if received.1 != second {
+            *received = (0, second);
         }
-        heard.0 += 1;
-        if heard.0 > MAX_DATAGRAMS_PER_S {
+        received.0 += 1;
+        if received.0 > MAX_DATAGRAMS_PER_S {
             return false;
         }
-        let Some(datagram) = unpack(bytes).filter(|d| d.summaries.len() <= MAX_SUMMARIES) else {
+        let Some(datagram) =
+            unpack(bytes).filter(|datagram| datagram.summaries.len() <= MAX_SUMMARIES)
+        else {
             return false;
         };
-        let mut news = false;
+        let mut has_new = false;
         for summary in datagram
             .summaries
             .iter()
-            .filter(|s| s.origin != self.me && wanted(s.backend))
+            .filter(|summary| summary.origin != self.own_origin && wanted(summary.backend))
         {
-            news |= self.table.merge(summary, now);
+            has_new |= self.table.merge(summary, now);
         }
-        news
+        has_new
     }
 }
--- a/crates/load-reports/src/observation.rs
+++ b/crates/load-reports/src/observation.rs
@@ -1,4 +1,4 @@
-//! What this proxy sees of the backends itself, folded from deliveries that begin and end.
+//! This proxy's own observations of the backends, aggregated from the begin and end of its attempts.
 
 use std::collections::HashMap;
 use std::hash::Hasher;
@@ -7,11 +7,11 @@
 use bitcode::{Decode, Encode};
 use fnv::FnvHasher;
 
-/// A backend's name in summaries: the same at every proxy. Two of some hundreds that fall together are rare, and cost
-/// each other some weight, no more.
+/// The hash that identifies a backend in summaries, the same at every proxy. Collisions are rare among some hundred
+/// backends, and only cost the colliding backends some weight.
 pub type BackendKey = u32;
 
-/// The number by which all proxies name a backend.
+/// Returns the key of a backend, which all proxies derive from its ID.
 pub fn backend_key(id: &str) -> BackendKey {
     let mut hash = FnvHasher::default();
     hash.write(id.as_bytes());
@@ -21,131 +21,140 @@
 /// One proxy's summary of one backend.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
 pub struct Observation {
-    /// Deliveries out.
+    /// Attempts in progress.
     pub out: u16,
-    /// Usual time of its answers, or how long one has been waited for, if that is longer, in milliseconds; 0: neither.
+    /// Mean response time, or the age of the oldest attempt in progress if that is longer, in milliseconds; 0 if there
+    /// is neither.
     pub usual_ms: u16,
-    /// Of 255 deliveries that ended of late, so many were turned away, and so many failed.
+    /// Share of recently ended attempts that the backend rejected because it was full, in units of 1/255.
     pub full: u8,
-    /// The part of attempts that failed, of 255.
+    /// Share of recently ended attempts that failed, in units of 1/255.
     pub failed: u8,
 }
 
-/// How a delivery ended, as far as it tells of the backend.
+/// How an attempt ended, as far as that says something about the backend.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum DeliveryEnd {
-    /// The backend has answered.
+    /// The backend answered.
     Answered,
-    /// It had no room.
+    /// The backend rejected the attempt because it was full.
     Full,
-    /// It failed.
+    /// The attempt failed.
     Failed,
-    /// It was called off here: that tells nothing.
+    /// This proxy cancelled the attempt, which says nothing about the backend.
     Cancelled,
 }
 
-/// What was seen fades over this.
-const FADE_SPAN_S: f64 = 1.0;
-/// Below this part of a delivery nothing is left of what was seen.
-const NEGLIGIBLE: f64 = 0.05;
-/// Ends that count as none beside those seen: one failure of one is not all failed.
-const PRIOR_ENDS: f64 = 2.0;
+/// Time constant of the exponential decay of observations, in seconds.
+const DECAY_TIME_S: f64 = 1.0;
+/// Decayed number of attempts below which observations are discarded.
+const MIN_ATTEMPTS: f64 = 0.05;
+/// Number of assumed successful attempts added to the ended ones when shares are computed, so that one failure in a
+/// single attempt is not a share of 100 %.
+const PRIOR_ATTEMPTS: f64 = 2.0;
 
+/// Recent attempts at one backend. The counts of ended attempts and the sum of response times decay.
 #[derive(Clone, Debug, Default)]
-struct RecentDeliveries {
+struct RecentAttempts {
     ended: f64,
     full: f64,
     failed: f64,
     answered: f64,
-    took: f64,
-    at: Duration,
-    /// When those out began.
-    begun: Vec<Duration>,
+    /// Sum of the response times of answered attempts, in seconds.
+    response_time_sum_s: f64,
+    /// Time up to which the counts have decayed.
+    decayed_at: Duration,
+    /// Start times of the attempts in progress.
+    in_progress: Vec<Duration>,
 }
 
-impl RecentDeliveries {
-    fn fade(&mut self, now: Duration) {
-        let keep = (-now.saturating_sub(self.at).as_secs_f64() / FADE_SPAN_S).exp();
+impl RecentAttempts {
+    fn decay(&mut self, now: Duration) {
+        let keep = (-now.saturating_sub(self.decayed_at).as_secs_f64() / DECAY_TIME_S).exp();
         for sum in [
             &mut self.ended,
             &mut self.full,
             &mut self.failed,
             &mut self.answered,
-            &mut self.took,
+            &mut self.response_time_sum_s,
         ] {
             *sum *= keep;
         }
-        self.at = now;
+        self.decayed_at = now;
     }
 }
 
-/// What was observed of each backend.
+/// The observations of all backends.
 #[derive(Clone, Debug, Default)]
 pub struct Observer {
-    seen: HashMap<BackendKey, RecentDeliveries>,
+    by_backend: HashMap<BackendKey, RecentAttempts>,
 }
 
 impl Observer {
-    /// An attempt goes to a backend.
+    /// Records the start of an attempt at a backend.
     pub fn begin(&mut self, backend: BackendKey, now: Duration) {
-        let seen = self.seen.entry(backend).or_default();
-        seen.fade(now);
-        seen.begun.push(now);
+        let recent = self.by_backend.entry(backend).or_default();
+        recent.decay(now);
+        recent.in_progress.push(now);
     }
 
-    /// One that `took` so long ended.
+    /// Records the end of an attempt that took `took`. The attempt in progress with the nearest start time is removed.
     pub fn end(&mut self, backend: BackendKey, end: DeliveryEnd, took: Duration, now: Duration) {
-        let Some(seen) = self.seen.get_mut(&backend) else {
+        let Some(recent) = self.by_backend.get_mut(&backend) else {
             return;
         };
-        seen.fade(now);
+        recent.decay(now);
         let began = now.saturating_sub(took);
-        let nearest = (0..seen.begun.len()).min_by_key(|n| seen.begun[*n].abs_diff(began));
-        nearest.map(|n| seen.begun.swap_remove(n));
+        let nearest =
+            (0..recent.in_progress.len()).min_by_key(|n| recent.in_progress[*n].abs_diff(began));
+        nearest.map(|n| recent.in_progress.swap_remove(n));
         match end {
             DeliveryEnd::Cancelled => return,
             DeliveryEnd::Answered => {
-                seen.answered += 1.0;
-                seen.took += took.as_secs_f64();
+                recent.answered += 1.0;
+                recent.response_time_sum_s += took.as_secs_f64();
             }
-            DeliveryEnd::Full => seen.full += 1.0,
-            DeliveryEnd::Failed => seen.failed += 1.0,
+            DeliveryEnd::Full => recent.full += 1.0,
+            DeliveryEnd::Failed => recent.failed += 1.0,
         }
-        seen.ended += 1.0;
+        recent.ended += 1.0;
     }
 
-    /// What there is to say of one now.
+    /// Returns the current observation of a backend.
     pub fn observe(&mut self, backend: BackendKey, now: Duration) -> Observation {
-        let Some(seen) = self.seen.get_mut(&backend) else {
+        let Some(recent) = self.by_backend.get_mut(&backend) else {
             return Observation::default();
         };
-        seen.fade(now);
-        let part = |n: f64| (n / (seen.ended + PRIOR_ENDS) * 255.0) as u8;
-        let usual = if seen.answered > NEGLIGIBLE {
-            seen.took / seen.answered * 1000.0
+        recent.decay(now);
+        let share = |n: f64| (n / (recent.ended + PRIOR_ATTEMPTS) * 255.0) as u8;
+        let mean_ms = if recent.answered > MIN_ATTEMPTS {
+            recent.response_time_sum_s / recent.answered * 1000.0
         } else {
             0.0
         };
-        let waited = seen
-            .begun
+        let longest_wait_ms = recent
+            .in_progress
             .iter()
             .min()
-            .map_or(0, |b| now.saturating_sub(*b).as_millis()) as f64;
-        let usual = usual.max(waited);
+            .map_or(0, |began| now.saturating_sub(*began).as_millis())
+            as f64;
+        let usual_ms = mean_ms.max(longest_wait_ms);
         Observation {
-            out: seen.begun.len() as u16,
-            usual_ms: usual.min(60_000.0) as u16,
-            full: part(seen.full),
-            failed: part(seen.failed),
+            out: recent.in_progress.len() as u16,
+            usual_ms: usual_ms.min(60_000.0) as u16,
+            full: share(recent.full),
+            failed: share(recent.failed),
         }
     }
 
-    /// All of which there is anything to say; the others are forgotten.
+    /// Returns the observations of all backends with recent attempts; removes the other backends.
     pub fn all(&mut self, now: Duration) -> Vec<(BackendKey, Observation)> {
-        self.seen.values_mut().for_each(|s| s.fade(now));
-        self.seen
-            .retain(|_, s| !s.begun.is_empty() || s.ended > NEGLIGIBLE);
-        let keys: Vec<BackendKey> = self.seen.keys().copied().collect();
+        self.by_backend
+            .values_mut()
+            .for_each(|recent| recent.decay(now));
+        self.by_backend
+            .retain(|_, recent| !recent.in_progress.is_empty() || recent.ended > MIN_ATTEMPTS);
+        let keys: Vec<BackendKey> = self.by_backend.keys().copied().collect();
         keys.into_iter()
             .map(|key| (key, self.observe(key, now)))
             .collect()
--- a/crates/load-reports/src/summaries.rs
+++ b/crates/load-reports/src/summaries.rs
@@ -1,5 +1,5 @@
-//! What is known of each backend, from whom, how old. Two tables that hear the same in whatever order, however often,
-//! know the same.
+//! The table of summaries by backend and origin. The merge is commutative and idempotent: two tables that receive the
+//! same summaries, in any order and any number of times, have the same contents.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
@@ -8,97 +8,97 @@
 
 use crate::observation::{BackendKey, Observation};
 
-/// A proxy's life, chosen by chance at its start.
+/// Identifies a proxy process; chosen at random when the process starts.
 pub type Origin = u32;
 
-/// A summary of this age is nobody's any more; of half of it, it is passed on no further.
+/// Age at which a summary is removed.
 pub const EXPIRY: Duration = Duration::from_millis(3000);
-/// A summary is forwarded up to this age.
+/// Age up to which a summary is forwarded: half of `EXPIRY`.
 pub const FORWARD_AGE: Duration = Duration::from_millis(1500);
-/// A summary weighs half after this.
+/// Time after which the weight of a summary halves, in seconds.
 const HALF_LIFE_S: f64 = 0.6;
-/// Times that one that is news here is passed on.
+/// Maximum number of times that a new summary is forwarded.
 const MAX_FORWARDS: u8 = 3;
-/// Summaries of one backend kept, the youngest.
+/// Maximum number of summaries kept per backend; the oldest are removed.
 const MAX_ORIGINS: usize = 16;
-/// What no proxy can truly say.
+/// Largest plausible number of attempts in progress; summaries with more are ignored.
 const MAX_PLAUSIBLE_OUT: u16 = 5_000;
 
-/// A summary as it goes from one to another: its age is told, for clocks differ.
+/// A summary as sent between proxies. It carries its age instead of a time, because clocks differ.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Summary {
-    /// Who made the observation.
+    /// The proxy that made the observation.
     pub origin: Origin,
-    /// Counts up at its origin with each summary.
+    /// Sequence number at the origin.
     pub number: u32,
     /// The backend.
     pub backend: BackendKey,
-    /// Since the observation.
+    /// Time since the observation, in milliseconds.
     pub age_ms: u16,
     /// What was observed.
     pub observation: Observation,
 }
 
-/// What one proxy observed last of a backend.
+/// The latest observation of a backend by one proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// The observation's number.
+    /// Sequence number of the observation.
     pub number: u32,
-    /// When it was true, by this process's clock.
+    /// Time of the observation by the clock of this process.
     pub at: Duration,
     /// What was observed.
     pub observation: Observation,
     forwards_left: u8,
 }
 
-/// What the other proxies have observed.
+/// The observations of the other proxies.
 #[derive(Clone, Debug, Default)]
 pub struct SummaryTable {
-    all: HashMap<BackendKey, BTreeMap<Origin, Entry>>,
+    by_backend: HashMap<BackendKey, BTreeMap<Origin, Entry>>,
 }
 
-/// What all others together say of a backend.
+/// The observations of a backend by all other proxies together.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct BackendView {
-    /// Deliveries that the others have out.
+    /// Attempts in progress from the other proxies, weighted by the age of the summaries.
     pub out: f64,
-    /// How many tell of it, and the age of the oldest that counts.
+    /// Number of proxies with a summary of the backend.
     pub origins: usize,
-    /// The age of the oldest of them.
+    /// Age of the oldest of these summaries.
     pub oldest: Duration,
-    /// One for each proxy that has told.
+    /// One opinion per proxy.
     pub opinions: Vec<Opinion>,
 }
 
-/// What one proxy says of a backend.
+/// One proxy's opinion of a backend, with its weight.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Opinion {
-    /// Usual answer time; 0: none is known.
+    /// Usual response time in milliseconds; 0 if unknown.
     pub usual_ms: f64,
-    /// Parts of deliveries that were turned away, and that failed.
+    /// Share of attempts rejected because the backend was full, from 0 to 1.
     pub full: f64,
-    /// The part of attempts that failed.
+    /// Share of failed attempts, from 0 to 1.
     pub failed: f64,
-    /// By age: 1 for what is said just now.
+    /// Weight by age, 1 for a current observation.
     pub weight: f64,
 }
 
 impl Opinion {
-    /// An observation, weighed.
-    pub fn of(observation: &Observation, weight: f64) -> Self {
-        let part = |of_255: u8| f64::from(of_255) / 255.0;
+    /// Converts an observation to an opinion with the given weight.
+    pub fn from_observation(observation: &Observation, weight: f64) -> Self {
+        let share = |of_255: u8| f64::from(of_255) / 255.0;
         Opinion {
             usual_ms: f64::from(observation.usual_ms),
-            full: part(observation.full),
-            failed: part(observation.failed),
+            full: share(observation.full),
+            failed: share(observation.failed),
             weight,
         }
     }
 }
 
 impl SummaryTable {
-    /// Takes a summary in; says whether it was news. A later number of one origin takes an earlier one's place; of the same
-    /// number the older telling stands, so that nothing grows young by going round.
+    /// Merges a summary; returns whether it was new. A later number of an origin replaces an earlier one. For the same
+    /// number the earlier observation time is kept, so that forwarding can't make a summary younger.
     pub fn merge(&mut self, summary: &Summary, now: Duration) -> bool {
         let age = Duration::from_millis(summary.age_ms.into());
         if age >= EXPIRY || summary.observation.out > MAX_PLAUSIBLE_OUT {
@@ -106,7 +106,7 @@
         }
         let (at, number, observation) =
             (now.saturating_sub(age), summary.number, summary.observation);
-        let known = self.all.entry(summary.backend).or_default();
+        let known = self.by_backend.entry(summary.backend).or_default();
         let new = Entry {
             number,
             at,
@@ -114,13 +114,15 @@
             forwards_left: MAX_FORWARDS,
         };
         match known.get_mut(&summary.origin) {
-            // Numbers go round after 2^32.
-            Some(k) if k.number != number && number.wrapping_sub(k.number) < u32::MAX / 2 => {
-                *k = new
+            // Sequence numbers wrap around after 2^32.
+            Some(entry)
+                if entry.number != number && number.wrapping_sub(entry.number) < u32::MAX / 2 =>
+            {
+                *entry = new
             }
-            Some(k) => {
-                if k.number == number {
-                    k.at = k.at.min(at);
+            Some(entry) => {
+                if entry.number == number {
+                    entry.at = entry.at.min(at);
                 }
                 return false;
             }
@@ -129,54 +131,61 @@
         if known.len() > MAX_ORIGINS {
             let oldest = known
                 .iter()
-                .min_by_key(|(origin, k)| (k.at, **origin))
-                .map(|k| *k.0);
-            oldest.map(|o| known.remove(&o));
+                .min_by_key(|(origin, entry)| (entry.at, **origin))
+                .map(|oldest| *oldest.0);
+            oldest.map(|origin| known.remove(&origin));
         }
         true
     }
 
-    /// Forgets what is too old.
+    /// Removes expired summaries.
     pub fn expire(&mut self, now: Duration) {
-        self.all.retain(|_, known| {
-            known.retain(|_, k| now < k.at + EXPIRY);
+        self.by_backend.retain(|_, known| {
+            known.retain(|_, entry| now < entry.at + EXPIRY);
             !known.is_empty()
         });
     }
 
-    /// Forgets backends that are gone: an address that is used again is another backend.
+    /// Removes backends that no longer exist, because a reused address belongs to another backend.
     pub fn retain(&mut self, backends: &dyn Fn(BackendKey) -> bool) {
-        self.all.retain(|mark, _| backends(*mark));
+        self.by_backend.retain(|backend, _| backends(*backend));
     }
 
-    /// What all others have told of a backend.
+    /// Returns the combined observations of a backend by the other proxies.
     pub fn view(&self, backend: BackendKey, now: Duration) -> BackendView {
         let mut view = BackendView::default();
-        for k in self.all.get(&backend).into_iter().flat_map(|k| k.values()) {
-            let age = now.saturating_sub(k.at);
+        for entry in self
+            .by_backend
+            .get(&backend)
+            .into_iter()
+            .flat_map(|known| known.values())
+        {
+            let age = now.saturating_sub(entry.at);
             if age >= EXPIRY {
                 continue;
             }
             let weight = 0.5f64.powf(age.as_secs_f64() / HALF_LIFE_S);
-            view.out += f64::from(k.observation.out) * weight;
+            view.out += f64::from(entry.observation.out) * weight;
             view.origins += 1;
             view.oldest = view.oldest.max(age);
-            view.opinions.push(Opinion::of(&k.observation, weight));
+            view.opinions
+                .push(Opinion::from_observation(&entry.observation, weight));
         }
         view
     }
 
-    /// Up to `most` of what is news here and young enough to be passed on, the youngest first; each a few times.
-    pub fn take_forwards(&mut self, most: usize, now: Duration) -> Vec<Summary> {
+    /// Returns up to `limit` summaries to forward, the youngest first. Each summary is forwarded a limited number of
+    /// times.
+    pub fn take_forwards(&mut self, limit: usize, now: Duration) -> Vec<Summary> {
         let mut fresh: Vec<(Duration, BackendKey, Origin)> = Vec::new();
-        for (mark, known) in &self.all {
+        for (backend, known) in &self.by_backend {
             let due = known
                 .iter()
-                .filter(|(_, k)| k.forwards_left > 0 && now < k.at + FORWARD_AGE);
-            fresh.extend(due.map(|(origin, k)| (k.at, *mark, *origin)));
+                .filter(|(_, entry)| entry.forwards_left > 0 && now < entry.at + FORWARD_AGE);
+            fresh.extend(due.map(|(origin, entry)| (entry.at, *backend, *origin)));
         }
         fresh.sort_unstable_by(|a, b| b.cmp(a));
-        fresh.truncate(most);
+        fresh.truncate(limit);
         fresh
             .into_iter()
             .filter_map(|(_, backend, origin)| self.forward(backend, origin, now))
@@ -184,35 +193,39 @@
     }
 
     fn forward(&mut self, backend: BackendKey, origin: Origin, now: Duration) -> Option<Summary> {
-        let k = self.all.get_mut(&backend)?.get_mut(&origin)?;
-        k.forwards_left -= 1;
-        let age_ms = now.saturating_sub(k.at).as_millis() as u16;
+        let entry = self.by_backend.get_mut(&backend)?.get_mut(&origin)?;
+        entry.forwards_left -= 1;
+        let age_ms = now.saturating_sub(entry.at).as_millis() as u16;
         Some(Summary {
             origin,
-            number: k.number,
+            number: entry.number,
             backend,
             age_ms,
-            observation: k.observation,
+            observation: entry.observation,
         })
     }
 
-    /// Observations that are kept.
+    /// Returns the number of observations.
     pub fn len(&self) -> usize {
-        self.all.values().map(BTreeMap::len).sum()
+        self.by_backend.values().map(BTreeMap::len).sum()
     }
 
-    /// Whether none is kept.
+    /// Returns whether there is no observation.
     pub fn is_empty(&self) -> bool {
-        self.all.is_empty()
+        self.by_backend.is_empty()
     }
 
-    /// What is known, without what is only for passing on: to compare boards by.
+    /// Returns the contents without the forwarding state, to compare tables.
     pub fn known(&self) -> BTreeMap<(BackendKey, Origin), (u32, Duration, Observation)> {
-        let row =
-            |m: &BackendKey, (o, k): (&Origin, &Entry)| ((*m, *o), (k.number, k.at, k.observation));
-        self.all
+        let row = |backend: &BackendKey, (origin, entry): (&Origin, &Entry)| {
+            (
+                (*backend, *origin),
+                (entry.number, entry.at, entry.observation),
+            )
+        };
+        self.by_backend
             .iter()
-            .flat_map(|(m, known)| known.iter().map(move |k| row(m, k)))
+            .flat_map(|(backend, known)| known.iter().map(move |entry| row(backend, entry)))
             .collect()
     }
 }
--- a/crates/load-reports/src/weight.rs
+++ b/crates/load-reports/src/weight.rs
@@ -1,6 +1,6 @@
-//! What is told of a backend as a factor on its weight, and nobody rushes: told load only ever takes weight away, within
-//! a bound, at once; what was taken comes back slowly. A backend that all hear is quiet keeps its own weight and no
-//! more, so the most that it can get of all is its fair part over the bound.
+//! Factors on the weights of backends, computed from load reports without herding: a report can only lower a weight, at
+//! once and at most to `MIN_FACTOR`, and the weight recovers slowly. A backend that all proxies report as idle keeps
+//! its configured weight and gets no more, so its load can't exceed its fair share divided by `MIN_FACTOR`.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -8,37 +8,39 @@
 use crate::observation::{BackendKey, Observation};
 use crate::summaries::{BackendView, Opinion};
 
-/// The least that is left of a weight.
+/// The smallest factor.
 pub const MIN_FACTOR: f64 = 0.25;
-/// What was taken comes back by this part of the whole in a second.
+/// Recovery of a factor per second.
 const RECOVERY_PER_S: f64 = 0.25;
-/// Load of a backend beside the mean of all from which on weight is taken: chance makes more than this difference.
+/// Ratio of a backend's load to the mean load above which its factor is lowered. Smaller differences arise by chance.
 const OVERLOAD_RATIO: f64 = 2.0;
-/// Answer times beside the middle of all, likewise.
+/// Ratio of a backend's response time to the median above which its factor is lowered. Smaller differences arise
+/// by chance.
 const SLOW_RATIO: f64 = 2.0;
-/// Of what fewer proxies than this say of failures, none is believed: one's bad link condemns nobody.
-const MIN_WITNESSES: usize = 2;
-/// Factors that differ by less are the same: each change is told to the modules.
+/// Number of observing proxies below which reported failures are ignored, because the failures of a single proxy may be
+/// due to its network link.
+const MIN_OBSERVERS: usize = 2;
+/// Smallest change of a factor that is published, because each published change is sent to the decision modules.
 pub const MIN_CHANGE: f64 = 0.1;
 
-/// A backend as this proxy knows it from all sides.
+/// The load of a backend by own and reported observations.
 #[derive(Clone, Debug, Default)]
 pub struct BackendLoad {
-    /// Attempts that it takes at once.
+    /// Number of attempts that the backend handles concurrently.
     pub slots: f64,
-    /// What was observed here.
+    /// The observation of this proxy.
     pub own: Observation,
-    /// What the others have told.
+    /// The observations of the other proxies.
     pub told: BackendView,
 }
 
 impl BackendLoad {
-    /// Deliveries out, of all that is known, by slot.
-    fn per_slot(&self) -> f64 {
+    /// Returns the attempts in progress per slot, from all proxies.
+    fn load_per_slot(&self) -> f64 {
         (f64::from(self.own.out) + self.told.out) / self.slots.max(1.0)
     }
 
-    /// The weighted mean of all known usual answer times; 0: nobody knows one.
+    /// Returns the weighted mean of all known usual response times in milliseconds; 0 if none is known.
     fn usual_ms(&self) -> f64 {
         let told = self.told.opinions.iter().filter(|o| o.usual_ms > 0.0);
         let (sum, weight) = told.fold((0.0, 0.0), |(sum, weight), o| {
@@ -48,14 +50,14 @@
         (sum + f64::from(self.own.usual_ms) * own) / (weight + own).max(1e-9)
     }
 
-    /// The part of deliveries that it turns away or fails, as most see it.
-    fn refused_part(&self) -> f64 {
+    /// Returns the share of attempts that are rejected or fail, as the weighted median over the proxies.
+    fn unsuccessful_share(&self) -> f64 {
         let seen = self.own != Observation::default();
-        let own = seen.then(|| Opinion::of(&self.own, 1.0));
+        let own = seen.then(|| Opinion::from_observation(&self.own, 1.0));
         let opinions: Vec<&Opinion> = self.told.opinions.iter().chain(&own).collect();
         let full = weighted_median(&opinions, |o| o.full);
         let failed = weighted_median(&opinions, |o| o.failed);
-        full + if opinions.len() >= MIN_WITNESSES {
+        full + if opinions.len() >= MIN_OBSERVERS {
             failed
         } else {
             0.0
@@ -63,7 +65,7 @@
     }
 }
 
-/// What most of those who have seen a backend lately say of one thing; each weighs by age.
+/// Returns the median of a property over the opinions, weighted by age.
 fn weighted_median(opinions: &[&Opinion], of: impl Fn(&Opinion) -> f64) -> f64 {
     let mut values: Vec<(f64, f64)> = opinions.iter().map(|o| (of(o), o.weight)).collect();
     values.sort_by(|a, b| a.0.total_cmp(&b.0));
@@ -76,36 +78,40 @@
     found.map_or(0.0, |v| v.0)
 }
 
-/// What is usual among the backends of a service, by which each is measured.
-struct Usual {
+/// The typical values of the backends of a service, with which each backend is compared.
+struct Baseline {
+    /// Mean load per slot.
     load_per_slot: f64,
-    answer_ms: f64,
+    /// Median response time in milliseconds; 0 if none is known.
+    response_ms: f64,
 }
 
-impl Usual {
-    fn of(all: &HashMap<BackendKey, BackendLoad>) -> Self {
-        let loads: f64 = all.values().map(BackendLoad::per_slot).sum();
+impl Baseline {
+    fn from_backends(all: &HashMap<BackendKey, BackendLoad>) -> Self {
+        let loads: f64 = all.values().map(BackendLoad::load_per_slot).sum();
         let mut times: Vec<f64> = all
             .values()
             .map(BackendLoad::usual_ms)
             .filter(|ms| *ms > 0.0)
             .collect();
         times.sort_by(f64::total_cmp);
-        Usual {
+        Baseline {
             load_per_slot: loads / all.len().max(1) as f64,
-            answer_ms: times.get(times.len() / 2).copied().unwrap_or(0.0),
+            response_ms: times.get(times.len() / 2).copied().unwrap_or(0.0),
         }
     }
 
-    /// The factor that a backend should have by what is known now.
+    /// Returns the factor that a backend should have by the current observations.
     fn factor(&self, backend: &BackendLoad) -> f64 {
-        let load =
-            (OVERLOAD_RATIO * (self.load_per_slot + 1.0) / (backend.per_slot() + 1.0)).min(1.0);
-        let slow = match self.answer_ms > 0.0 {
-            true => (SLOW_RATIO * self.answer_ms / backend.usual_ms().max(1e-9)).min(1.0),
+        let load_factor = (OVERLOAD_RATIO * (self.load_per_slot + 1.0)
+            / (backend.load_per_slot() + 1.0))
+            .min(1.0);
+        let slowness_factor = match self.response_ms > 0.0 {
+            true => (SLOW_RATIO * self.response_ms / backend.usual_ms().max(1e-9)).min(1.0),
             false => 1.0,
         };
-        (load * slow * (1.0 - backend.refused_part()).max(0.0)).clamp(MIN_FACTOR, 1.0)
+        (load_factor * slowness_factor * (1.0 - backend.unsuccessful_share()).max(0.0))
+            .clamp(MIN_FACTOR, 1.0)
     }
 }
 
@@ -113,21 +119,21 @@
 #[derive(Clone, Debug, Default)]
 pub struct WeightFactors {
     current: HashMap<BackendKey, f64>,
-    /// As told to the decision modules last.
+    /// The factors last sent to the decision modules.
     published: HashMap<BackendKey, f64>,
-    at: Duration,
+    updated_at: Duration,
 }
 
 impl WeightFactors {
-    /// The factors anew, of all backends of one service; whether any differs by enough to be told.
+    /// Updates the factors of all backends of one service; returns whether any change is large enough to be published.
     pub fn update(&mut self, all: &HashMap<BackendKey, BackendLoad>, now: Duration) -> bool {
-        let recovered = now.saturating_sub(self.at).as_secs_f64() * RECOVERY_PER_S;
-        self.at = now;
+        let recovered = now.saturating_sub(self.updated_at).as_secs_f64() * RECOVERY_PER_S;
+        self.updated_at = now;
         self.current.retain(|key, _| all.contains_key(key));
         self.published.retain(|key, _| all.contains_key(key));
-        let usual = Usual::of(all);
+        let baseline = Baseline::from_backends(all);
         for (key, backend) in all {
-            let target = usual.factor(backend);
+            let target = baseline.factor(backend);
             let factor = self.current.entry(*key).or_insert(1.0);
             *factor = if target < *factor {
                 target
@@ -138,19 +144,19 @@
         let changed = self
             .current
             .iter()
-            .any(|(key, factor)| self.is_news(*key, *factor));
+            .any(|(key, factor)| self.is_significant(*key, *factor));
         if changed {
             self.published = self.current.clone();
         }
         changed
     }
 
-    fn is_news(&self, key: BackendKey, factor: f64) -> bool {
+    fn is_significant(&self, key: BackendKey, factor: f64) -> bool {
         let published = self.factor(key);
         (factor - published).abs() >= MIN_CHANGE || (factor >= 1.0) != (published >= 1.0)
     }
 
-    /// The factor of a backend, as the decision modules know it.
+    /// Returns the published factor of a backend; 1 if there is none.
     pub fn factor(&self, backend: BackendKey) -> f64 {
         self.published.get(&backend).copied().unwrap_or(1.0)
     }
--- a/crates/load-reports/tests/observation.rs
+++ b/crates/load-reports/tests/observation.rs
@@ -1,23 +1,27 @@
-//! What an observer remembers of a backend.
+//! Tests of the observations of a backend.
 
 use std::time::Duration;
 
 use damsonbeam_load_reports::observation::{DeliveryEnd, Observer};
 
 #[test]
-fn what_was_seen_fades_and_one_failure_is_not_all() {
+fn observations_decay_and_a_single_failure_is_not_a_full_failure_rate() {
     let at = Duration::from_millis;
     let mut observer = Observer::default();
     observer.begin(1, at(0));
     observer.begin(1, at(0));
     observer.end(1, DeliveryEnd::Failed, at(10), at(10));
     let seen = observer.observe(1, at(10));
-    assert_eq!((seen.out, seen.usual_ms), (1, 10), "one is waited for");
+    assert_eq!(
+        (seen.out, seen.usual_ms),
+        (1, 10),
+        "one attempt is in progress"
+    );
     assert!(seen.failed < 100, "{seen:?}");
     observer.end(1, DeliveryEnd::Answered, at(80), at(90));
     assert_eq!(observer.observe(1, at(90)).usual_ms, 80);
     assert!(
         observer.all(at(9000)).is_empty(),
-        "nothing is remembered for ever"
+        "old observations are not removed"
     );
 }
