--- a/crates/registry/src/calls.rs
+++ b/crates/registry/src/calls.rs
@@ -41,8 +41,8 @@
     #[error("no such path")]
     UnknownPath,
     /// The path is known but does not allow the method.
-    #[error("no such method")]
-    UnknownMethod,
+    #[error("method not allowed for this path")]
+    MethodNotAllowed,
 }
 
 type Query = BTreeMap<String, String>;
@@ -150,7 +150,7 @@
         }
     }
     Err(if is_known_path {
-        CallError::UnknownMethod
+        CallError::MethodNotAllowed
     } else {
         CallError::UnknownPath
     })
--- a/crates/registry/src/operators.rs
+++ b/crates/registry/src/operators.rs
@@ -25,7 +25,7 @@
 const STORE_REPLY_TIMEOUT: Duration = Duration::from_millis(4000);
 /// Maximum body size of a request, in bytes.
 const MAX_BODY_BYTES: usize = 16 << 20;
-/// Default time for which clients may cache a directory response, in seconds.
+/// Time for which clients may cache a directory response, in seconds, unless `ttl_max_s` in the settings is shorter.
 const DIRECTORY_TTL_S: f64 = 3.0;
 /// Maximum lifetime of a connection.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(60);
@@ -66,7 +66,7 @@
     Ok(match call {
         Ok(call) => dispatch(registry, call, request).await,
         Err(CallError::UnknownPath) => error_response(StatusCode::NOT_FOUND, "no such path"),
-        Err(CallError::UnknownMethod) => error_response(
+        Err(CallError::MethodNotAllowed) => error_response(
             StatusCode::METHOD_NOT_ALLOWED,
             "method not allowed for this path",
         ),
--- a/crates/registry/tests/calls.rs
+++ b/crates/registry/tests/calls.rs
@@ -20,7 +20,7 @@
     );
     assert_eq!(
         Call::parse("PUT", "/-/evacuations/brest-a", None),
-        Err(CallError::UnknownMethod)
+        Err(CallError::MethodNotAllowed)
     );
     assert_eq!(
         Call::parse("POST", "/-/evacuations/", None),
