--- a/crates/registry/src/registry.rs
+++ b/crates/registry/src/registry.rs
@@ -113,7 +113,7 @@
     }
 
     /// Returns whether this registry may answer for the whole system: a majority of the voters has answered recently,
-    /// and no newer epoch of the voters is known.
+    /// and the known voters are at most one epoch behind the highest epoch that other registries have reported.
     pub(crate) fn is_in_contact(&self) -> bool {
         self.contact.is_in_contact(self.now()) && !self.lease.is_behind()
     }
