--- a/crates/gateway/src/account.rs
+++ b/crates/gateway/src/account.rs
@@ -1,7 +1,7 @@
-//! The account: what this gateway did in each second, by reason, as one log line a second at `debug`.
+//! The account: counts of this gateway's events and actions by reason, logged as one line per second at `debug`.
 //!
-//! `damsonbeam account` adds up the lines of all gateways (docs/operations/fleet.md): what is harmless in
-//! one shows only in the sum. Where the level is off nothing is kept.
+//! `damsonbeam account` adds up the lines of all gateways (docs/operations/fleet.md), since a load that is harmless at
+//! one gateway shows only in the sum. Nothing is counted if the level is off.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,32 +10,35 @@
 use damsonbeam_account::VERSION;
 use serde_json::{Map, Value};
 
-/// What this gateway did in each second, by reason.
+/// Counts of this gateway's events and actions in the current second, by reason.
 pub struct Account {
     second: u64,
     counts: BTreeMap<String, u64>,
-    cold_for: Duration,
-    since: BTreeMap<BackendId, Duration>,
+    warm_up_time: Duration,
+    /// When each listed backend started.
+    started_at: BTreeMap<BackendId, Duration>,
 }
 
 impl Account {
-    /// None where nobody reads it.
-    pub fn new(cold_for: Duration) -> Option<Self> {
+    /// Creates an account; returns `None` if `debug` lines aren't logged.
+    ///
+    /// A backend counts as cold for `warm_up_time` after its start.
+    pub fn new(warm_up_time: Duration) -> Option<Self> {
         tracing::enabled!(tracing::Level::DEBUG).then(|| Account {
             second: 0,
             counts: BTreeMap::new(),
-            cold_for,
-            since: BTreeMap::new(),
+            warm_up_time,
+            started_at: BTreeMap::new(),
         })
     }
 
-    /// Counts something that was done.
+    /// Adds `n` to the count `what` of the current second.
     pub fn add(&mut self, now: Duration, what: &str, n: u64) {
         self.turn(now);
         *self.counts.entry(what.to_owned()).or_default() += n;
     }
 
-    /// A second that is over is written down.
+    /// Logs the counts of the previous second and clears them, once `now` is in another second.
     pub fn turn(&mut self, now: Duration) {
         if self.second == now.as_secs() {
             return;
@@ -51,7 +54,7 @@
         self.second = now.as_secs();
     }
 
-    /// Counts what an event tells.
+    /// Counts an event.
     pub fn event(&mut self, now: Duration, event: &Event) {
         match event {
             Event::Invocation(i) => self.add(
@@ -65,9 +68,9 @@
             ),
             Event::BackendList { form, entries } => {
                 if matches!(form, ListForm::Replace | ListForm::Restored) {
-                    self.since.clear();
+                    self.started_at.clear();
                 }
-                self.since
+                self.started_at
                     .extend(entries.iter().map(|e| (e.backend_id, e.since)));
                 self.add(now, "list.pages", 1);
                 self.add(now, "list.entries", entries.len() as u64);
@@ -126,9 +129,9 @@
     }
 
     fn state(&self, now: Duration, backend_id: BackendId) -> &'static str {
-        match self.since.get(&backend_id) {
+        match self.started_at.get(&backend_id) {
             None => "gone",
-            Some(since) if !since.is_zero() && now < *since + self.cold_for => "cold",
+            Some(started) if !started.is_zero() && now < *started + self.warm_up_time => "cold",
             Some(_) => "warm",
         }
     }
--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -1,16 +1,18 @@
-//! The module's clock: Unix time read once, monotonic from then on, so that slots agree at all gateways.
+//! The decision module's clock: Unix time, read once and advanced by the monotonic clock, so that all gateways agree on
+//! the numbers of time slots.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// A clock that says Unix time, and never goes back.
+/// A monotonic clock that returns Unix time.
 #[derive(Clone, Copy)]
 pub struct Clock {
+    /// Unix time at `start`.
     unix: Duration,
     start: Instant,
 }
 
 impl Clock {
-    /// A clock that reads Unix time now.
+    /// Creates a clock that starts at the system's Unix time.
     pub fn start() -> Self {
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -21,7 +23,7 @@
         }
     }
 
-    /// A clock that says `unix` now.
+    /// Creates a clock that starts at `unix`.
     pub fn at(unix: Duration) -> Self {
         Clock {
             unix,
@@ -29,12 +31,12 @@
         }
     }
 
-    /// The time.
+    /// Returns the current Unix time.
     pub fn now(&self) -> Duration {
         self.unix + self.start.elapsed()
     }
 
-    /// When the runtime's timers reach `at`.
+    /// Converts the Unix time `at` to the clock of the runtime's timers.
     pub fn instant(&self, at: Duration) -> tokio::time::Instant {
         (self.start + at.saturating_sub(self.unix)).into()
     }
--- a/crates/gateway/src/config/facts_check.rs
+++ b/crates/gateway/src/config/facts_check.rs
@@ -1,12 +1,12 @@
-//! What the settings must be, and what of them has no meaning on sockets.
+//! Checks of the settings, and notes on settings that have no effect in this process.
 
 use damsonbeam_settings::{Class, Facts, PlanFacts};
 
 use super::ConfigError;
 
-/// What the gateway can't do without, or would misread.
+/// Returns an error for the first setting that is missing, inconsistent or out of range.
 pub(super) fn check(facts: &Facts) -> Result<(), ConfigError> {
-    check_spans(facts)?;
+    check_durations(facts)?;
     if facts.ceilings.try_limit == 0 {
         let key = "settings.ceilings.try-limit";
         return Err(ConfigError::invalid(key, "missing or 0"));
@@ -20,7 +20,10 @@
     let plans: Vec<_> = facts.plans.iter().map(|plan| &plan.name).collect();
     check_unique("plans", &plans)?;
     if facts.self_index >= facts.siblings {
-        let problem = format!("{} of {} siblings", facts.self_index, facts.siblings);
+        let problem = format!(
+            "{} is not below siblings = {}",
+            facts.self_index, facts.siblings
+        );
         return Err(ConfigError::invalid("settings.self-index", problem));
     }
     let numbered = facts.request_classes.iter().enumerate();
@@ -28,27 +31,28 @@
         check_class(number, class)?;
     }
     for (number, class) in numbered {
-        let figures = [
+        let values = [
             ("importance", class.importance),
             ("late-worth", class.late_worth),
         ];
-        check_figures(&format!("settings.request-classes[{number}]"), &figures)?;
+        check_non_negative(&format!("settings.request-classes[{number}]"), &values)?;
     }
-    let figures = [
+    let values = [
         ("most-units", facts.domain.most_units),
         ("call-price", facts.domain.call_price),
     ];
-    check_figures("settings.domain", &figures)?;
+    check_non_negative("settings.domain", &values)?;
     for (number, plan) in facts.plans.iter().enumerate() {
         check_plan(number, plan)?;
     }
     Ok(())
 }
 
-fn check_spans(facts: &Facts) -> Result<(), ConfigError> {
-    let needs_no_counter = u64::from(!facts.domain.has_counter);
-    let counter_timeout_ns = facts.domain.counter_timeout_ns.max(needs_no_counter);
-    let spans = [
+fn check_durations(facts: &Facts) -> Result<(), ConfigError> {
+    // Without a counter its time-out may be 0.
+    let without_counter = u64::from(!facts.domain.has_counter);
+    let counter_timeout_ns = facts.domain.counter_timeout_ns.max(without_counter);
+    let durations = [
         ("tick-ns", facts.tick_ns),
         (
             "ceilings.connect-timeout-ns",
@@ -57,7 +61,7 @@
         ("ceilings.conn-idle-ns", facts.ceilings.conn_idle_ns),
         ("domain.counter-timeout-ns", counter_timeout_ns),
     ];
-    match spans.iter().find(|(_, span)| *span == 0) {
+    match durations.iter().find(|(_, duration)| *duration == 0) {
         Some((key, _)) => Err(ConfigError::invalid(
             format!("settings.{key}"),
             "missing or 0",
@@ -70,7 +74,7 @@
     for (number, name) in names.iter().enumerate() {
         if names[..number].contains(name) {
             let key = format!("settings.{key}[{number}].name");
-            let problem = format!("`{name}` stands there twice");
+            let problem = format!("duplicate name `{name}`");
             return Err(ConfigError::invalid(key, problem));
         }
     }
@@ -83,7 +87,7 @@
         return Ok(());
     }
     let key = format!("settings.request-classes[{number}]");
-    let problem = "needs a name for a path, deadline-ns, slo-ns";
+    let problem = "needs a name without `/`, deadline-ns and slo-ns";
     Err(ConfigError::invalid(key, problem))
 }
 
@@ -92,7 +96,7 @@
     if plan.name.is_empty() {
         return Err(ConfigError::invalid(format!("{path}.name"), "missing"));
     }
-    let figures = [
+    let values = [
         ("quota-rate", plan.quota_rate),
         ("store-size", plan.store_size),
         ("max-out", plan.max_out),
@@ -103,50 +107,52 @@
         ("excess-worth", plan.excess_worth),
         ("overrun-cost", plan.overrun_cost),
     ];
-    check_figures(&path, &figures)?;
-    // Each pair means one thing: with half of it nothing would be held, or nothing let in.
+    check_non_negative(&path, &values)?;
+    // A rate and its burst size make up one limit: a rate of 0 would limit nothing, and a burst size of 0 would admit
+    // nothing.
     if (plan.quota_rate > 0.0) != (plan.store_size > 0.0) {
-        let problem = "needed with quota-rate, and only with it";
+        let problem = "must be set if and only if quota-rate is";
         return Err(ConfigError::invalid(format!("{path}.store-size"), problem));
     }
     if (plan.cap_rate > 0.0) != (plan.never_over_depth > 0.0) {
-        let problem = "needed with cap-rate, and only with it";
+        let problem = "must be set if and only if cap-rate is";
         let key = format!("{path}.never-over-depth");
         return Err(ConfigError::invalid(key, problem));
     }
     Ok(())
 }
 
-fn check_figures(path: &str, figures: &[(&str, f64)]) -> Result<(), ConfigError> {
-    let is_wrong = |(_, figure): &&(&str, f64)| !figure.is_finite() || *figure < 0.0;
-    match figures.iter().find(is_wrong) {
-        Some((key, figure)) => {
-            let problem = format!("{figure} is no figure from 0 on");
+fn check_non_negative(path: &str, values: &[(&str, f64)]) -> Result<(), ConfigError> {
+    let is_invalid = |(_, value): &&(&str, f64)| !value.is_finite() || *value < 0.0;
+    match values.iter().find(is_invalid) {
+        Some((key, value)) => {
+            let problem = format!("{value} is not a finite number of at least 0");
             Err(ConfigError::invalid(format!("{path}.{key}"), problem))
         }
         None => Ok(()),
     }
 }
 
-/// The decisions are sound without these; the socket protocol has no page for them, and none is guessed.
+/// Returns a note for each setting that has no effect because the clients' and backends' protocol carries no data for
+/// it. The decision module works without that data.
 pub(super) fn notes(facts: &Facts) -> Vec<String> {
-    let absent = [
+    let unsupported = [
         (
             facts.domain.settles,
-            "domain.settles: answers tell no true units here, the guesses stand",
+            "domain.settles: responses don't report the units used; the estimates are kept",
         ),
         (
             facts.domain.meter_ns > 0,
-            "domain.meter-ns: answers tell no use here, the counter alone does",
+            "domain.meter-ns: responses don't report usage; only the counter does",
         ),
         (
             facts.report.how == "on_probe",
-            "report.how: no probe is sent here, so no load is reported",
+            "report.how: no probes are sent, so no load is reported",
         ),
     ];
-    absent
+    unsupported
         .iter()
-        .filter(|(is, _)| *is)
-        .map(|(_, what)| format!("settings.{what}"))
+        .filter(|(is_set, _)| *is_set)
+        .map(|(_, note)| format!("settings.{note}"))
         .collect()
 }
--- a/crates/gateway/src/config/mod.rs
+++ b/crates/gateway/src/config/mod.rs
@@ -1,7 +1,7 @@
-//! The one place where configuration is read, checked and given defaults.
+//! Reads and checks the configuration and sets its defaults; no other module does.
 //!
-//! `facts_check` is what the settings must be; `reload` what may follow a configuration in force; `unknown_keys` what
-//! nothing reads.
+//! `facts_check` checks the settings, `reload` checks a new configuration against the one in force, and `unknown_keys`
+//! finds keys that nothing reads.
 
 mod facts_check;
 mod reload;
@@ -20,18 +20,19 @@
 use crate::backend_list::DiscoveryPage;
 use crate::sizes::{BODY, CONNECTION};
 
-/// Descriptors kept for all but clients and backends: listener, counter, list, peers, the runtime's own, and
-/// those of connections that were let go and close within a turn.
+/// File descriptors reserved for other uses than client and backend connections: listener, counter, discovery, peers,
+/// the runtime, and dropped connections whose descriptors close within one turn of the event loop.
 const RESERVED_SOCKETS: usize = 48;
-/// Where the file does not say.
+/// Default of `limits.sockets`.
 const DEFAULT_SOCKETS: usize = 1024;
+/// Default of `limits.memory_mb`.
 const DEFAULT_MEMORY_MB: usize = 192;
-/// Sockets that a gateway needs at least.
+/// Smallest value of `limits.sockets`.
 const MIN_SOCKETS: usize = 4 * RESERVED_SOCKETS;
-/// Connections of a kind, at least.
+/// Smallest capacity for client connections, and for backend connections.
 const MIN_CONNECTIONS: usize = 16;
 
-/// What a reload can change: where others are reached.
+/// Addresses of the services that the gateway calls; a reload can change these.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServiceAddresses {
     /// The service that lists backends.
@@ -44,39 +45,40 @@
 pub struct Config {
     /// The gateway's name.
     pub name: String,
-    /// Where clients call.
+    /// Address on which clients connect.
     pub listen: SocketAddr,
-    /// Where others are reached.
+    /// Addresses of discovery and of the counter.
     pub addresses: ServiceAddresses,
-    /// Where operators call, if anywhere.
+    /// Address of the admin interface, if there is one.
     pub admin: Option<SocketAddr>,
-    /// Where the other gateways call, if they do.
+    /// Address on which messages of other gateways arrive, if gateways exchange any.
     pub peer_listen: Option<SocketAddr>,
-    /// The other gateways, this one among them, by their numbers.
+    /// Addresses of all gateways, including this one, indexed by their numbers.
     pub peers: Vec<SocketAddr>,
-    /// Where all other gateways are reached at once.
+    /// Address that reaches all other gateways at once.
     pub peers_all: Option<SocketAddr>,
-    /// Gateways tell each other what they added to the counter (docs/counter-failure.md); needs `peers`.
+    /// Whether gateways report to each other the units they added to the counter (docs/counter-failure.md); needs
+    /// `peers`.
     pub witness: bool,
-    /// Where chance comes from.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// The list of backends as it was last known.
+    /// The last known list of backends.
     pub known: DiscoveryPage,
-    /// The settings as they stand in the file.
+    /// The settings as decoded from the file.
     pub facts: Facts,
-    /// The file as it was read.
+    /// The whole file as JSON.
     pub source: Value,
-    /// The settings as decisions go by them.
+    /// The settings in the form that the decision module uses.
     pub settings: Settings,
-    /// Client connections at most.
+    /// Maximum number of client connections.
     pub clients: usize,
-    /// Connections to backends at most.
+    /// Maximum number of backend connections.
     pub backends: usize,
-    /// Bytes of requests' bodies at most, and of answers larger than a body, for each of both.
+    /// Memory in bytes for request bodies, and the same amount again for responses larger than one body buffer.
     pub bodies: usize,
-    /// What the settings rely on and no page of the socket protocol brings, a line each.
+    /// Notes on settings that have no effect because the protocol carries no data for them, one line each.
     pub notes: Vec<String>,
-    /// The gateway's own keys that nothing reads; `config check` refuses them, `serve` logs them.
+    /// Unknown keys outside `settings`; `config check` rejects them, `serve` logs them.
     pub unknown: Vec<String>,
 }
 
@@ -110,7 +112,7 @@
 /// Why a configuration can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// The environment names no file.
+    /// `NODE_CONFIG`, which names the file, is not set.
     #[error("NODE_CONFIG is not set")]
     NotSet,
     /// The file can't be read.
@@ -118,10 +120,10 @@
     Unreadable {
         /// The file.
         path: String,
-        /// Why not.
+        /// The I/O error.
         source: io::Error,
     },
-    /// The file is not of the form that is expected.
+    /// The file is not JSON, or a value has the wrong type.
     #[error("NODE_CONFIG: {0}")]
     Malformed(String),
     /// A key's value can't be used, or is missing.
@@ -129,7 +131,7 @@
     Invalid {
         /// The key, with its path.
         key: String,
-        /// What is wrong.
+        /// What is wrong with the value.
         problem: String,
     },
 }
@@ -143,20 +145,23 @@
     }
 }
 
-/// What the machine's sockets and memory allow.
+/// Capacities that follow from the limits on sockets and memory.
 struct Capacity {
+    /// Client connections.
     clients: usize,
+    /// Backend connections.
     backends: usize,
+    /// Bytes of request bodies.
     body_bytes: usize,
 }
 
 impl Capacity {
-    /// Clients get three fifths of the sockets. With every connection at its largest, clients, backends and bodies take
-    /// a quarter of the memory each at most.
+    /// Derives the capacities from `limits`. Clients get three fifths of the usable sockets. Clients, backends and bodies
+    /// each get a quarter of the memory, counting every connection at its maximum size.
     fn of(limits: &Limits) -> Result<Self, ConfigError> {
         let sockets = limits.sockets.unwrap_or(DEFAULT_SOCKETS);
         if sockets < MIN_SOCKETS {
-            let problem = format!("{sockets} is too few, {MIN_SOCKETS} at least");
+            let problem = format!("{sockets} is below the minimum of {MIN_SOCKETS}");
             return Err(ConfigError::invalid("limits.sockets", problem));
         }
         let memory_mb = limits.memory_mb.unwrap_or(DEFAULT_MEMORY_MB);
@@ -168,7 +173,7 @@
             body_bytes: quarter,
         };
         if capacity.backends.min(capacity.clients) < MIN_CONNECTIONS {
-            let problem = format!("{memory_mb} MB hold too few connections");
+            let problem = format!("{memory_mb} MB is too little memory for the connections");
             return Err(ConfigError::invalid("limits.memory_mb", problem));
         }
         Ok(capacity)
@@ -176,10 +181,10 @@
 }
 
 impl Config {
-    /// From the environment and the file that it names.
+    /// Reads the configuration from the file that `NODE_CONFIG` names and from the environment.
     ///
     /// # Errors
-    /// The first thing that can't be used.
+    /// Returns the first problem found.
     pub fn read() -> Result<Self, ConfigError> {
         let path = std::env::var("NODE_CONFIG").map_err(|_| ConfigError::NotSet)?;
         let text = std::fs::read_to_string(&path)
@@ -187,10 +192,10 @@
         Self::parse(&text, |key| std::env::var(key).ok())
     }
 
-    /// From a file's text and the environment.
+    /// Parses and checks the text of a configuration file; `env` looks up environment variables.
     ///
     /// # Errors
-    /// The first thing that can't be used.
+    /// Returns the first problem found.
     pub fn parse(text: &str, env: impl Fn(&str) -> Option<String>) -> Result<Self, ConfigError> {
         let mut json = serde_json::Deserializer::from_str(text);
         let file: ConfigFile = decode(&mut json).map_err(ConfigError::Malformed)?;
@@ -244,7 +249,7 @@
 fn address(key: &str, value: &str) -> Result<SocketAddr, ConfigError> {
     value
         .parse()
-        .map_err(|error| ConfigError::invalid(key, format!("`{value}` is no address: {error}")))
+        .map_err(|error| ConfigError::invalid(key, format!("`{value}` is not an address: {error}")))
 }
 
 fn optional_address(key: &str, value: Option<&String>) -> Result<Option<SocketAddr>, ConfigError> {
@@ -256,13 +261,13 @@
         .map_err(|error| ConfigError::invalid("seed", format!("`{text}` is not hex: {error}")))
 }
 
-/// An error that begins with a key, below another key.
+/// Converts an error text `key: problem` to an error of the key `parent.key`.
 fn prefixed(parent: &str, error: &str) -> ConfigError {
     let (key, problem) = error.split_once(": ").unwrap_or((error, ""));
     ConfigError::invalid(format!("{parent}.{key}"), problem)
 }
 
-/// Decodes; an error begins with the key at which it failed.
+/// Decodes a value; the error text has the form `key: problem`.
 fn decode<'a, T: Deserialize<'a>>(from: impl Deserializer<'a>) -> Result<T, String> {
     serde_path_to_error::deserialize(from)
         .map_err(|error| format!("{}: {}", error.path(), error.inner()))
--- a/crates/gateway/src/config/reload.rs
+++ b/crates/gateway/src/config/reload.rs
@@ -1,19 +1,19 @@
-//! Which configuration may follow one that is in force.
+//! Checks whether a new configuration may replace the one in force.
 
 use serde_json::Value;
 
 use super::{Config, ConfigError};
 
 impl Config {
-    /// Whether it may follow a configuration that is in force: a key that stood there and is gone is no
-    /// setting turned off, but a file that was cut or written wrongly.
+    /// Checks that this configuration may replace `old`. A settings key that `old` has and this configuration lacks is
+    /// taken as a sign of a truncated or malformed file, not as a setting that was turned off.
     ///
     /// # Errors
-    /// The first key that is missing.
+    /// Returns the first key that is missing.
     pub fn follows(&self, old: &Value) -> Result<(), ConfigError> {
         match missing_key(&old["settings"], &self.source["settings"], "settings") {
             Some(key) => {
-                let problem = "missing, and the configuration in force has it";
+                let problem = "missing, although the configuration in force has it";
                 Err(ConfigError::invalid(key, problem))
             }
             None => Ok(()),
@@ -21,7 +21,8 @@
     }
 }
 
-/// The first key that `old` has and `new` lacks. A row of a list needs the keys that all the old rows have.
+/// Returns the first key that `old` has and `new` lacks. A list element must have the keys that all elements of the old
+/// list have.
 fn missing_key(old: &Value, new: &Value, path: &str) -> Option<String> {
     match (old, new) {
         (Value::Object(old), Value::Object(new)) => old.iter().find_map(|(key, old)| {
--- a/crates/gateway/src/config/unknown_keys.rs
+++ b/crates/gateway/src/config/unknown_keys.rs
@@ -1,4 +1,4 @@
-//! Keys of a configuration that nothing reads.
+//! Finds keys of a configuration that nothing reads.
 
 use std::path::Path;
 
@@ -6,8 +6,8 @@
 
 use super::{Config, ConfigFile};
 
-/// Keys of a configuration that nothing reads, with their paths: the gateway's own refused by `config check`,
-/// those of `settings` (which the platform may widen) noted.
+/// Returns the paths of the unknown keys outside `settings`, and of those below `settings`. `config check` rejects the
+/// former and only notes the latter, since the platform may add settings.
 pub fn unknown_keys(text: &str) -> (Vec<String>, Vec<String>) {
     let (mut own, mut settings) = (Vec::new(), Vec::new());
     let mut text = serde_json::Deserializer::from_str(text);
@@ -22,10 +22,10 @@
     (own, settings)
 }
 
-/// `damsonbeam config check`: what `serve` would refuse, and keys that nothing reads; else the notes.
+/// Checks a file for `damsonbeam config check`; returns the notes on a valid configuration.
 ///
 /// # Errors
-/// What is wrong, a line each.
+/// Returns the problem for which `serve` would reject the file and the unknown keys outside `settings`, one line each.
 pub fn check_file(path: &Path) -> Result<Vec<String>, Vec<String>> {
     let text = std::fs::read_to_string(path).map_err(|e| vec![e.to_string()])?;
     let (own, settings) = unknown_keys(&text);
--- a/crates/gateway/src/dispatcher/actions.rs
+++ b/crates/gateway/src/dispatcher/actions.rs
@@ -1,4 +1,4 @@
-//! The rules' actions are carried out.
+//! Carries out the decision module's actions.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 use crate::log::log;
 use crate::messages::{Answer, CounterCall, ToBackend, ToCounter, ToListWatcher, ToPeers};
 
-/// As the figures tell apart requests that were turned away.
+/// Values of the label `when` of the metric `turned_away`.
 const AFTER_ATTEMPT: &str = "after_delivery";
 const BEFORE_ATTEMPT: &str = "before_delivery";
 
@@ -30,7 +30,7 @@
                 invocation_id,
                 retry_after,
                 reason,
-            } => self.turn_away(invocation_id, retry_after, reason),
+            } => self.throttle(invocation_id, retry_after, reason),
             Action::Fail { invocation_id } => self.answer_error(invocation_id),
             Action::SetTimer { after, token } => {
                 let at = self.clock.now() + after;
@@ -76,7 +76,7 @@
         self.forget_if_finished(invocation_id);
     }
 
-    fn turn_away(
+    fn throttle(
         &mut self,
         invocation_id: InvocationId,
         retry_after: Option<Duration>,
@@ -112,7 +112,8 @@
         self.forget_if_finished(invocation_id);
     }
 
-    /// Calls the counter; the rules are told at once where there is no room for the call, or no counter.
+    /// Calls the counter. Reports `Outcome::Full` to the decision module at once if there is no counter or its mailbox
+    /// is full.
     fn call_counter(&mut self, call: CounterCall) {
         let name = call.name.clone();
         let is_sent = match &self.counter {
@@ -122,7 +123,11 @@
         if is_sent {
             return;
         }
-        log!(warn, "counter-crowded", "a call not sent");
+        log!(
+            warn,
+            "counter-crowded",
+            "counter call dropped: no counter or its mailbox is full"
+        );
         self.state.follow_up_events.push_back(Event::CounterTotal {
             name,
             outcome: Outcome::Full,
@@ -132,7 +137,7 @@
         });
     }
 
-    /// The platform's protocol has no probes.
+    /// Reports a probe as ignored, since the platform's protocol has no probes.
     fn skip_probe(&mut self, backend_id: BackendId) {
         self.state.follow_up_events.push_back(Event::Probed {
             backend_id,
--- a/crates/gateway/src/dispatcher/attempt_policy.rs
+++ b/crates/gateway/src/dispatcher/attempt_policy.rs
@@ -1,27 +1,34 @@
-//! What attempts use up that all gateways share, besides the quotas.
+//! Limits on attempts that all gateways share, apart from the quotas.
 
 use std::time::Duration;
 
 use damsonbeam::interface::{BackendEntry, BackendId, Outcome};
 
-/// Decides on each attempt by what all gateways share: asked before it is sent, told when it is over.
+/// Applies limits that all gateways share to each attempt: called before an attempt is sent and after it has ended.
 pub trait AttemptPolicy {
-    /// Whether an attempt beyond its request's first may be made.
+    /// Returns whether a request may have another attempt after its first.
     fn may_retry(&mut self, now: Duration) -> bool;
-    /// An attempt is to go to that backend.
+    /// Decides whether an attempt may be sent to `backend`.
     fn before_attempt(&mut self, backend: BackendId, now: Duration) -> AttemptDecision;
-    /// An attempt that went to that backend is over, after that time.
-    fn after_attempt(&mut self, _backend: BackendId, _: Outcome, _took: Duration, _now: Duration) {}
-    /// Whether an attempt that its backend may work on may be cancelled before its client's time is over.
+    /// Records the outcome and the latency of an attempt that was sent to a backend.
+    fn after_attempt(
+        &mut self,
+        _backend: BackendId,
+        _outcome: Outcome,
+        _latency: Duration,
+        _now: Duration,
+    ) {
+    }
+    /// Returns whether an attempt that its backend may be working on may be cancelled before the client's deadline.
     fn may_cancel(&self) -> bool {
         true
     }
 }
 
-/// What an [`AttemptPolicy`] says of an attempt that is to be sent.
+/// An [`AttemptPolicy`]'s decision on an attempt.
 pub struct AttemptDecision {
-    /// Whether it may be sent.
+    /// Whether the attempt may be sent.
     pub allowed: bool,
-    /// How its backend stands from now on, where that changes.
+    /// The backend's new entry in the list, if its health changes.
     pub health_change: Option<BackendEntry>,
 }
--- a/crates/gateway/src/dispatcher/mod.rs
+++ b/crates/gateway/src/dispatcher/mod.rs
@@ -1,4 +1,5 @@
-//! The decision module's actor: owns the rules, feeds them events in order of arrival, carries out their actions.
+//! The dispatcher: the actor that owns the decision module, passes it events in order of arrival and carries out its
+//! actions.
 
 mod actions;
 mod attempt_policy;
@@ -33,61 +34,67 @@
 };
 use crate::peer_admissions::{self, PeerAdmissions};
 
-/// Events taken from the mailbox at a time.
+/// Most messages taken from the mailbox at once.
 const MAX_BATCH: usize = 64;
-/// The figures that are looked up, not counted, are this old at most.
+/// Interval at which the gauges that only the decision module knows are updated.
 const FIGURES_INTERVAL: Duration = Duration::from_millis(200);
 
-/// A request that is not answered, or that has attempts out.
+/// A request that is unanswered or has attempts in flight.
 struct PendingRequest {
     request: Rc<ForwardedRequest>,
+    /// When the client stops waiting, as Unix time.
     deadline: Duration,
-    /// While its body comes: how long its client waits from then on.
-    coming: Option<Duration>,
+    /// How long the client waits after the body's last byte; `Some` only until that byte has arrived.
+    timeout_after_body: Option<Duration>,
+    /// Receives the final answer; `None` once the answer is sent or the client is gone.
     answer: Option<oneshot::Sender<Answer>>,
-    /// A failed attempt's response, which the client gets where no better one comes.
+    /// A failed attempt's response, sent to the client if no attempt succeeds.
     fallback: Option<BackendResponse>,
     attempts: Attempts,
     overdue: Option<Overdue>,
+    /// The attempts by their numbers; `None` for those that have ended or were not sent.
     in_flight: Vec<Option<InFlightAttempt>>,
 }
 
-/// An attempt that is out.
+/// An attempt that was passed to its backend's actor and has not ended.
 struct InFlightAttempt {
     backend_id: BackendId,
+    /// When the attempt was sent, as Unix time.
     sent: Duration,
+    /// When the attempt times out, as Unix time.
     until: Duration,
     cancel_handle: Rc<CancelHandle>,
 }
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum Timer {
+    /// A timer of the decision module, with its token.
     Rules(String),
     AttemptTimeout(InvocationId, AttemptNumber),
-    /// An overdue attempt after which nothing follows.
+    /// The end of the extra time of an overdue attempt that no other attempt follows.
     OverdueEnd(InvocationId),
     /// The report to the other gateways.
     PeerReport,
-    /// The figures that only the rules know.
+    /// The update of the gauges that only the decision module knows.
     Figures,
 }
 
-/// Starts the actor of a backend: where it is, and what it is called.
+/// Starts the actor of a backend with an address and a name.
 pub type SpawnBackend = Box<dyn Fn(SocketAddr, &Arc<str>) -> BackendHandle>;
 
-/// The decision module's actor.
+/// The actor that owns the decision module.
 pub struct Dispatcher {
-    /// The decisions.
+    /// The decision module.
     pub rules: Rules,
-    /// The time that events carry.
+    /// The clock that gives events their times.
     pub clock: Clock,
-    /// What happens.
+    /// The messages to this actor.
     pub mailbox: mpsc::Receiver<ToDispatcher>,
     /// Starts a backend's actor.
     pub spawn_backend: SpawnBackend,
-    /// Its own mailbox, for what its attempts tell.
+    /// The sender to `mailbox`, passed to backends' actors for the results of attempts.
     pub own_mailbox: mpsc::Sender<ToDispatcher>,
-    /// What all gateways share besides the quotas: where the protocol sets it.
+    /// Limits on attempts that all gateways share apart from the quotas, if the protocol sets any.
     pub attempt_policy: Option<Box<dyn AttemptPolicy>>,
     /// The shared counter, if there is one.
     pub counter: Option<mpsc::Sender<ToCounter>>,
@@ -95,32 +102,34 @@
     pub list_watcher: mpsc::Sender<ToListWatcher>,
     /// The other gateways, if there are any.
     pub peers: Option<mpsc::Sender<ToPeers>>,
-    /// Where `peer_admissions` is set: the other gateways' adds, and the peers (by number) to report to.
+    /// The units that the other gateways reported as admitted, and the gateways to report to; `None` if gateways don't
+    /// report to each other.
     pub peer_admissions: Option<(PeerAdmissions, Vec<GatewayId>)>,
-    /// What is under way.
+    /// The open requests, backends and timers.
     pub state: DispatcherState,
-    /// What is counted for operators.
+    /// The metrics.
     pub figures: Figures,
-    /// What is logged of each second, where it is.
+    /// The counts logged each second, if the log level asks for them.
     pub account: Option<Account>,
-    /// Whether somebody may ask for the figures.
+    /// Whether the metrics can be read, so that the gauges must be kept up to date.
     pub reports_figures: bool,
-    /// Who waits for what the rules hand over.
+    /// Receives the state that the decision module hands over, while that is awaited.
     pub carry: Option<oneshot::Sender<Box<Carry>>>,
 }
 
-/// What is under way.
+/// The dispatcher's open requests, backends and timers.
 #[derive(Default)]
 pub struct DispatcherState {
     requests: HashMap<InvocationId, PendingRequest>,
     backends: BTreeMap<BackendId, BackendHandle>,
+    /// The timers, each with the Unix time at which it fires.
     timers: BTreeSet<(Duration, Timer)>,
-    /// Events that actions gave rise to.
+    /// Events that actions caused, to be handled after all actions of the current event.
     follow_up_events: VecDeque<Event>,
 }
 
 impl Dispatcher {
-    /// Runs until nobody sends events any more.
+    /// Runs until all senders to the mailbox are dropped.
     pub async fn run(mut self) {
         if self.peer_admissions.is_some() {
             self.state.timers.insert((
@@ -133,14 +142,14 @@
         }
         let wake = sleep_until(self.clock.instant(Duration::ZERO));
         tokio::pin!(wake);
-        let mut armed: Option<Duration> = None;
+        let mut wake_at: Option<Duration> = None;
         let mut batch = Vec::with_capacity(MAX_BATCH);
         loop {
             let next = self.state.timers.first().map(|(at, _)| *at);
-            if let Some(at) = next.filter(|_| next != armed) {
+            if let Some(at) = next.filter(|_| next != wake_at) {
                 wake.as_mut().reset(self.clock.instant(at));
             }
-            armed = next;
+            wake_at = next;
             tokio::select! {
                 biased;
                 n = self.mailbox.recv_many(&mut batch, MAX_BATCH) => {
@@ -149,7 +158,7 @@
                     }
                     batch.drain(..).for_each(|message| self.handle_message(message));
                 }
-                () = &mut wake, if armed.is_some() => armed = None,
+                () = &mut wake, if wake_at.is_some() => wake_at = None,
             }
             self.run_timers();
         }
@@ -158,7 +167,13 @@
     fn run_timers(&mut self) {
         let now = self.clock.now();
         while self.state.timers.first().is_some_and(|(at, _)| *at <= now) {
-            match self.state.timers.pop_first().expect("seen above").1 {
+            match self
+                .state
+                .timers
+                .pop_first()
+                .expect("the loop condition checked for a timer")
+                .1
+            {
                 Timer::Rules(token) => self.handle_event(Event::Timer { token }),
                 Timer::AttemptTimeout(invocation_id, number) => {
                     self.timed_out(invocation_id, number)
@@ -189,7 +204,7 @@
                 let request = PendingRequest {
                     request,
                     deadline: invocation.deadline,
-                    coming: invocation.body_pending.then_some(time_left),
+                    timeout_after_body: invocation.body_pending.then_some(time_left),
                     answer: Some(answer),
                     fallback: None,
                     attempts: Attempts::new(repeatable),
@@ -245,7 +260,7 @@
 
     fn handle_attempt_ended(&mut self, ended: AttemptEnded) {
         let (invocation_id, number) = (ended.invocation_id, ended.number);
-        // One whose time was over has had its outcome.
+        // The outcome of an attempt that timed out was already reported.
         let Some(attempt) = self.take_attempt(invocation_id, number) else {
             return self.overdue_done(ended);
         };
@@ -287,7 +302,7 @@
         });
     }
 
-    /// A datagram of another gateway: a report of what it admitted, or one for the rules.
+    /// Handles a datagram of another gateway: either a report of admitted units or a message for the decision module.
     fn peer_message(&mut self, from: GatewayId, bytes: Vec<u8>) {
         let now = self.clock.now();
         let is_report = match &mut self.peer_admissions {
@@ -299,7 +314,7 @@
         }
     }
 
-    /// Backends have an actor from the first list that names them to the one that has them gone.
+    /// Applies a list of backends: starts actors for new backends and stops those of backends that are gone.
     fn update_backends(
         &mut self,
         BackendListUpdate {
@@ -309,12 +324,13 @@
             names,
         }: BackendListUpdate,
     ) {
-        let unnamed: Arc<str> = "".into();
+        let no_name: Arc<str> = "".into();
         if matches!(form, ListForm::Replace | ListForm::Restored) {
-            let named: BTreeSet<BackendId> = entries.iter().map(|entry| entry.backend_id).collect();
+            let listed: BTreeSet<BackendId> =
+                entries.iter().map(|entry| entry.backend_id).collect();
             self.state
                 .backends
-                .retain(|backend_id, _| named.contains(backend_id));
+                .retain(|backend_id, _| listed.contains(backend_id));
         }
         for (position, (entry, address)) in entries.iter().zip(addresses).enumerate() {
             let id = entry.backend_id;
@@ -324,7 +340,7 @@
             }
             let known = self.state.backends.get(&id);
             if known.is_none_or(|backend| backend.at != address) {
-                let name = names.get(position).unwrap_or(&unnamed);
+                let name = names.get(position).unwrap_or(&no_name);
                 let backend = (self.spawn_backend)(address, name);
                 self.state.backends.insert(id, backend);
             }
@@ -335,14 +351,15 @@
         self.handle_event(Event::BackendList { form, entries });
     }
 
-    /// A body's last byte has come: its attempts' times run from now.
+    /// Handles the arrival of a body's last byte: sets the client's deadline and starts the latencies and timeouts of the
+    /// request's attempts at the present time.
     fn body_complete(&mut self, invocation_id: InvocationId, deadline: Duration) {
         let now = self.clock.now();
         let Some(request) = self.state.requests.get_mut(&invocation_id) else {
             return;
         };
         request.deadline = deadline;
-        request.coming = None;
+        request.timeout_after_body = None;
         for (number, attempt) in request.in_flight.iter_mut().enumerate() {
             let Some(attempt) = attempt else {
                 continue;
@@ -360,7 +377,7 @@
         });
     }
 
-    /// Takes an attempt off those out.
+    /// Removes an attempt from those in flight and returns it, if it is one of them.
     fn take_attempt(
         &mut self,
         invocation_id: InvocationId,
@@ -373,14 +390,15 @@
             .in_flight
             .get_mut(number.0 as usize)?
             .take()?;
-        // Left there, it would wake the gateway for nothing.
+        // The timer would wake the gateway needlessly.
         self.state
             .timers
             .remove(&(attempt.until, Timer::AttemptTimeout(invocation_id, number)));
         Some(attempt)
     }
 
-    /// How an attempt ended; the invocation is closed if its final answer has gone out.
+    /// Counts an attempt's outcome and returns the event that reports it. The event's `closed` is true if the invocation
+    /// has its final answer.
     fn outcome_event(
         &self,
         invocation_id: InvocationId,
@@ -426,7 +444,7 @@
         self.forget_if_finished(invocation_id);
     }
 
-    /// An attempt that went out is over.
+    /// Reports the end of an attempt that was sent to the attempt policy.
     fn notify_policy(&mut self, attempt: &InFlightAttempt, outcome: Outcome) {
         if let Some(attempt_policy) = &mut self.attempt_policy {
             let now = self.clock.now();
@@ -439,7 +457,7 @@
         }
     }
 
-    /// The same for one that ends by an action, told once all actions are carried out.
+    /// Queues the event for an attempt that an action ended, to be handled after all actions of the current event.
     fn queue_ended(
         &mut self,
         invocation_id: InvocationId,
@@ -451,11 +469,17 @@
         self.state.follow_up_events.push_back(event);
     }
 
-    /// Forgets an invocation that is over and has nothing out.
+    /// Forgets an invocation that is answered and has no attempts in flight.
     fn forget_if_finished(&mut self, invocation_id: InvocationId) {
-        let over =
-            |h: &PendingRequest| h.answer.is_none() && h.in_flight.iter().all(Option::is_none);
-        if self.state.requests.get(&invocation_id).is_some_and(over) {
+        let finished = |request: &PendingRequest| {
+            request.answer.is_none() && request.in_flight.iter().all(Option::is_none)
+        };
+        if self
+            .state
+            .requests
+            .get(&invocation_id)
+            .is_some_and(finished)
+        {
             self.state.requests.remove(&invocation_id);
         }
     }
@@ -467,19 +491,20 @@
         if let Some(overdue) = request.overdue.take() {
             overdue.cancel();
         }
-        if let Some(waiting) = request.answer.take() {
-            waiting.send(answer).ok();
+        if let Some(reply_to) = request.answer.take() {
+            reply_to.send(answer).ok();
         }
     }
 
-    /// The decision module has nothing better for the client; an overdue attempt may.
+    /// Answers a request with a failure, unless an overdue attempt may still bring a response.
     fn answer_failure(&mut self, invocation_id: InvocationId, failure: Answer) {
         if let Some(failure) = self.defer_failure(invocation_id, failure) {
             self.answer(invocation_id, failure);
         }
     }
 
-    /// Hands the rules an event, and those that their actions give rise to.
+    /// Passes an event to the decision module and carries out its actions; then does the same for the events that these
+    /// actions cause.
     pub fn handle_event(&mut self, event: Event) {
         let mut event = Some(event);
         while let Some(current) = event.take() {
@@ -498,7 +523,7 @@
     }
 }
 
-/// An outcome as the figures name it.
+/// Returns an outcome's value of the metrics' label `outcome`.
 fn outcome_name(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Ok => "ok",
--- a/crates/gateway/src/dispatcher/overdue.rs
+++ b/crates/gateway/src/dispatcher/overdue.rs
@@ -1,9 +1,9 @@
-//! An attempt whose time is over while its client still waits.
+//! Overdue attempts: attempts that have timed out while their clients still wait.
 //!
-//! The decision module is told that it timed out, so that another attempt may follow. Its connection stays open until
-//! that one is written to a connection of its own: where none can be (the retry budget is used up, no backend has a free place), the answer that is
-//! still on its way is worth more than an error, and cutting off work in order to report a failure helps nobody. While
-//! the program is told to end, nothing that a backend works on is given up before its client's time is over.
+//! The decision module is told that the attempt timed out, so that it may start another. The overdue attempt's
+//! connection stays open until the next attempt is written to its own connection. If no attempt follows (the retry
+//! budget is used up, or no backend has a free slot), a late response is still better for the client than an error.
+//! During a shutdown no attempt that a backend works on is cancelled before its client's deadline.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,8 +14,8 @@
 use crate::attempts::Ending;
 use crate::messages::{Answer, AttemptEnded, CancelHandle};
 
-/// Where no other attempt follows, an overdue one may take this many times as long again as it has taken, and half of
-/// what is left of its client's time at most: the rest is for a further try of the client itself.
+/// If no other attempt follows, an overdue attempt may run on for `EXTRA_TIME_FACTOR * elapsed`, but for no more than
+/// `time_left / TIME_LEFT_DIVISOR`: the rest of the client's time is left for a retry by the client.
 const EXTRA_TIME_FACTOR: u32 = 2;
 const TIME_LEFT_DIVISOR: u32 = 2;
 
@@ -23,8 +23,9 @@
 pub(super) struct Overdue {
     number: AttemptNumber,
     attempt: InFlightAttempt,
+    /// When the attempt is given up, as Unix time.
     until: Duration,
-    /// The answer that the client gets where this attempt brings none: the decision module has no other.
+    /// The decision module's final answer, sent to the client if this attempt brings no response.
     failure: Option<Answer>,
 }
 
@@ -39,41 +40,41 @@
 }
 
 impl Dispatcher {
-    /// The time for an attempt is over: the one that the decision module set for it, or its client's.
+    /// Handles the timeout of an attempt: the one set by the decision module, or the client's deadline.
     pub(super) fn timed_out(&mut self, invocation_id: InvocationId, number: AttemptNumber) {
         let now = self.clock.now();
         let Some(request) = self.state.requests.get(&invocation_id) else {
             return;
         };
         let deadline = request.deadline;
-        let clients_time_is_over = now >= deadline || request.answer.is_none();
-        if !clients_time_is_over && self.must_not_cancel() {
+        let client_stopped_waiting = now >= deadline || request.answer.is_none();
+        if !client_stopped_waiting && self.must_not_cancel() {
             return self.extend_timeout(invocation_id, number, deadline);
         }
         let Some(attempt) = self.take_attempt(invocation_id, number) else {
             return;
         };
-        if clients_time_is_over || self.attempt_policy.is_none() {
+        if client_stopped_waiting || self.attempt_policy.is_none() {
             attempt.cancel_handle.cancel();
             return self.attempt_ended(invocation_id, number, &attempt, Outcome::TimedOut, vec![]);
         }
         let event = self.outcome_event(invocation_id, number, &attempt, Outcome::TimedOut, vec![]);
         self.notify_policy(&attempt, Outcome::TimedOut);
-        let again = now.saturating_sub(attempt.sent) * EXTRA_TIME_FACTOR;
-        let until = now + again.min((deadline - now) / TIME_LEFT_DIVISOR);
+        let extra_time = now.saturating_sub(attempt.sent) * EXTRA_TIME_FACTOR;
+        let until = now + extra_time.min((deadline - now) / TIME_LEFT_DIVISOR);
         if let Some(request) = self.state.requests.get_mut(&invocation_id) {
-            let before = request.overdue.replace(Overdue {
+            let previous = request.overdue.replace(Overdue {
                 number,
                 attempt,
                 until,
                 failure: None,
             });
-            before.into_iter().for_each(Overdue::cancel);
+            previous.into_iter().for_each(Overdue::cancel);
         }
         self.handle_event(event);
     }
 
-    /// Whether what a backend may work on must be left to it until its client's time is over.
+    /// Returns whether attempts that a backend may be working on must not be cancelled before the client's deadline.
     fn must_not_cancel(&self) -> bool {
         let policy = self.attempt_policy.as_ref();
         policy.is_some_and(|policy| !policy.may_cancel())
@@ -96,7 +97,7 @@
         }
     }
 
-    /// Keeps a failure back where an overdue attempt may still bring an answer; else it comes back, to be told.
+    /// Holds a failure back while an overdue attempt may still bring a response; returns the failure if none may.
     pub(super) fn defer_failure(
         &mut self,
         invocation_id: InvocationId,
@@ -124,7 +125,7 @@
         None
     }
 
-    /// The time for an overdue attempt is over too.
+    /// Handles the end of an overdue attempt's extra time: sends the failure that was held back.
     pub(super) fn overdue_timed_out(&mut self, invocation_id: InvocationId) {
         let now = self.clock.now();
         let must_not_cancel = self.must_not_cancel();
@@ -146,7 +147,7 @@
         self.finish_with(invocation_id, failure);
     }
 
-    /// How an attempt ended that was overdue.
+    /// Handles the result of an overdue attempt.
     pub(super) fn overdue_done(
         &mut self,
         AttemptEnded {
@@ -171,7 +172,7 @@
                 request.attempts.not_executed(number, proof);
                 known_failure.map(|failure| with_known_attempts(failure, request))
             }
-            // A failure of the backend's own says more than one of ours.
+            // The backend's error response tells the client more than the gateway's own.
             (_, Some(response)) if known_failure.is_some() => Some(Answer::Succeeded(response)),
             (_, Some(response)) => {
                 request.fallback = Some(response);
@@ -182,7 +183,7 @@
         let succeeded = matches!(answer, Some(Answer::Succeeded(_)));
         self.finish_with(invocation_id, answer);
         if undecided && succeeded {
-            // The decision module still looks for another attempt.
+            // The decision module still waits to start another attempt.
             self.handle_event(Event::ClientGone { invocation_id });
         }
     }
@@ -195,7 +196,7 @@
     }
 }
 
-/// A failure by what is known of its request's attempts now.
+/// Updates `none_executed` of a failure that was held back to the current state of the request's attempts.
 fn with_known_attempts(failure: Answer, request: &PendingRequest) -> Answer {
     match failure {
         Answer::Throttled { after, reason, .. } => Answer::Throttled {
--- a/crates/gateway/src/dispatcher/peer_reports.rs
+++ b/crates/gateway/src/dispatcher/peer_reports.rs
@@ -1,4 +1,4 @@
-//! The reports of what this gateway has admitted, to the other gateways.
+//! Reports to the other gateways of the units that this gateway has admitted.
 
 use std::time::Duration;
 
@@ -10,7 +10,8 @@
 use crate::sizes::DATAGRAM;
 
 impl Dispatcher {
-    /// Reports to the other gateways, and tells the rules what they have reported.
+    /// Sends this gateway's report to the other gateways, and passes the reports received from them to the decision
+    /// module.
     pub(super) fn report_to_peers(&mut self, now: Duration) {
         let (Some((peer_admissions, to)), Some(peers)) = (&mut self.peer_admissions, &self.peers)
         else {
@@ -27,15 +28,15 @@
             }
         }
         let complete_until = peer_admissions.reported_until(to, now);
-        let others = admitted.into_iter().map(|admitted| PeersAdmitted {
+        let peers_admitted = admitted.into_iter().map(|admitted| PeersAdmitted {
             units: peer_admissions.admitted_by_peers(&admitted.name, now),
             customer: admitted.customer,
             slot: admitted.slot,
             complete_until,
         });
-        let others = others.collect();
+        let peers_admitted = peers_admitted.collect();
         let next = now + peer_admissions::REPORT_INTERVAL;
         self.state.timers.insert((next, Timer::PeerReport));
-        self.handle_event(Event::PeersAdmitted(others));
+        self.handle_event(Event::PeersAdmitted(peers_admitted));
     }
 }
--- a/crates/gateway/src/dispatcher/send_attempt.rs
+++ b/crates/gateway/src/dispatcher/send_attempt.rs
@@ -1,4 +1,4 @@
-//! An attempt goes out: the permit, what all gateways share, and the backend's actor.
+//! Sends an attempt: takes its permit, asks the attempt policy and passes the attempt to the backend's actor.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 use crate::messages::{OutgoingAttempt, ToBackend};
 
 impl Dispatcher {
-    /// Sends an attempt, where it may be sent at all; the rules are told where it is not.
+    /// Sends an attempt if that is allowed; otherwise reports an outcome to the decision module.
     pub(super) fn send_attempt(
         &mut self,
         invocation_id: InvocationId,
@@ -36,7 +36,7 @@
             log!(
                 error,
                 "repeat-refused",
-                "an attempt that may run twice is not sent"
+                "attempt not sent: the request may already have been executed and is not repeatable"
             );
             return self.queue_ended(invocation_id, number, &attempt, Outcome::Ignored);
         };
@@ -51,7 +51,7 @@
         self.hand_to_backend(invocation_id, number, attempt, permit, wait);
     }
 
-    /// Asks the policy for leave; returns the outcome that the rules are told where there is none.
+    /// Asks the attempt policy; returns the outcome to report to the decision module if the policy refuses.
     fn refused_by_policy(
         &mut self,
         invocation_id: InvocationId,
@@ -105,8 +105,9 @@
             number,
             permit,
             request: request.request.clone(),
-            // While its body comes no client's time runs; the backend is told what will.
-            time_left: request.coming.unwrap_or(wait),
+            // The client's timeout starts with the last byte of the body; until then the backend is told the full
+            // timeout.
+            time_left: request.timeout_after_body.unwrap_or(wait),
             cancel_handle: attempt.cancel_handle.clone(),
             replaces: request.overdue.as_ref().map(Overdue::cancel_handle),
             to: self.own_mailbox.clone(),
@@ -119,13 +120,17 @@
             }
             return;
         };
-        log!(warn, "backend-crowded", "a delivery not sent");
+        log!(
+            warn,
+            "backend-crowded",
+            "attempt not sent: the backend has no actor or its mailbox is full"
+        );
         self.mark_not_executed(invocation_id, number, refused.permit.unused());
         self.notify_policy(&attempt, Outcome::Ignored);
         self.queue_ended(invocation_id, number, &attempt, Outcome::ConnectFailed);
     }
 
-    /// Hands an attempt to its backend's actor; it comes back where there is no room or no actor.
+    /// Passes an attempt to its backend's actor; returns the attempt if there is no actor or its mailbox is full.
     fn send_to_backend(
         &self,
         backend_id: BackendId,
--- a/crates/gateway/src/dispatcher/shutdown.rs
+++ b/crates/gateway/src/dispatcher/shutdown.rs
@@ -1,4 +1,4 @@
-//! The end of the program, as the module's actor takes part in it.
+//! The dispatcher's part in the shutdown of the process.
 
 use damsonbeam::interface::{Event, InvocationId, RejectReason};
 
@@ -7,7 +7,8 @@
 use crate::shutdown_admission::ELSEWHERE;
 
 impl Dispatcher {
-    /// Refuses what waits and has not run: its client has time left to go elsewhere.
+    /// Refuses the unanswered requests of which no attempt was executed or is in flight, while their clients still have
+    /// time to try another gateway. Returns the counts.
     pub(super) fn refuse_unsent(&mut self) -> Unanswered {
         let unanswered = self.unanswered();
         let (unsent, in_progress): (Vec<InvocationId>, Vec<InvocationId>) = unanswered
@@ -22,7 +23,8 @@
         }
     }
 
-    /// Answers all that is left: refused where it has not run, an error where it may have.
+    /// Answers all open requests: refuses those that were not executed, and answers those that may have been with an
+    /// error. Returns the counts.
     pub(super) fn answer_all(&mut self) -> Unanswered {
         let counts = self.refuse_unsent();
         for invocation_id in self.unanswered() {
@@ -40,7 +42,7 @@
         waiting.map(|(invocation_id, _)| *invocation_id).collect()
     }
 
-    /// Answers a request without the decision module, which hears that it is over.
+    /// Answers a request without a decision of the decision module, and tells the module that the client is gone.
     fn answer_without_rules(&mut self, invocation_id: InvocationId, answer: Answer) {
         self.answer(invocation_id, answer);
         self.handle_event(Event::ClientGone { invocation_id });
--- a/crates/gateway/src/handover.rs
+++ b/crates/gateway/src/handover.rs
@@ -1,5 +1,5 @@
-//! The hand-over's socket: lines of JSON on a Unix socket in `$TMPDIR`, between two processes of one gateway.
-//! The steps are `damsonbeam-handover`'s; here they are only carried.
+//! Transport of the hand-over between two processes of one gateway: JSON lines on a Unix socket in `$TMPDIR`.
+//! The crate `damsonbeam-handover` defines the messages and their order.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -12,14 +12,14 @@
 
 use crate::log::log;
 
-/// What the other says in answer comes within this, or it is held for gone: the platform gives a new process
-/// 6 s in all.
+/// A process that doesn't reply within this time is treated as gone: the platform gives a new process only 6 s to
+/// start.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(1500);
-/// A line at most: state grows with the customers, some hundred bytes each.
+/// Largest message: the state grows with the number of customers, by a few hundred bytes each.
 const MAX_LINE_BYTES: u64 = 64 << 20;
 
-/// Where a gateway's processes find each other; none where the platform hands over no listening socket, for
-/// then a second process can't listen anyway.
+/// Returns the path of the gateway's hand-over socket, or `None` if the platform passes no listening socket: a second
+/// process couldn't listen on the clients' address then.
 pub fn path(name: &str) -> Option<PathBuf> {
     std::env::var_os("NODE_LISTEN_FD")?;
     let plain: String = name
@@ -30,11 +30,11 @@
     Some(PathBuf::from(std::env::var_os("TMPDIR")?).join(format!("damsonbeam-{plain}.sock")))
 }
 
-/// A connection between the two.
+/// A connection between predecessor and successor.
 pub struct HandoverConnection {
     from: Take<BufReader<OwnedReadHalf>>,
     to: OwnedWriteHalf,
-    /// A line's beginning, kept when a wait for its end is given up.
+    /// The part of a line received so far, kept when `receive` is cancelled.
     line: Vec<u8>,
 }
 
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Greets the process that serves; none where there is none, or it does not listen.
+    /// Connects to the serving process and sends `Hello`; returns `None` if no process listens at `path` in time.
     pub async fn connect(path: &PathBuf, name: &str) -> Option<HandoverConnection> {
         let mut connection = HandoverConnection::new(
             timeout(REPLY_TIMEOUT, UnixStream::connect(path))
@@ -63,7 +63,7 @@
         connection.send(&hello).await.then_some(connection)
     }
 
-    /// False where the other is gone, or does not read.
+    /// Sends a message; returns `false` if the connection is closed or the other process doesn't read in time.
     pub async fn send(&mut self, message: &HandoverMessage) -> bool {
         let Ok(mut line) = serde_json::to_vec(message) else {
             return false;
@@ -75,7 +75,8 @@
         )
     }
 
-    /// The next thing said; none where the other is gone or says what can't be read. May be dropped midway.
+    /// Receives the next message; returns `None` if the connection is closed or the message can't be parsed.
+    /// Cancel-safe.
     pub async fn receive(&mut self) -> Option<HandoverMessage> {
         self.from.read_until(b'\n', &mut self.line).await.ok()?;
         self.from.set_limit(MAX_LINE_BYTES);
@@ -89,19 +90,19 @@
             .ok()
     }
 
-    /// The same, within the time that an answer may take.
+    /// Receives the next message; returns `None` also if none arrives within `REPLY_TIMEOUT`.
     pub async fn receive_reply(&mut self) -> Option<HandoverMessage> {
         timeout(REPLY_TIMEOUT, self.receive()).await.ok().flatten()
     }
 }
 
-/// Where a younger process may come.
+/// Listens for a successor.
 pub struct HandoverListener {
     listener: UnixListener,
 }
 
 impl HandoverListener {
-    /// Takes the place; a socket that is left there from another process is replaced.
+    /// Binds the socket and replaces one left at `path` by another process; returns `None` and logs if binding fails.
     pub fn bind(path: &PathBuf) -> Option<HandoverListener> {
         std::fs::remove_file(path).ok();
         match UnixListener::bind(path) {
@@ -110,7 +111,7 @@
                 log!(
                     warn,
                     "handover-off",
-                    "{}: {e}; no other process can follow this one",
+                    "{}: {e}; no successor can take over from this process",
                     path.display()
                 );
                 None
@@ -118,7 +119,7 @@
         }
     }
 
-    /// Waits for a successor.
+    /// Waits for a successor to connect.
     pub async fn accept(&self) -> Option<HandoverConnection> {
         let (stream, _) = self.listener.accept().await.ok()?;
         Some(HandoverConnection::new(stream))
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,20 +1,21 @@
-//! The gateway on sockets: it carries events to the decision module and its actions out, and decides nothing.
+//! The gateway's I/O: passes events to the decision module and carries out the actions that it returns. All decisions
+//! are made in that module.
 //!
-//! | module | what it is |
+//! | module | contents |
 //! | --- | --- |
-//! | `server` | the process from start to exit; it alone makes the actors and connects them |
+//! | `server` | the process from start to exit; the only module that creates the actors and connects them |
 //! | `phase` | the process's phases |
-//! | `messages` | what the actors send each other: types only; whoever sends or receives imports these, not the other |
+//! | `messages` | the types of the messages between actors; actors import this module and not each other |
 //! | `dispatcher` | the actor that owns the rules |
-//! | `clients` | the actor of the clients' connections; `connection_admission` and `shutdown_admission` decide whom it takes |
+//! | `clients` | the actor of the clients' connections; `connection_admission` and `shutdown_admission` decide which it accepts |
 //! | `backends` | an actor for each backend, with a pool of connections |
 //! | `counter_client`, `backend_list`, `peers` | the actors that call the shared counter, discovery, other gateways |
-//! | `platform_protocol` | how the deployments' clients write their requests |
-//! | `attempts` | which request may be sent to a backend again, decided by types |
-//! | `peer_admissions` | what the other gateways report they admitted |
-//! | `handover` | the socket between a process and the one that follows it |
-//! | `bodies`, `memory_budget`, `request_heads`, `write_meter`, `sizes` | bodies and bytes on their way |
-//! | `config`, `log`, `account`, `clock` | settings, log lines, the account of each second, time |
+//! | `platform_protocol` | the request format of the deployments' clients |
+//! | `attempts` | which requests may be sent to a backend again, enforced by types |
+//! | `peer_admissions` | the admitted units that the other gateways report |
+//! | `handover` | the socket between a process and its successor |
+//! | `bodies`, `memory_budget`, `request_heads`, `write_meter`, `sizes` | message bodies, buffers and their limits |
+//! | `config`, `log`, `account`, `clock` | configuration, log lines, counts for each second, time |
 #![warn(clippy::too_many_lines, unreachable_pub)]
 
 pub mod account;
@@ -50,7 +51,8 @@
 
 fn serve() -> Result<(), ServerError> {
     let config = config::Config::read()?;
-    // One core, one thread. Tasks of a `LocalSet` would write to the poller's wake-up at each turn.
+    // One thread, since the gateway has one core. A `LocalSet` isn't used because each wake-up of one of its tasks
+    // would write to the poller's wake-up descriptor.
     let runtime = Builder::new_current_thread()
         .enable_all()
         .build_local(LocalOptions::default())
@@ -58,7 +60,7 @@
     runtime.block_on(Server::default().run(config))
 }
 
-/// Runs a gateway from start to exit.
+/// Runs a gateway until it exits; logs the error if it fails.
 pub fn run() -> ExitCode {
     log::init();
     match serve() {
--- a/crates/gateway/src/log.rs
+++ b/crates/gateway/src/log.rs
@@ -1,43 +1,45 @@
-//! Log lines: structured events on `tracing`, a few a second from each place that logs.
+//! Log lines: structured `tracing` events, rate-limited at each call site.
 //!
 //! Each line is one JSON object on standard error (`tracing-subscriber`'s JSON format) with the fields
-//! `code` (what staff look up in docs/on-call.md), `message` and, where lines were held back, `left_out`.
-//! The level comes from `DAMSONBEAM_LOG` (`error`, `warn`, `info`, `debug`, or a filter of tracing's
-//! directives); `info` where it is not set.
+//! `code` (explained for operators in docs/on-call.md), `message` and, if lines were suppressed, their number
+//! `left_out`. `DAMSONBEAM_LOG` sets the level (`error`, `warn`, `info`, `debug`, or a filter in `tracing`'s
+//! directives); the default is `info`.
 
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-const SPAN: Duration = Duration::from_secs(1);
-const LINES: u32 = 5;
+const RATE_LIMIT_WINDOW: Duration = Duration::from_secs(1);
+/// Lines that a call site may log in one window.
+const MAX_LINES_PER_WINDOW: u32 = 5;
 
-/// What one place in the code has logged of late.
+/// Rate limiter of one call site: the window's start, the lines logged in it, and the lines suppressed since the last
+/// logged line.
 #[derive(Default)]
 pub struct Site(Mutex<Option<(Instant, u32, u32)>>);
 
 impl Site {
-    /// Nothing was logged yet.
+    /// Creates a limiter for a call site that hasn't logged yet.
     pub const fn new() -> Self {
         Site(Mutex::new(None))
     }
 
-    /// Whether a line may go out now, and how many were left out since the last that did.
+    /// Returns the number of lines suppressed since the last logged line, or `None` if this line must be suppressed too.
     pub fn pass(&self, now: Instant) -> Option<u32> {
         let mut state = self.0.lock().unwrap_or_else(|e| e.into_inner());
-        let (from, lines, left_out) = state.get_or_insert((now, 0, 0));
-        if now.duration_since(*from) >= SPAN {
-            (*from, *lines) = (now, 0);
+        let (window_start, lines, suppressed) = state.get_or_insert((now, 0, 0));
+        if now.duration_since(*window_start) >= RATE_LIMIT_WINDOW {
+            (*window_start, *lines) = (now, 0);
         }
-        if *lines < LINES {
+        if *lines < MAX_LINES_PER_WINDOW {
             *lines += 1;
-            return Some(std::mem::take(left_out));
+            return Some(std::mem::take(suppressed));
         }
-        *left_out += 1;
+        *suppressed += 1;
         None
     }
 }
 
-/// Sets up JSON lines on standard error at the level that `DAMSONBEAM_LOG` names; once, at the start.
+/// Installs the JSON subscriber on standard error with the filter in `DAMSONBEAM_LOG`; called once at the start.
 pub fn init() {
     let filter = tracing_subscriber::EnvFilter::try_from_env("DAMSONBEAM_LOG")
         .unwrap_or_else(|_| tracing_subscriber::EnvFilter::new("info"));
@@ -51,7 +53,7 @@
     tracing::subscriber::set_global_default(subscriber).ok();
 }
 
-/// `log!(warn, "code", "text {}", value)`: one event at that level with the code as a field.
+/// `log!(warn, "code", "text {}", value)`: logs one rate-limited event at that level with the code as a field.
 macro_rules! log {
     ($level:ident, $code:literal, $($text:tt)*) => {{
         static SITE: $crate::log::Site = $crate::log::Site::new();
--- a/crates/gateway/src/messages.rs
+++ b/crates/gateway/src/messages.rs
@@ -1,4 +1,4 @@
-//! What the actors send each other: types only. Whoever sends or receives imports this file, not the other.
+//! The types of the messages between actors. Actors import this module and not each other.
 
 use std::cell::{Cell, RefCell};
 use std::net::{Shutdown, SocketAddr};
@@ -19,178 +19,179 @@
 use crate::attempts::{Ending, Repeatable, SendPermit};
 use crate::bodies::{RequestBody, ResponseBody};
 
-/// To the dispatcher.
+/// A message to the dispatcher.
 pub enum ToDispatcher {
-    /// A list of backends.
+    /// A new list of backends, or changes to it.
     BackendList(BackendListUpdate),
-    /// A request that can be used.
+    /// A valid request.
     Invocation {
-        /// What the rules are told of it.
+        /// The request as the decision module sees it.
         invocation: Invocation,
-        /// How long its client waits from its last byte on.
+        /// How long the client waits after the last byte of the request.
         time_left: Duration,
-        /// Proof that it may run more than once, where it may.
+        /// Proof that the request may be executed more than once; `None` if it may not.
         repeatable: Option<Repeatable>,
-        /// What of it goes on to a backend.
+        /// The request as it is sent to a backend.
         request: Rc<ForwardedRequest>,
-        /// Where its final answer goes.
+        /// Receives the final answer.
         answer: oneshot::Sender<Answer>,
     },
-    /// The last byte of a body that was still coming is here; its client waits until then.
+    /// The last byte of a body has arrived after its invocation was announced.
     BodyComplete {
-        /// Whose body.
+        /// The invocation.
         invocation_id: InvocationId,
-        /// When its client stops waiting.
+        /// When the client stops waiting, as Unix time.
         deadline: Duration,
     },
-    /// Part of its body is gone for good: no other attempt can carry it.
+    /// Part of a body was sent and not kept: no further attempt can send it.
     BodyConsumed {
-        /// Whose body.
+        /// The invocation.
         invocation_id: InvocationId,
     },
     /// New settings.
     Settings(Box<Settings>),
-    /// Another process takes this one's place; what it needs goes back.
+    /// A successor takes over; the dispatcher returns the state to hand over.
     Yield(oneshot::Sender<Box<Carry>>),
-    /// That process is gone again.
+    /// The successor has ended; this process serves again.
     Resume,
-    /// The program ends: what waits and has not run is refused now; how much is at backends goes back.
+    /// The process shuts down: the dispatcher refuses the requests that no backend has executed or may execute, and
+    /// returns the counts of refused requests and of those at backends.
     RefuseUnsent(oneshot::Sender<Unanswered>),
-    /// Its time to end is over: each request that is left gets an error.
+    /// The grace period is over: the dispatcher answers every open request, with an error if it may have been executed.
     AnswerAll(oneshot::Sender<Unanswered>),
-    /// The state of the process whose place this one takes.
+    /// The state that the predecessor handed over.
     TakeOver(Box<Carry>),
-    /// A client waits no more.
+    /// A client no longer waits for its answer.
     ClientGone {
-        /// Whose client.
+        /// The invocation.
         invocation_id: InvocationId,
     },
     /// An attempt ended.
     AttemptEnded(AttemptEnded),
-    /// The counter's answer, or why there is none.
+    /// The result of a call to the counter.
     CounterTotal {
-        /// The name that was counted under.
+        /// The counter's name.
         name: String,
-        /// Whether there is an answer.
+        /// `Outcome::Ok` if the counter replied, else the reason why not.
         outcome: Outcome,
-        /// The total with this call's units.
+        /// The counter's total in units, including those that this call added.
         total: f64,
-        /// Since the call.
+        /// Time since the call was made.
         latency: Duration,
     },
-    /// Another gateway's datagram.
+    /// A datagram of another gateway.
     PeerMessage {
-        /// Whose.
+        /// The sender.
         from: GatewayId,
-        /// What it says.
+        /// The payload.
         bytes: Vec<u8>,
     },
 }
 
-/// What a dispatcher had unanswered when it was told that the program ends.
+/// Counts of the requests that were unanswered when the dispatcher was told to refuse or answer them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Unanswered {
-    /// Refused: no attempt was executed, and none is out.
+    /// Requests that were refused: none of their attempts was executed or is in flight.
     pub refused: usize,
-    /// Sent to a backend.
+    /// Requests that were sent to a backend.
     pub in_progress: usize,
 }
 
-/// The one final answer of an invocation.
+/// The final answer to an invocation.
 pub enum Answer {
     /// A backend's response.
     Succeeded(BackendResponse),
-    /// It was not done, and may be tried again.
+    /// The invocation was rejected and may be tried again.
     Throttled {
-        /// When to come back.
+        /// The retry delay for the client.
         after: Option<Duration>,
-        /// For operators and their figures.
+        /// The reason, for metrics.
         reason: RejectReason,
-        /// None of its attempts has run or will.
+        /// No attempt was executed or still can be.
         none_executed: bool,
     },
-    /// It failed.
+    /// The invocation failed.
     Errored,
 }
 
-/// What of a client's request goes on to a backend.
+/// A client's request as it is sent to a backend.
 pub struct ForwardedRequest {
-    /// Its method.
+    /// The method.
     pub method: Method,
-    /// Its path and query.
+    /// The path and query.
     pub uri: Uri,
-    /// Its headers, but for those between the client and this gateway.
+    /// The headers, without those between client and gateway.
     pub headers: HeaderMap,
-    /// Its body.
+    /// The body.
     pub body: RequestBody,
 }
 
-/// A backend's response that goes to the client.
+/// A backend's response as it is sent to the client.
 pub struct BackendResponse {
-    /// Its status.
+    /// The status.
     pub status: StatusCode,
-    /// Its headers, but for those between the backend and this gateway.
+    /// The headers, without those between backend and gateway.
     pub headers: HeaderMap,
-    /// Its body.
+    /// The body.
     pub body: ResponseBody,
 }
 
-/// To a backend.
+/// A message to a backend's actor.
 pub enum ToBackend {
-    /// Sends an attempt.
+    /// Send an attempt.
     Send(OutgoingAttempt),
-    /// Closes the idle connections.
+    /// Close the idle connections.
     CloseIdle,
 }
 
-/// An attempt that is to be sent to a backend.
+/// An attempt to be sent to a backend.
 pub struct OutgoingAttempt {
-    /// Whose attempt.
+    /// The invocation.
     pub invocation_id: InvocationId,
-    /// Which one.
+    /// The attempt's number within the invocation.
     pub number: AttemptNumber,
-    /// Leave to write it.
+    /// Permission to send the attempt once.
     pub permit: SendPermit,
-    /// What is written.
+    /// The request to send.
     pub request: Rc<ForwardedRequest>,
-    /// How long the gateway will wait.
+    /// How long the gateway will wait for the response.
     pub time_left: Duration,
-    /// By which it is cancelled.
+    /// Cancels the attempt.
     pub cancel_handle: Rc<CancelHandle>,
     /// An overdue attempt, cancelled once this one is written.
     pub replaces: Option<Rc<CancelHandle>>,
-    /// Who is told how it ended.
+    /// Receives the result.
     pub to: mpsc::Sender<ToDispatcher>,
 }
 
-/// How an attempt ended.
+/// The result of an attempt.
 pub struct AttemptEnded {
-    /// Whose attempt.
+    /// The invocation.
     pub invocation_id: InvocationId,
-    /// Which one.
+    /// The attempt's number within the invocation.
     pub number: AttemptNumber,
-    /// How it ended.
+    /// How the attempt ended.
     pub ending: Ending,
-    /// The response of one that succeeded, or of one that failed and may go to the client.
+    /// The response of a successful attempt, or that of a failed attempt if it may be sent to the client.
     pub response: Option<BackendResponse>,
-    /// The backend's load.
+    /// The load that the backend reported.
     pub report: Report,
 }
 
 /// The socket of a connection to a backend.
 pub type Socket = RefCell<TcpStream>;
 
-/// An attempt's hold on its connection, by which it is cancelled.
+/// Cancels an attempt by closing its connection.
 #[derive(Default)]
 pub struct CancelHandle {
-    /// It was cancelled.
+    /// Whether the attempt was cancelled.
     pub cancelled: Cell<bool>,
-    /// The connection that carries it, once one does.
+    /// The connection that carries the attempt; empty until there is one.
     pub socket: RefCell<Weak<Socket>>,
 }
 
 impl CancelHandle {
-    /// Ends the connection at once: whatever is sent after this leaves later.
+    /// Cancels the attempt and shuts its connection down at once, before anything that is sent afterwards.
     pub fn cancel(&self) {
         self.cancelled.set(true);
         if let Some(socket) = self.socket.borrow().upgrade() {
@@ -201,13 +202,13 @@
     }
 }
 
-/// A backend's actor, as the dispatcher reaches it.
+/// The dispatcher's handle on a backend's actor.
 pub struct BackendHandle {
-    /// Where the backend is.
+    /// The backend's address.
     pub at: SocketAddr,
     /// The actor's mailbox.
     pub mailbox: mpsc::Sender<ToBackend>,
-    /// It drains or is gone: what is not written to it yet is not written any more.
+    /// Set once the backend drains or is gone: attempts not yet written to it are no longer written.
     pub closed: Rc<Cell<bool>>,
 }
 
@@ -217,55 +218,56 @@
     }
 }
 
-/// A list as the dispatcher takes it, with where each backend is reached.
+/// A list of backends, or changes to it, with the backends' addresses.
 pub struct BackendListUpdate {
-    /// How it is to be taken.
+    /// Whether the entries replace the list or update it.
     pub form: ListForm,
     /// The backends.
     pub entries: Arc<[BackendEntry]>,
-    /// Where each is reached, in the same order.
+    /// The address of each backend, in the order of `entries`.
     pub addresses: Vec<SocketAddr>,
-    /// By which each backend is told from others that had its address, where the list says.
+    /// The name of each backend, in the order of `entries`, if the list has names: tells a backend from an earlier one
+    /// at the same address.
     pub names: Vec<Arc<str>>,
 }
 
-/// To the watcher of the list of backends.
+/// A message to the watcher of the list of backends.
 pub enum ToListWatcher {
-    /// Watches the list, or no longer.
+    /// Start or stop watching the list.
     Watch {
-        /// Whether it is to be watched.
+        /// Whether the list is watched.
         on: bool,
     },
-    /// Asks for the whole list.
+    /// Fetch the whole list.
     Fetch,
-    /// Discovery is at another address from now on.
+    /// Use this address of discovery from now on.
     Move(SocketAddr),
 }
 
 /// A call to the counter.
 pub struct CounterCall {
-    /// The name to count under.
+    /// The counter's name.
     pub name: String,
-    /// Units; 0 only reads.
+    /// Units to add; 0 only reads the total.
     pub add: f64,
-    /// The counter forgets the name after this.
+    /// Time after which the counter deletes the name.
     pub keep: Duration,
-    /// When it was made.
+    /// When the call was made, as Unix time.
     pub at: Duration,
 }
 
-/// To the counter's client.
+/// A message to the counter's client.
 pub enum ToCounter {
-    /// A call to make.
+    /// Call the counter.
     Call(CounterCall),
-    /// The counter is at another address from now on.
+    /// Use this address of the counter from now on.
     Move(SocketAddr),
 }
 
-/// To the other gateways.
+/// A message to other gateways.
 pub struct ToPeers {
-    /// Which one; all where none is named.
+    /// The receiver; `None` for all other gateways.
     pub to: Option<GatewayId>,
-    /// What it says.
+    /// The payload.
     pub bytes: Vec<u8>,
 }
--- a/crates/gateway/src/phase.rs
+++ b/crates/gateway/src/phase.rs
@@ -1,52 +1,54 @@
-//! The stages of the program's life, and the one place where the present stage stands.
+//! The phases of the process, and the shared value that holds the current phase.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU8, Ordering};
 
 use crate::log::log;
 
-/// | stage | `/up`, ready | new invocations | idle connections | may turn to |
+/// A phase of the process.
+///
+/// | phase | `/up`, ready | new invocations | idle connections | next phases |
 /// | --- | --- | --- | --- | --- |
 /// | Starting | no | throttled | kept | Serving, Ended |
-/// | Serving | yes | taken | kept for a while | Yielding, Evacuated, Yielded, Draining |
-/// | Yielding | no | taken on what is open; nobody accepts yet in its place | kept for a while | Serving, Yielded, Draining |
-/// | Evacuated | no | taken, the answer ends its connection | closed | Serving, Yielded, Draining |
-/// | Yielded | no | as Evacuated; another process accepts | closed | Serving, Draining |
-/// | Draining | no | taken, the answer ends its connection | kept | Finishing |
+/// | Serving | yes | accepted | kept until the idle timeout | Yielding, Evacuated, Yielded, Draining |
+/// | Yielding | no | accepted on open connections; no process accepts new connections yet | kept until the idle timeout | Serving, Yielded, Draining |
+/// | Evacuated | no | accepted; the response closes the connection | closed | Serving, Yielded, Draining |
+/// | Yielded | no | as Evacuated; another process accepts new connections | closed | Serving, Draining |
+/// | Draining | no | accepted; the response closes the connection | kept | Finishing |
 /// | Finishing | no | none accepted | closed | Ended |
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
     /// Reads its configuration, binds its sockets, starts its actors.
     Starting,
-    /// Takes invocations; `/up` says so.
+    /// Accepts invocations; `/up` reports the gateway as ready.
     Serving,
-    /// Accepts no more, for another process of this gateway is about to.
+    /// No longer accepts connections, because another process of this gateway is about to accept them.
     Yielding,
-    /// Operators had it drain: lives on, takes what still comes, and waits for a rejoin.
+    /// Evacuated by an operator: still answers requests that arrive, and waits for a rejoin.
     Evacuated,
-    /// Another process of this gateway serves: sends its clients away, owes what it holds.
+    /// Another process of this gateway serves: closes its clients' connections and answers the open requests.
     Yielded,
-    /// SIGTERM came: goes on accepting, each answer ends its connection.
+    /// SIGTERM was received: still accepts connections; each response closes its connection.
     Draining,
-    /// Accepts nothing more, owes the last answers.
+    /// Accepts no more connections; answers the open requests.
     Finishing,
-    /// The process is over.
+    /// The process is about to exit.
     Ended,
 }
 
 impl Phase {
-    /// Whether new invocations are welcome.
+    /// Returns whether the gateway reports itself as ready.
     pub fn is_serving(self) -> bool {
         self == Phase::Serving
     }
 
-    /// Whether an answer ends its connection, so that its client goes elsewhere.
+    /// Returns whether a response closes its connection, so that the client connects to another gateway.
     pub fn closes_connections(self) -> bool {
         self >= Phase::Evacuated
     }
 }
 
-/// The present stage: `life` alone enters one, whoever holds it may look, from any thread.
+/// The current phase; readable from any thread. Only `server` changes it.
 #[derive(Clone)]
 pub struct CurrentPhase(Arc<AtomicU8>);
 
@@ -57,7 +59,7 @@
 }
 
 impl CurrentPhase {
-    /// The phase.
+    /// Returns the current phase.
     pub fn get(&self) -> Phase {
         use Phase::*;
         let all = [
@@ -68,7 +70,7 @@
             .unwrap_or(Ended)
     }
 
-    /// Enters a phase, and logs it.
+    /// Enters a phase and logs the change.
     pub fn enter(&self, phase: Phase, name: &str) {
         self.0.store(phase as u8, Ordering::Relaxed);
         log!(info, "stage", "{name}: {phase:?}");
--- a/crates/gateway/src/server/error.rs
+++ b/crates/gateway/src/server/error.rs
@@ -5,24 +5,24 @@
 
 use crate::config::ConfigError;
 
-/// Why the clients' socket can't be listened on.
+/// Why the gateway can't listen for clients.
 #[derive(Debug, thiserror::Error)]
 pub enum ListenError {
-    /// The environment names something that is no descriptor.
-    #[error("NODE_LISTEN_FD: no number of a descriptor")]
+    /// `NODE_LISTEN_FD` isn't a descriptor above those of standard input, output and error.
+    #[error("NODE_LISTEN_FD: not a usable file descriptor number")]
     NoDescriptor,
-    /// The descriptor that the environment names does not listen.
-    #[error("NODE_LISTEN_FD: {0}: does not listen")]
+    /// The descriptor in `NODE_LISTEN_FD` isn't a listening socket.
+    #[error("NODE_LISTEN_FD: {0}: not a listening socket")]
     NotListening(i32),
-    /// The descriptor that the environment names can't be used.
+    /// The descriptor in `NODE_LISTEN_FD` can't be used.
     #[error("NODE_LISTEN_FD: {descriptor}: {source}")]
     Descriptor {
-        /// Its number.
+        /// The descriptor's number.
         descriptor: i32,
-        /// Why not.
+        /// The I/O error.
         source: io::Error,
     },
-    /// The address can't be listened on.
+    /// The address can't be bound.
     #[error(transparent)]
     Bind(#[from] io::Error),
 }
@@ -30,32 +30,32 @@
 /// Why a gateway can't start, or stops before it is told to.
 #[derive(Debug, thiserror::Error)]
 pub enum ServerError {
-    /// Its configuration can't be used.
+    /// The configuration can't be used.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The runtime can't be set up.
+    /// The async runtime can't be created.
     #[error("runtime: {0}")]
     Runtime(io::Error),
-    /// A signal can't be waited for.
+    /// The handler of a signal can't be installed.
     #[error("{name}: {source}")]
     Signal {
         /// The signal.
         name: &'static str,
-        /// Why not.
+        /// The I/O error.
         source: io::Error,
     },
-    /// What is counted for operators can't be set up.
+    /// The metrics can't be registered.
     #[error("figures: {0}")]
     Figures(String),
-    /// The operators' address can't be served.
+    /// The admin interface can't be started.
     #[error("{0}")]
     Admin(String),
-    /// The address for the other gateways can't be used.
+    /// The address for messages of other gateways can't be bound.
     #[error("peer_listen: {address}: {source}")]
     PeerListen {
         /// The address.
         address: SocketAddr,
-        /// Why not.
+        /// The I/O error.
         source: io::Error,
     },
     /// The clients' address can't be used.
@@ -63,16 +63,16 @@
     Listen {
         /// The address.
         address: SocketAddr,
-        /// Why not.
+        /// The reason.
         source: ListenError,
     },
-    /// It was told to end at the start.
-    #[error("SIGTERM before there was a list of backends")]
+    /// SIGTERM was received during the start.
+    #[error("SIGTERM received before the first list of backends")]
     NoList,
-    /// An actor without which nothing is served has ended.
-    #[error("an actor ended: {0}")]
+    /// An actor that the gateway can't serve without has ended.
+    #[error("an essential actor ended: {0}")]
     ActorEnded(String),
-    /// An actor takes no more messages.
-    #[error("channel closed")]
+    /// An actor no longer receives messages.
+    #[error("an actor's channel is closed")]
     ChannelClosed,
 }
--- a/crates/gateway/src/server/listener.rs
+++ b/crates/gateway/src/server/listener.rs
@@ -1,4 +1,4 @@
-//! The clients' socket.
+//! Opens the listening socket for clients.
 
 use std::io;
 use std::net::SocketAddr;
@@ -8,14 +8,15 @@
 
 use super::ListenError;
 
-/// Connections that wait to be accepted.
+/// Most connections that wait to be accepted.
 const BACKLOG: u32 = 1024;
-/// Names the descriptor of the socket that the platform hands over.
+/// Environment variable with the descriptor number of a listening socket that the platform passes.
 const DESCRIPTOR_VARIABLE: &str = "NODE_LISTEN_FD";
-/// The descriptors up to this one are standard input, output and error.
+/// Descriptors up to this number are standard input, output and error.
 const LAST_STANDARD_DESCRIPTOR: i32 = 2;
 
-/// The socket that the platform hands over in `NODE_LISTEN_FD`, else one of our own.
+/// Returns the listening socket that the platform passes in `NODE_LISTEN_FD`, or one bound to `address` if the variable
+/// isn't set.
 pub(super) fn listen(address: SocketAddr) -> Result<TcpListener, ListenError> {
     let Some(descriptor) = std::env::var_os(DESCRIPTOR_VARIABLE) else {
         return Ok(bind(address)?);
@@ -44,13 +45,13 @@
 }
 
 fn is_listening(descriptor: i32) -> io::Result<bool> {
-    // SAFETY: looked at only; a number that is no descriptor fails there.
+    // SAFETY: the descriptor is only queried and not closed; the query of a number that isn't open returns an error.
     let borrowed = unsafe { BorrowedFd::borrow_raw(descriptor) };
     socket2::SockRef::from(&borrowed).is_listener()
 }
 
 fn inherit(descriptor: i32) -> io::Result<TcpListener> {
-    // SAFETY: the platform hands it to this process, and nothing else here uses it.
+    // SAFETY: the platform passes the descriptor to this process, and no other code here uses it.
     let listener = unsafe { std::net::TcpListener::from_raw_fd(descriptor) };
     listener.set_nonblocking(true)?;
     TcpListener::from_std(listener)
--- a/crates/gateway/src/server/mod.rs
+++ b/crates/gateway/src/server/mod.rs
@@ -1,7 +1,7 @@
-//! The gateway's process, from start to exit: a [`Phase`] at a time.
+//! The gateway's process from start to exit, one [`Phase`] after the other.
 //!
-//! `start` makes the actors and connects them; `running` is what they leave to the phases after; `succession` is the
-//! hand-over to the process that follows; `listener` is the clients' socket.
+//! `start` creates the actors and connects them, `running` holds the state that the later phases use, `succession` hands
+//! over to a successor process, and `listener` opens the clients' socket.
 
 mod error;
 mod listener;
@@ -24,10 +24,10 @@
 use crate::log::log;
 use crate::phase::{CurrentPhase, Phase};
 
-/// New connections come for up to 0.4 s after SIGTERM, or after a drain's `/up` says no; what comes within
-/// 0.7 s of it must be answered.
+/// Time from SIGTERM, or from the first `/up` that reports an evacuation, during which connections are still accepted.
+/// The platform sends new connections for up to 0.4 s and requires an answer to all that arrive within 0.7 s.
 const ACCEPT_AFTER_DRAIN: Duration = Duration::from_millis(700);
-/// Between two searches for idle connections while clients are sent away.
+/// Interval at which idle client connections are closed once clients should connect elsewhere.
 const CLOSE_IDLE_INTERVAL: Duration = Duration::from_millis(250);
 
 /// The gateway's process.
@@ -37,17 +37,17 @@
 }
 
 impl Server {
-    /// Runs from start to exit.
+    /// Runs the gateway from start to exit.
     ///
     /// # Errors
-    /// Where the process can't start, or an actor without which nothing is served ends.
+    /// Returns an error if the process can't start, or if an actor ends that the gateway can't serve without.
     pub async fn run(self, config: Config) -> Result<(), ServerError> {
         let name = config.name.clone();
         for note in &config.notes {
             log!(info, "not-on-sockets", "{note}");
         }
         for key in &config.unknown {
-            log!(warn, "key-unknown", "{key}: not read");
+            log!(warn, "key-unknown", "{key}: unknown key, ignored");
         }
         let mut running = self.start(config).await?;
         running.announce_serving().await;
@@ -61,8 +61,8 @@
         let name = running.name.clone();
         let mut close_idle = interval(CLOSE_IDLE_INTERVAL);
         close_idle.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        // From when on idle connections are closed while clients are sent away.
-        let mut closes_from = Instant::now();
+        // When the closing of idle connections starts, in phases that close connections.
+        let mut close_idle_from = Instant::now();
         loop {
             tokio::select! {
                 _ = running.terminate.recv() => {
@@ -71,28 +71,29 @@
                 }
                 _ = running.reload.recv() => running.reload().await?,
                 Some((order, done)) = running.orders.recv() => {
-                    // Once another process serves in this one's place, neither is this one's to do.
-                    let is_ours = !running.succession.state.is_followed();
+                    // Once a successor serves, only that process may evacuate or rejoin.
+                    let is_accepted = !running.succession.state.is_followed();
                     match order {
-                        Order::Evacuate if is_ours && self.phase.get() == Phase::Serving => {
-                            closes_from = Instant::now() + ACCEPT_AFTER_DRAIN;
+                        Order::Evacuate if is_accepted && self.phase.get() == Phase::Serving => {
+                            close_idle_from = Instant::now() + ACCEPT_AFTER_DRAIN;
                             self.phase.enter(Phase::Evacuated, &name);
                         }
-                        Order::Rejoin if is_ours => self.phase.enter(Phase::Serving, &name),
+                        Order::Rejoin if is_accepted => self.phase.enter(Phase::Serving, &name),
                         _ => {}
                     }
-                    done.send(is_ours).ok();
+                    done.send(is_accepted).ok();
                 }
-                // The platform's router still brings new connections for a while; what they carry is answered.
+                // The platform's router opens new connections for a while after an evacuation; requests on these
+                // connections must be answered.
                 _ = close_idle.tick(),
-                    if self.phase.get().closes_connections() && Instant::now() >= closes_from =>
+                    if self.phase.get().closes_connections() && Instant::now() >= close_idle_from =>
                 {
                     running.clients.close();
                 }
                 event = running.succession.next_event(&name) => {
                     for action in running.succession.state.handle(event) {
                         if *action == PredecessorAction::SendClientsAway {
-                            closes_from = Instant::now();
+                            close_idle_from = Instant::now();
                         }
                         self.hand_over(running, *action).await?;
                     }
@@ -106,7 +107,8 @@
         }
     }
 
-    /// From SIGTERM to the exit: accepts for a while, then gives the answers that it owes.
+    /// Shuts down after SIGTERM: accepts connections for `ACCEPT_AFTER_DRAIN`, then finishes the open requests until
+    /// the grace period ends.
     async fn shut_down(&self, running: &mut Running, name: &str) -> Result<(), ServerError> {
         self.phase.enter(Phase::Draining, name);
         let end = Instant::now() + running.grace();
@@ -118,7 +120,8 @@
         }
         self.phase.enter(Phase::Finishing, name);
         running.stop_accepting();
-        // Invocations end by their clients' time; a client that never reads its answer must not hold us.
+        // Every invocation ends by its client's deadline; a client that never reads its response must not delay the
+        // exit.
         let all_gone = async {
             let mut close_idle = interval(CLOSE_IDLE_INTERVAL);
             loop {
@@ -134,7 +137,7 @@
     }
 }
 
-/// Waits until the process before this one has ended; for ever where there is none.
+/// Waits until the predecessor has ended; never returns if there is none.
 async fn ended(predecessor: &mut Option<HandoverConnection>) {
     match predecessor {
         Some(connection) => while connection.receive().await.is_some() {},
--- a/crates/gateway/src/server/running.rs
+++ b/crates/gateway/src/server/running.rs
@@ -1,4 +1,4 @@
-//! What runs from one phase to the next.
+//! The state of the running process that is kept from one phase to the next.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -24,36 +24,36 @@
 use crate::messages::{ToCounter, ToDispatcher, ToListWatcher};
 use crate::platform_protocol::PlatformRequests;
 
-/// SIGKILL comes no sooner than the longest integration timeout, counted as this where it is shorter,
-/// and the time for accepting after SIGTERM; our exit comes [`EXIT_MARGIN`] before.
+/// Lower bound of the longest integration timeout in the platform's grace period. SIGKILL follows SIGTERM no sooner than
+/// `max(longest integration timeout, MIN_LONGEST_TIMEOUT) + ACCEPT_AFTER_DRAIN`; the process exits [`EXIT_MARGIN`] before.
 const MIN_LONGEST_TIMEOUT: Duration = Duration::from_secs(3);
 const EXIT_MARGIN: Duration = Duration::from_millis(20);
 
-/// What runs from one phase to the next.
+/// The state of the running process.
 pub(super) struct Running {
     pub(super) name: String,
     pub(super) clients: Rc<Clients>,
     pub(super) protocol: Rc<PlatformRequests>,
     pub(super) listener: Rc<TcpListener>,
-    /// `None` while another process accepts in this one's place.
+    /// The task that accepts connections; `None` while another process accepts them.
     pub(super) accepting: Option<JoinHandle<()>>,
     pub(super) dispatcher: mpsc::Sender<ToDispatcher>,
-    /// The actors without which nothing is served: the dispatcher, the list watcher, the counter client.
+    /// The actors that the gateway can't serve without: the dispatcher, the list watcher, the counter client.
     pub(super) actors: FuturesUnordered<JoinHandle<()>>,
     pub(super) terminate: Signal,
     pub(super) reload: Signal,
-    /// The settings in force, with the rows of those before them.
+    /// The settings in force; operations and plans of earlier settings are kept, so that positions stay valid.
     pub(super) settings: Settings,
-    /// The file that the settings came from.
+    /// The configuration file that the settings were read from, as JSON.
     pub(super) source: Value,
     pub(super) addresses: ServiceAddresses,
     pub(super) list_watcher: mpsc::Sender<ToListWatcher>,
     pub(super) counter: Option<mpsc::Sender<ToCounter>>,
     pub(super) figures: Figures,
     pub(super) orders: mpsc::Receiver<Asked>,
-    /// The list as it stands, for a process that follows this one.
+    /// The current list of backends, which is handed over to a successor.
     pub(super) last_list: Rc<RefCell<DiscoveryPage>>,
-    /// The process before this one, until it has ended.
+    /// The connection to the predecessor, until that process has ended.
     pub(super) predecessor: Option<HandoverConnection>,
     pub(super) succession: Succession,
 }
@@ -71,7 +71,7 @@
         }
     }
 
-    /// From now on clients come here: the process before is told so, and one to follow may come.
+    /// Tells the predecessor that this process serves, and listens for a successor.
     pub(super) async fn announce_serving(&mut self) {
         if let Some(connection) = &mut self.predecessor {
             connection.send(&HandoverMessage::Taken).await;
@@ -81,16 +81,16 @@
         }
     }
 
-    /// From SIGTERM to the exit at the latest.
+    /// Returns the longest time from SIGTERM to the exit.
     pub(super) fn grace(&self) -> Duration {
-        let timeouts = self.settings.operations.iter();
-        let longest = timeouts
+        let operations = self.settings.operations.iter();
+        let longest = operations
             .map(|operation| operation.integration_timeout)
             .max();
         longest.unwrap_or_default().max(MIN_LONGEST_TIMEOUT) + ACCEPT_AFTER_DRAIN - EXIT_MARGIN
     }
 
-    /// Reads the configuration again; the old one stays where the new one can't be used.
+    /// Reloads the configuration; keeps the old one and logs the reason if the new one is invalid.
     pub(super) async fn reload(&mut self) -> Result<(), ServerError> {
         let config = Config::read().and_then(|new| new.follows(&self.source).map(|()| new));
         match config {
@@ -100,19 +100,20 @@
                 log!(
                     warn,
                     "reload-refused",
-                    "{reason}; the old configuration stays"
+                    "{reason}; keeping the old configuration"
                 );
                 Ok(())
             }
         }
     }
 
-    /// Takes a new configuration: its settings, and where the list and the counter are; all else in it waits
-    /// for a restart.
+    /// Applies a new configuration's settings and the addresses of discovery and the counter. All other changes take
+    /// effect at the next start.
     async fn apply(&mut self, config: Config) -> Result<(), ServerError> {
         let (old, new) = (self.addresses, config.addresses);
         self.settings = self.settings.follow(config.settings);
-        // The dispatcher first: what is decoded by the new names is told in their positions.
+        // The dispatcher must have the new settings before requests are decoded with them: decoded requests refer to
+        // operations and plans by their positions in these settings.
         let settings = Box::new(self.settings.clone());
         send(&self.dispatcher, ToDispatcher::Settings(settings)).await?;
         self.protocol.set_settings(&self.settings);
@@ -131,7 +132,7 @@
     }
 }
 
-/// Sends an actor a message; an actor that has ended is an error.
+/// Sends a message to an actor; returns an error if the actor has ended.
 pub(super) async fn send<T>(actor: &mpsc::Sender<T>, message: T) -> Result<(), ServerError> {
     actor
         .send(message)
--- a/crates/gateway/src/server/start.rs
+++ b/crates/gateway/src/server/start.rs
@@ -1,4 +1,5 @@
-//! The start: the actors are made from the configuration and connected; a predecessor's state is taken over.
+//! The start of the process: creates the actors from the configuration, connects them, and takes over the state of a
+//! predecessor.
 
 use std::cell::RefCell;
 use std::path::PathBuf;
@@ -35,21 +36,22 @@
 use crate::peers::Peers;
 use crate::platform_protocol::PlatformRequests;
 
-/// Room in the mailboxes: the dispatcher's for all that its peers can have on the way, another's for a burst.
+/// Holds all messages that the other actors can have in transit to the dispatcher.
 const DISPATCHER_MAILBOX_CAPACITY: usize = 4096;
+/// Holds a burst of messages to any other actor.
 const MAILBOX_CAPACITY: usize = 1024;
 const ORDER_QUEUE_CAPACITY: usize = 8;
-/// How long the last known list has to do, where there is one, before invocations are taken with it.
+/// How long the start waits for a list from discovery if a last known list could be used instead.
 const LIST_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// The predecessor that is greeted at the start, and how far the hand-over from it has come.
+/// The hand-over from a predecessor: its state and its connection.
 struct Takeover {
     state: Successor,
     connection: Option<HandoverConnection>,
 }
 
 impl Takeover {
-    /// Greets the process that serves, if there is one.
+    /// Connects to the serving process, if there is one.
     async fn begin(path: Option<&PathBuf>, name: &str) -> Self {
         let connection = match path {
             Some(path) => HandoverConnection::connect(path, name).await,
@@ -61,7 +63,7 @@
         }
     }
 
-    /// The list that the predecessor knows, where it is no older than the one in the configuration.
+    /// Receives the predecessor's list of backends; returns `configured` if there is none or if it is older.
     async fn receive_list(&mut self, configured: DiscoveryPage) -> DiscoveryPage {
         let Some(connection) = &mut self.connection else {
             return configured;
@@ -77,7 +79,7 @@
             .unwrap_or(configured)
     }
 
-    /// Takes over the predecessor's state, and its clients from now on.
+    /// Takes over the predecessor's state and starts to accept clients.
     async fn finish(self, running: &mut Running) -> Result<(), ServerError> {
         let (mut state, Some(mut connection)) = (self.state, self.connection) else {
             return Ok(());
@@ -105,7 +107,7 @@
     }
 }
 
-/// What the actors share.
+/// The parts that the actors share.
 struct Parts {
     clock: Clock,
     figures: Figures,
@@ -114,12 +116,12 @@
 }
 
 impl Parts {
-    /// Starts an actor without which nothing is served.
+    /// Starts an actor that the gateway can't serve without.
     fn start(&self, actor: impl Future<Output = ()> + 'static) {
         self.actors.push(spawn_local(actor));
     }
 
-    /// Starts the counter's client, where the settings have a counter.
+    /// Starts the counter's client if the settings have a counter.
     fn start_counter_client(&self, config: &Config) -> Option<mpsc::Sender<ToCounter>> {
         let counter_settings = config.settings.counter.as_ref()?;
         let address = config.addresses.counter?;
@@ -136,7 +138,7 @@
         Some(sender)
     }
 
-    /// Starts the exchange with the other gateways, where the configuration says so.
+    /// Starts the actor that exchanges messages with the other gateways, if the configuration allows it.
     fn start_peers(&self, config: &Config) -> Result<Option<mpsc::Sender<ToPeers>>, ServerError> {
         let Some(address) = config
             .peer_listen
@@ -158,7 +160,7 @@
         Ok(Some(sender))
     }
 
-    /// The clients, and the protocol by which their requests are read.
+    /// Creates the clients' actor and the decoder of their requests.
     fn clients(&self, config: &Config, server: &Server) -> (Rc<PlatformRequests>, Rc<Clients>) {
         let protocol =
             PlatformRequests::new(&config.settings, &self.figures, self.dispatcher.clone());
@@ -174,7 +176,8 @@
         (protocol, Rc::new(clients))
     }
 
-    /// Starts the dispatcher with the list as last known, and the watcher that brings the list; told once it has.
+    /// Starts the dispatcher with the last known list, and the watcher of the list; returns a receiver that completes
+    /// with the watcher's first list.
     async fn start_list(
         &self,
         config: &Config,
@@ -203,7 +206,7 @@
         Ok(listed)
     }
 
-    /// The decision module's actor, not yet started.
+    /// Creates the dispatcher without starting it.
     fn dispatcher(
         &self,
         config: &Config,
@@ -244,7 +247,7 @@
     }
 }
 
-/// The actors that the dispatcher calls.
+/// The actors to which the dispatcher sends messages.
 struct DispatcherPeers {
     counter: Option<mpsc::Sender<ToCounter>>,
     list_watcher: mpsc::Sender<ToListWatcher>,
@@ -258,13 +261,13 @@
 }
 
 impl Server {
-    /// Starts all actors; returns once there is a list of backends, and clients are accepted.
+    /// Starts all actors; returns once a list of backends is known and clients are accepted.
     #[expect(
         clippy::too_many_lines,
         reason = "one actor after the other, in the order of the start"
     )]
     pub(super) async fn start(&self, config: Config) -> Result<Running, ServerError> {
-        // SIGHUP ends a program that has not asked for it.
+        // Installed first, since an unhandled SIGHUP ends the process.
         let reload = signal(SignalKind::hangup()).map_err(|source| ServerError::Signal {
             name: "SIGHUP",
             source,
@@ -339,7 +342,7 @@
         Ok(running)
     }
 
-    /// Answers operators from now on, where the configuration says so; their orders come back.
+    /// Starts the admin interface if the configuration has an address for it; returns the receiver of operators' orders.
     fn serve_operators(
         &self,
         config: &Config,
@@ -359,7 +362,8 @@
     }
 }
 
-/// Waits for the first list of backends: up before it knows one, a gateway would throttle all that comes.
+/// Waits for the first list of backends, since a gateway that reports ready without one would throttle every request.
+/// If a list is already known, waits for at most `LIST_TIMEOUT`.
 async fn wait_for_list(
     running: &mut Running,
     listed: oneshot::Receiver<()>,
@@ -371,7 +375,7 @@
             return Err(ServerError::NoList);
         }
         () = sleep(LIST_TIMEOUT), if knows_backends => {
-            log!(warn, "list-late", "serving with the list as last known");
+            log!(warn, "list-late", "no list from discovery yet; serving with the last known list");
         }
     }
     Ok(())
--- a/crates/gateway/src/server/succession.rs
+++ b/crates/gateway/src/server/succession.rs
@@ -1,4 +1,4 @@
-//! The hand-over to the process that follows this one, by the steps of `damsonbeam-handover`.
+//! The hand-over to a successor process, in the steps that `damsonbeam-handover` defines.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -17,12 +17,13 @@
 use crate::messages::ToDispatcher;
 use crate::phase::Phase;
 
-/// The dispatcher hands over within this, or it is not waited for.
+/// How long the dispatcher may take to return the state to hand over; without it the hand-over goes on with no state.
 const CARRY_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// The process that follows this one, if one does.
+/// The hand-over to a successor: its socket, its connection and its state.
 #[derive(Default)]
 pub(super) struct Succession {
+    /// The path of the hand-over socket; `None` if the platform passes no listening socket.
     pub(super) path: Option<PathBuf>,
     pub(super) listener: Option<HandoverListener>,
     pub(super) connection: Option<HandoverConnection>,
@@ -30,7 +31,8 @@
 }
 
 impl Succession {
-    /// Waits for a successor's greeting, then for its messages; for ever where nobody can follow.
+    /// Waits for a successor's connection and returns its next message as an event; never returns if there is no
+    /// listener.
     pub(super) async fn next_event(&mut self, name: &str) -> PredecessorEvent {
         if self.connection.is_none() {
             let Some(listener) = &self.listener else {
@@ -41,7 +43,7 @@
         let Some(connection) = &mut self.connection else {
             return PredecessorEvent::Lost;
         };
-        // One that came and says nothing must not keep out the next.
+        // A connection that sends no greeting must not block the next successor.
         let message = if self.state == Predecessor::Alone {
             connection.receive_reply().await
         } else {
@@ -60,7 +62,7 @@
         }
     }
 
-    /// Sends the successor a message; the connection is closed where it can't be sent.
+    /// Sends a message to the successor; closes the connection if sending fails.
     async fn send(&mut self, message: HandoverMessage) {
         let Some(connection) = &mut self.connection else {
             return;
@@ -72,7 +74,7 @@
 }
 
 impl Server {
-    /// Does one step of the hand-over to a successor.
+    /// Carries out one action of the hand-over to a successor.
     pub(super) async fn hand_over(
         &self,
         running: &mut Running,
@@ -88,7 +90,7 @@
             }
             PredecessorAction::StopAccepting => {
                 running.stop_accepting();
-                // Before the other one can say that it is ready: never both do.
+                // `/up` must report this process as not ready before the successor can report ready: never both.
                 if self.phase.get() == Phase::Serving {
                     self.phase.enter(Phase::Yielding, &running.name);
                 }
@@ -109,7 +111,7 @@
         Ok(())
     }
 
-    /// Serves again, for the successor has gone.
+    /// Serves again after the successor has ended.
     async fn resume(&self, running: &mut Running) -> Result<(), ServerError> {
         send(&running.dispatcher, ToDispatcher::Resume).await?;
         running.accept();
--- a/crates/gateway/src/shutdown_admission.rs
+++ b/crates/gateway/src/shutdown_admission.rs
@@ -1,37 +1,38 @@
-//! Whether a request that comes while the program is told to end can still be answered in time.
+//! Admission of requests during the shutdown: only those that can still be answered before the process exits.
 
 use std::cell::Cell;
 use std::time::Duration;
 
-/// A client that is refused because the program ends may try elsewhere at once.
+/// Retry delay for a client that is refused because the process ends; short, as another gateway can serve it at once.
 pub const ELSEWHERE: Duration = Duration::from_millis(20);
-/// A slow answer is remembered through about a hundred faster ones.
-const FADING: f64 = 0.98;
-/// A request is taken where this many times the slow answers' time is left.
-const MARGIN: u32 = 2;
+/// Decay of the slow latency with each faster response: one slow response counts for about a hundred faster ones.
+const SLOW_LATENCY_DECAY: f64 = 0.98;
+/// A request is admitted if at least `SLOW_LATENCY_FACTOR * slow_latency` is left until the deadline.
+const SLOW_LATENCY_FACTOR: u32 = 2;
 
-/// How long slow answers take of late, and by when all must be given.
+/// The recent latency of slow responses, and the deadline of the shutdown.
 #[derive(Debug, Default)]
 pub struct ShutdownAdmission {
-    slow: Cell<Duration>,
-    end: Cell<Option<Duration>>,
+    slow_latency: Cell<Duration>,
+    deadline: Cell<Option<Duration>>,
 }
 
 impl ShutdownAdmission {
-    /// An answer took so long.
-    pub fn answered(&self, took: Duration) {
-        self.slow.set(took.max(self.slow.get().mul_f64(FADING)));
+    /// Records the latency of a response.
+    pub fn answered(&self, latency: Duration) {
+        self.slow_latency
+            .set(latency.max(self.slow_latency.get().mul_f64(SLOW_LATENCY_DECAY)));
     }
 
-    /// The program is told to end: all answers are to be given by then.
-    pub fn end_by(&self, end: Duration) {
-        self.end.set(Some(end));
+    /// Starts the shutdown: all responses must be sent by `deadline`.
+    pub fn end_by(&self, deadline: Duration) {
+        self.deadline.set(Some(deadline));
     }
 
-    /// Whether a request that comes now can be expected to be answered in time.
+    /// Returns whether a request that arrives now can be expected to be answered before the deadline.
     pub fn takes(&self, now: Duration) -> bool {
-        self.end
+        self.deadline
             .get()
-            .is_none_or(|end| now + self.slow.get() * MARGIN <= end)
+            .is_none_or(|deadline| now + self.slow_latency.get() * SLOW_LATENCY_FACTOR <= deadline)
     }
 }
