--- a/crates/account/src/lib.rs
+++ b/crates/account/src/lib.rs
@@ -1,7 +1,7 @@
-//! Adds up the `account` lines of all gateways' logs: what each second cost the fleet, by reason.
+//! Adds up the `account` lines of all gateways' logs into the fleet's events and actions in each second, by reason.
 //!
-//! One gateway's log shows a call a second; a hundred of them show a service that serves none. A line that
-//! can't be used is named with file and line and counted, never left out in silence.
+//! One call per second in one gateway's log looks harmless, but from a hundred gateways it can overload a service. A
+//! line that can't be used is counted and reported with its file and line number, never skipped silently.
 #![warn(clippy::too_many_lines, unreachable_pub)]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -11,11 +11,11 @@
 
 use serde::Deserialize;
 
-/// The form of the lines: gateways write it, and a reader refuses those that it does not know.
+/// Version of the line format, written by gateways; lines of any other version are rejected.
 pub const VERSION: u64 = 1;
-/// Faulty lines that are named one by one; the rest are counted.
-const MAX_NAMED_LINES: usize = 20;
-/// By which log lines are known as lines of the account.
+/// Most faulty lines that are reported one by one; further ones are only counted.
+const MAX_REPORTED_LINES: usize = 20;
+/// Log code of the account's lines.
 const CODE: &str = "account";
 
 #[derive(Deserialize)]
@@ -29,24 +29,24 @@
     code: String,
     version: Option<u64>,
     second: Option<u64>,
-    /// A JSON object as text: what was counted, and how often.
+    /// The counts by name, a JSON object encoded as text.
     counts: Option<String>,
 }
 
-/// The fleet's account.
+/// The sums over all gateways' logs.
 #[derive(Debug, Default)]
 pub struct Account {
-    /// Files that were read.
+    /// Number of files read.
     pub files: usize,
-    /// By what was counted, then by second.
+    /// Counts by name, then by second (Unix time).
     pub counts: BTreeMap<String, BTreeMap<u64, u64>>,
-    /// Lines that could not be used: file, line and why.
+    /// The first `MAX_REPORTED_LINES` faulty lines, as `file:line: reason`.
     pub faulty: Vec<String>,
-    /// Lines that could not be read.
+    /// Number of all faulty lines.
     pub faulty_lines: usize,
 }
 
-/// Why there is no account.
+/// Why the logs can't be added up.
 #[derive(Debug, thiserror::Error)]
 pub enum AccountError {
     /// The folder or a file can't be read.
@@ -54,22 +54,22 @@
     Unreadable {
         /// The folder or file.
         path: String,
-        /// Why not.
+        /// The I/O error.
         source: io::Error,
     },
     /// The folder holds no files.
     #[error("{0}: no log files")]
     NoFiles(String),
-    /// No file has a line of an account.
+    /// No file has a valid `account` line.
     #[error(
         "{folder}: no account lines; gateways write them with DAMSONBEAM_LOG=debug ({files} log files, {faulty_lines} faulty lines)"
     )]
     NoLines {
         /// The folder.
         folder: String,
-        /// Files that were read.
+        /// Number of files read.
         files: usize,
-        /// Lines that could not be read.
+        /// Number of faulty lines.
         faulty_lines: usize,
     },
     /// The table can't be written.
@@ -84,11 +84,11 @@
     NoJson,
     #[error("not a log line: {0}")]
     NoLogLine(serde_json::Error),
-    #[error("an account of version {0}; this reads {VERSION}")]
+    #[error("account line of version {0}; only version {VERSION} is supported")]
     OtherVersion(u64),
-    #[error("an account of no version")]
+    #[error("account line without a version")]
     NoVersion,
-    #[error("an account without `{0}`")]
+    #[error("account line without `{0}`")]
     Missing(&'static str),
     #[error("`counts`: {0}")]
     Counts(serde_json::Error),
@@ -101,10 +101,10 @@
     }
 }
 
-/// Reads every file of a folder.
+/// Reads all files of a folder and adds up their `account` lines.
 ///
 /// # Errors
-/// Where the folder or a file can't be read, or there is no line of an account.
+/// Returns an error if the folder or a file can't be read, or if there are no files or no valid `account` lines.
 pub fn read(folder: &Path) -> Result<Account, AccountError> {
     let mut paths = Vec::new();
     for entry in fs::read_dir(folder).map_err(|source| unreadable(folder, source))? {
@@ -135,13 +135,13 @@
 }
 
 impl Account {
-    /// Takes in one gateway's log.
+    /// Adds the `account` lines of one gateway's log; `name` stands for the log in reports of faulty lines.
     pub fn take(&mut self, name: &str, text: &str) {
         self.files += 1;
         for (position, line) in text.lines().enumerate() {
-            if let Err(error) = self.take_line(line) {
+            if let Err(error) = self.add_line(line) {
                 self.faulty_lines += 1;
-                if self.faulty.len() < MAX_NAMED_LINES {
+                if self.faulty.len() < MAX_REPORTED_LINES {
                     let number = position + 1;
                     self.faulty.push(format!("{name}:{number}: {error}"));
                 }
@@ -149,13 +149,13 @@
         }
     }
 
-    fn take_line(&mut self, line: &str) -> Result<(), LineError> {
+    fn add_line(&mut self, line: &str) -> Result<(), LineError> {
         if line.trim().is_empty() {
             return Ok(());
         }
-        // Whoever collects logs may put a time before each line.
-        let json = line.find('{').ok_or(LineError::NoJson)?;
-        let line: Line = serde_json::from_str(&line[json..]).map_err(LineError::NoLogLine)?;
+        // A log collector may prefix each line with a time.
+        let json_start = line.find('{').ok_or(LineError::NoJson)?;
+        let line: Line = serde_json::from_str(&line[json_start..]).map_err(LineError::NoLogLine)?;
         let fields = line.fields;
         if fields.code != CODE {
             return Ok(());
@@ -169,9 +169,9 @@
         let counts = fields.counts.ok_or(LineError::Missing("counts"))?;
         let counts: BTreeMap<String, u64> =
             serde_json::from_str(&counts).map_err(LineError::Counts)?;
-        for (what, number) in counts {
-            let by_second = self.counts.entry(what).or_default();
-            *by_second.entry(second).or_default() += number;
+        for (name, count) in counts {
+            let by_second = self.counts.entry(name).or_default();
+            *by_second.entry(second).or_default() += count;
         }
         Ok(())
     }
@@ -182,37 +182,37 @@
         all.into_iter().collect()
     }
 
-    /// A row for each thing counted: its sum, its worst second, and when that was.
+    /// Returns a text table with the sum of each count, its maximum in one second, and that second relative to the first.
     pub fn summary(&self) -> String {
         let first = self.seconds().first().copied().unwrap_or_default();
         let mut text = format!("{} logs, from second {first}\n", self.files);
-        let [what, sum, most, at] = ["what", "sum", "most/s", "at"];
-        writeln!(text, "{what:<28} {sum:>10} {most:>10} {at:>8}").ok();
-        for (what, by_second) in &self.counts {
+        let [name, sum, max, at] = ["what", "sum", "most/s", "at"];
+        writeln!(text, "{name:<28} {sum:>10} {max:>10} {at:>8}").ok();
+        for (name, by_second) in &self.counts {
             let sum: u64 = by_second.values().sum();
-            let worst = by_second.iter().max_by_key(|(_, number)| **number);
-            let (second, most) = worst.map_or((first, 0), |(second, number)| (*second, *number));
+            let peak = by_second.iter().max_by_key(|(_, count)| **count);
+            let (second, max) = peak.map_or((first, 0), |(second, count)| (*second, *count));
             let at = format!("+{}", second - first);
-            writeln!(text, "{what:<28} {sum:>10} {most:>10} {at:>8}").ok();
+            writeln!(text, "{name:<28} {sum:>10} {max:>10} {at:>8}").ok();
         }
         text
     }
 
-    /// A row a second, a column for each thing counted.
+    /// Returns the counts as CSV, with a row for each second and a column for each count.
     ///
     /// # Errors
-    /// Where the table can't be written.
+    /// Returns an error if the table can't be written.
     pub fn csv(&self) -> Result<String, AccountError> {
         let failed = |error: &dyn std::fmt::Display| AccountError::Table(error.to_string());
         let mut table = csv::Writer::from_writer(Vec::new());
-        let head = std::iter::once("second".to_owned()).chain(self.counts.keys().cloned());
-        table.write_record(head).map_err(|error| failed(&error))?;
+        let header = std::iter::once("second".to_owned()).chain(self.counts.keys().cloned());
+        table.write_record(header).map_err(|error| failed(&error))?;
         for second in self.seconds() {
-            let numbers = self.counts.values();
-            let numbers =
-                numbers.map(|by_second| by_second.get(&second).copied().unwrap_or_default());
-            let row = std::iter::once(second).chain(numbers);
-            let row = row.map(|number| number.to_string());
+            let counts = self.counts.values();
+            let counts =
+                counts.map(|by_second| by_second.get(&second).copied().unwrap_or_default());
+            let row = std::iter::once(second).chain(counts);
+            let row = row.map(|cell| cell.to_string());
             table.write_record(row).map_err(|error| failed(&error))?;
         }
         let bytes = table.into_inner().map_err(|error| failed(&error))?;
--- a/crates/account/tests/account.rs
+++ b/crates/account/tests/account.rs
@@ -1,21 +1,21 @@
-//! What is added up, what of a log can't be used, and which folders are refused.
+//! Sums over several logs, reports of faulty lines, and folders without usable logs.
 
 use std::collections::BTreeMap;
 use std::fs;
 
 use damsonbeam_account::{Account, read};
 
-const GOOD: &str = r#"{"level":"DEBUG","fields":{"message":"","code":"account","version":1,"second":7,"counts":"{\"sent.cold\":2,\"turned.line\":1}"}}"#;
+const VALID_LINE: &str = r#"{"level":"DEBUG","fields":{"message":"","code":"account","version":1,"second":7,"counts":"{\"sent.cold\":2,\"turned.line\":1}"}}"#;
 
 #[test]
-fn what_all_gateways_did_is_added_up_by_second() {
+fn counts_of_several_logs_are_added_up_by_second() {
     let mut account = Account::default();
-    account.take("a", GOOD);
+    account.take("a", VALID_LINE);
     account.take(
         "b",
         &format!(
-            "3.120 {GOOD}\n{}",
-            GOOD.replace("\"second\":7", "\"second\":9")
+            "3.120 {VALID_LINE}\n{}",
+            VALID_LINE.replace("\"second\":7", "\"second\":9")
         ),
     );
     assert_eq!(
@@ -28,20 +28,27 @@
     );
     assert!(
         account.summary().contains("+0"),
-        "the worst second is named"
+        "the summary shows the second with the maximum"
     );
     assert_eq!(account.faulty_lines, 0);
 }
 
 #[test]
-fn faulty_lines_are_named_and_counted() {
+fn faulty_lines_are_reported_and_counted() {
     let mut account = Account::default();
-    let cut = &GOOD[..80];
-    let other = GOOD.replace("\"version\":1", "\"version\":2");
-    let unread = GOOD.replace("\"second\":7,", "");
+    let truncated = &VALID_LINE[..80];
+    let other_version = VALID_LINE.replace("\"version\":1", "\"version\":2");
+    let without_second = VALID_LINE.replace("\"second\":7,", "");
     account.take(
         "n1.log",
-        &[cut, &other, &unread, "panicked at", GOOD].join("\n"),
+        &[
+            truncated,
+            &other_version,
+            &without_second,
+            "panicked at",
+            VALID_LINE,
+        ]
+        .join("\n"),
     );
     assert_eq!(
         (account.faulty_lines, account.counts["sent.cold"][&7]),
@@ -56,13 +63,13 @@
         let found = account
             .faulty
             .iter()
-            .any(|f| f.starts_with(&format!("n1.log:{n}: ")) && f.contains(reason));
+            .any(|line| line.starts_with(&format!("n1.log:{n}: ")) && line.contains(reason));
         assert!(found, "{reason} in {:?}", account.faulty);
     }
 }
 
 #[test]
-fn a_folder_without_an_account_is_refused_with_what_to_do() {
+fn folder_without_account_lines_is_rejected_with_a_hint() {
     let folder = tempfile::tempdir().unwrap();
     assert!(
         read(folder.path())
--- a/crates/admin/src/calls.rs
+++ b/crates/admin/src/calls.rs
@@ -1,4 +1,5 @@
-//! The calls: HTTP/1.1, one to a connection, a few connections at a time, each for a short time.
+//! The HTTP/1.1 server of the admin interface: one request per connection, with limits on the number of connections and
+//! on their duration.
 
 use std::collections::VecDeque;
 use std::convert::Infallible;
@@ -21,58 +22,58 @@
 
 use crate::Figures;
 
-/// Calls open at a time: one more ends the oldest, for it is the likeliest never to be finished.
-const CALLS: usize = 8;
-/// A call's life. Callers wait 1 s; some finish none.
-const LIFE: Duration = Duration::from_secs(2);
-/// What an order may take: the caller still hears in time.
-const ORDER: Duration = Duration::from_millis(800);
-/// A call's head at most; hyper takes no smaller bound.
-const HEAD: usize = 8 << 10;
-/// Pause after a failed accept.
-const PAUSE: Duration = Duration::from_millis(20);
+/// Maximum number of open connections. A further one closes the oldest, which is the least likely to complete.
+const MAX_CONNECTIONS: usize = 8;
+/// Maximum duration of a connection. Callers wait 1 s; some never complete their request.
+const CONNECTION_TIMEOUT: Duration = Duration::from_secs(2);
+/// Time limit for an order, shorter than the callers' 1 s so that they still get the response.
+const ORDER_TIMEOUT: Duration = Duration::from_millis(800);
+/// Maximum size of a request head in bytes; the smallest limit that hyper accepts.
+const MAX_HEAD_BYTES: usize = 8 << 10;
+/// Delay after a failed accept.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// What operators may tell a gateway to do.
+/// An operator's order to a gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Order {
-    /// Sends its clients away, and lives on.
+    /// Close the clients' connections, but keep the process running.
     Evacuate,
-    /// Takes clients again.
+    /// Accept clients again.
     Rejoin,
 }
 
-/// An order, and where the gateway says whether it does so.
+/// An order, and the sender for the gateway's reply whether it accepts the order.
 pub type Asked = (Order, oneshot::Sender<bool>);
 
-/// Answers operators.
+/// The admin interface.
 #[derive(Clone)]
 pub struct Admin {
-    /// What is counted.
+    /// The metrics.
     pub figures: Figures,
-    /// Whether the process is ready to serve.
+    /// Returns whether the process is ready to serve.
     pub ready: Arc<dyn Fn() -> bool + Send + Sync>,
-    /// Where orders go.
+    /// Receives the orders.
     pub orders: mpsc::Sender<Asked>,
 }
 
 impl Admin {
-    /// Listens at `at`, on a thread of its own, until the process ends.
+    /// Listens on `address` in a new thread until the process ends.
     ///
     /// # Errors
-    /// Where the address can't be bound, or no thread started; what failed, and the address.
-    pub fn start(self, at: SocketAddr) -> Result<(), String> {
-        let fails = |e: std::io::Error| format!("admin_addr: {at}: {e}");
-        let listener = TcpListener::bind(at).map_err(fails)?;
-        listener.set_nonblocking(true).map_err(fails)?;
+    /// Returns a text with the address and the cause if the address can't be bound or the thread can't be started.
+    pub fn start(self, address: SocketAddr) -> Result<(), String> {
+        let with_address = |e: std::io::Error| format!("admin_addr: {address}: {e}");
+        let listener = TcpListener::bind(address).map_err(with_address)?;
+        listener.set_nonblocking(true).map_err(with_address)?;
         let runtime = Builder::new_current_thread()
             .enable_all()
             .build()
-            .map_err(fails)?;
+            .map_err(with_address)?;
         let serve = move || LocalSet::new().block_on(&runtime, self.serve(listener));
         std::thread::Builder::new()
             .name("admin".into())
             .spawn(serve)
-            .map_err(fails)?;
+            .map_err(with_address)?;
         Ok(())
     }
 
@@ -83,30 +84,33 @@
         let mut open: VecDeque<AbortHandle> = VecDeque::new();
         loop {
             let Ok((socket, _)) = listener.accept().await else {
-                sleep(PAUSE).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             };
-            open.retain(|call| !call.is_finished());
-            if open.len() >= CALLS
+            open.retain(|connection| !connection.is_finished());
+            if open.len() >= MAX_CONNECTIONS
                 && let Some(oldest) = open.pop_front()
             {
                 oldest.abort();
             }
             let admin = self.clone();
-            let call = tokio::task::spawn_local(async move {
+            let connection = tokio::task::spawn_local(async move {
                 let service = service_fn(move |request| admin.clone().answer(request));
                 let mut http = http1::Builder::new();
-                let call = http.keep_alive(false).max_buf_size(HEAD);
-                timeout(LIFE, call.serve_connection(TokioIo::new(socket), service))
-                    .await
-                    .ok();
+                let http = http.keep_alive(false).max_buf_size(MAX_HEAD_BYTES);
+                timeout(
+                    CONNECTION_TIMEOUT,
+                    http.serve_connection(TokioIo::new(socket), service),
+                )
+                .await
+                .ok();
             });
-            open.push_back(call.abort_handle());
+            open.push_back(connection.abort_handle());
         }
     }
 
     async fn answer(self, request: Request<Incoming>) -> Result<Response<Full<Bytes>>, Infallible> {
-        let known = [
+        let known_paths = [
             "/api/ready",
             "/api/telemetry",
             "/api/evacuate",
@@ -117,28 +121,29 @@
             (&Method::GET, "/api/ready") if (self.ready)() => StatusCode::OK,
             (&Method::GET, "/api/ready") => StatusCode::SERVICE_UNAVAILABLE,
             (&Method::GET, "/api/telemetry") => {
-                let mut answer = Response::new(Full::from(self.figures.text()));
-                let text = HeaderValue::from_static("text/plain; version=0.0.4; charset=utf-8");
-                answer.headers_mut().insert(CONTENT_TYPE, text);
-                return Ok(answer);
+                let mut response = Response::new(Full::from(self.figures.text()));
+                let content_type =
+                    HeaderValue::from_static("text/plain; version=0.0.4; charset=utf-8");
+                response.headers_mut().insert(CONTENT_TYPE, content_type);
+                return Ok(response);
             }
             (&Method::POST, "/api/evacuate") => self.order(Order::Evacuate).await,
             (&Method::POST, "/api/rejoin") => self.order(Order::Rejoin).await,
-            _ if known.contains(&path) => StatusCode::METHOD_NOT_ALLOWED,
+            _ if known_paths.contains(&path) => StatusCode::METHOD_NOT_ALLOWED,
             _ => StatusCode::NOT_FOUND,
         };
-        let mut answer = Response::new(Full::default());
-        *answer.status_mut() = status;
-        Ok(answer)
+        let mut response = Response::new(Full::default());
+        *response.status_mut() = status;
+        Ok(response)
     }
 
     async fn order(&self, order: Order) -> StatusCode {
-        let (done, told) = oneshot::channel();
-        let asked = async {
-            self.orders.send((order, done)).await.ok()?;
-            told.await.ok()
+        let (reply_to, reply) = oneshot::channel();
+        let is_accepted = async {
+            self.orders.send((order, reply_to)).await.ok()?;
+            reply.await.ok()
         };
-        match timeout(ORDER, asked).await {
+        match timeout(ORDER_TIMEOUT, is_accepted).await {
             Ok(Some(true)) => StatusCode::OK,
             Ok(Some(false)) => StatusCode::CONFLICT,
             Ok(None) | Err(_) => StatusCode::SERVICE_UNAVAILABLE,
--- a/crates/admin/src/figures.rs
+++ b/crates/admin/src/figures.rs
@@ -1,89 +1,87 @@
-//! The figures: each is defined once, here, with its meaning, and counted where the event happens.
+//! Defines the gateway's metrics, which are updated where the events happen.
 //!
-//! All count from the process's start. Clones share the same counts; counting is an atomic addition.
+//! All values start when the process starts. Clones share the same values; an update is one atomic operation.
 
 use prometheus::{
     Encoder, Histogram, HistogramOpts, IntCounter, IntCounterVec, IntGauge, Opts, Registry,
     TextEncoder,
 };
 
-/// Upper bounds of the bins of answer times, in seconds.
-const TIMES: [f64; 12] = [
+/// Upper bounds of the histogram buckets of response times, in seconds.
+const ANSWER_TIME_BUCKETS: [f64; 12] = [
     0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.0, 3.0, 5.0, 7.5, 15.0,
 ];
 
-/// What is counted for operators.
+/// The gateway's metrics.
 #[derive(Clone)]
 pub struct Figures {
     registry: Registry,
-    /// Invocations by their final answer, for each operation.
+    /// Invocations that were served, by operation.
     pub answered: IntCounterVec,
-    /// Answers that ask the client to come back.
+    /// Invocations that were throttled, by operation.
     pub deferred: IntCounterVec,
-    /// Answers that are errors.
+    /// Invocations that were answered with an error, by operation.
     pub errored: IntCounterVec,
-    /// Deliveries whose last byte was written to a backend.
+    /// Attempts whose last byte was written to a backend.
     pub sends: IntCounter,
-    /// Invocations taken and not ended.
+    /// Invocations in progress.
     pub current: IntGauge,
-    /// Backends that are listed.
+    /// Listed backends.
     pub cluster_size: IntGauge,
-    /// Those of them that are avoided.
+    /// Listed backends that are avoided at present.
     pub cluster_unhealthy: IntGauge,
-    /// Configurations that were taken.
+    /// Configurations that were applied at a reload.
     pub conf_loaded: IntCounter,
-    /// Configurations that were refused.
+    /// Configurations that were rejected at a reload.
     pub conf_invalid: IntCounter,
-    /// Why invocations were turned away: before any delivery (quota, line, time), or after one.
+    /// Throttled invocations, by whether an attempt was made: `before_delivery` or `after_delivery`.
     pub turned_away: IntCounterVec,
-    /// The same by reason, as the module names it.
+    /// Throttled invocations, by the decision module's reason.
     pub turned_away_why: IntCounterVec,
-    /// Attempts, by how they ended.
+    /// Attempts, by outcome.
     pub deliveries: IntCounterVec,
-    /// Calls to the counter, by how they ended.
+    /// Calls to the counter, by outcome.
     pub counter_calls: IntCounterVec,
-    /// Connections of clients.
+    /// Open client connections.
     pub clients: IntGauge,
-    /// 1 from a start by registries that were cut off from most of the core until one in contact is met.
+    /// 1 if the configuration at the start came from registries cut off from most of the core, until a registry that is
+    /// in contact with the core is reached.
     pub possibly_old: IntGauge,
-    /// From the last byte of an invocation to its final answer, in seconds; a large one's first byte.
+    /// Seconds from the last byte of an invocation to its final answer; for a large answer, to its first byte.
     pub answer_seconds: Histogram,
-    /// Hand-overs between two processes, by how far they came.
+    /// Hand-overs between two processes, by the step reached.
     pub handovers: IntCounterVec,
 }
 
 impl Figures {
-    /// All figures at 0.
+    /// Creates and registers all metrics with the value 0.
     ///
     /// # Errors
-    /// Where two figures have one name.
-    #[expect(
-        clippy::too_many_lines,
-        reason = "a list of figures, one after the other"
-    )]
+    /// Returns an error if two metrics have the same name.
+    #[expect(clippy::too_many_lines, reason = "a flat list of metrics")]
     pub fn new() -> prometheus::Result<Self> {
         let registry = Registry::new_custom(Some("gateway".into()), None)?;
         let by = |name: &str, help: &str, label: &str| {
-            let all = IntCounterVec::new(Opts::new(name, help), &[label])?;
-            registry.register(Box::new(all.clone()))?;
-            prometheus::Result::Ok(all)
+            let counters = IntCounterVec::new(Opts::new(name, help), &[label])?;
+            registry.register(Box::new(counters.clone()))?;
+            prometheus::Result::Ok(counters)
         };
         let count = |name: &str, help: &str| {
-            let one = IntCounter::new(name, help)?;
-            registry.register(Box::new(one.clone()))?;
-            prometheus::Result::Ok(one)
+            let counter = IntCounter::new(name, help)?;
+            registry.register(Box::new(counter.clone()))?;
+            prometheus::Result::Ok(counter)
         };
         let gauge = |name: &str, help: &str| {
-            let one = IntGauge::new(name, help)?;
-            registry.register(Box::new(one.clone()))?;
-            prometheus::Result::Ok(one)
+            let gauge = IntGauge::new(name, help)?;
+            registry.register(Box::new(gauge.clone()))?;
+            prometheus::Result::Ok(gauge)
         };
-        let times = HistogramOpts::new(
+        let options = HistogramOpts::new(
             "answer_seconds",
             "Seconds from an invocation's last byte to its answer",
         )
-        .buckets(TIMES.to_vec());
-        let answer_seconds = Histogram::with_opts(times)?;
+        .buckets(ANSWER_TIME_BUCKETS.to_vec());
+        let answer_seconds = Histogram::with_opts(options)?;
         registry.register(Box::new(answer_seconds.clone()))?;
         Ok(Figures {
             answered: by("answered", "Invocations served, by operation", "group")?,
@@ -126,17 +124,17 @@
         })
     }
 
-    /// An operation's figures show from the start, at 0.
+    /// Creates an operation's metrics with the value 0, so that they are exported before its first invocation.
     pub fn name(&self, operation: &str) {
-        for all in [&self.answered, &self.deferred, &self.errored] {
-            all.with_label_values(&[operation]);
+        for counters in [&self.answered, &self.deferred, &self.errored] {
+            counters.with_label_values(&[operation]);
         }
     }
 
-    /// The text form: a line a figure.
+    /// Returns the metrics in Prometheus's text format.
     pub fn text(&self) -> Vec<u8> {
         let mut text = Vec::new();
-        // Writing to memory fails only for a figure that has no name.
+        // Writing to memory fails only for a metric without a name.
         TextEncoder::new()
             .encode(&self.registry.gather(), &mut text)
             .ok();
--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -1,9 +1,9 @@
-//! Where operators call a gateway: whether it is ready, its figures, drain and rejoin.
+//! A gateway's admin interface for operators: readiness, metrics, evacuation and rejoin.
 //!
-//! It knows nothing of clients, backends or the module. What it shares with them are the [`Figures`], counted
-//! where each thing happens, whether the process is ready, and a mailbox for [`Order`]s. It runs on a thread
-//! of its own, so that callers are answered within their second however busy the serving thread is, and cost
-//! that thread nothing but the processor time that the system gives them.
+//! This crate doesn't depend on clients, backends or the decision module. It shares with the serving thread only the
+//! [`Figures`], the readiness of the process and a mailbox for [`Order`]s. It runs on its own thread, so that callers get
+//! a response within their timeout of 1 s however busy the serving thread is, and so that calls cost the serving thread
+//! only the processor time that the scheduler gives to the admin thread.
 #![warn(clippy::too_many_lines, unreachable_pub)]
 
 pub mod calls;
--- a/crates/admin/tests/figures.rs
+++ b/crates/admin/tests/figures.rs
@@ -1,9 +1,9 @@
-//! Figures as operators read them.
+//! The exported text of the metrics.
 
 use damsonbeam_admin::Figures;
 
 #[test]
-fn each_figure_has_the_operators_name_and_its_count() {
+fn text_has_each_metric_with_its_exported_name_and_value() {
     let figures = Figures::new().unwrap();
     figures.name("C");
     figures
--- a/crates/handover/src/lib.rs
+++ b/crates/handover/src/lib.rs
@@ -1,38 +1,38 @@
-//! A gateway's hand-over from the process that serves, the predecessor, to a new one, the successor: the steps of each
-//! side and the messages between them. No I/O; `docs/upgrade.md` weighs the options.
+//! A gateway's hand-over from the serving process, the predecessor, to a new process, the successor: the state machine of
+//! each side and the messages between them, without I/O. `docs/upgrade.md` compares the alternatives.
 //!
 //! ```text
 //! successor                        predecessor
-//! Hello ------------------------->            serves on
-//!       <------------------------- Known      the list of backends as it stands
-//! Prepared ---------------------->            accepts no more; its dispatcher yields
-//!       <------------------------- Carry      counts, learned times, its parts of what is shared
-//! Taken ------------------------->            sends its clients away, gives the answers that it owes
+//! Hello ------------------------->            continues to serve
+//!       <------------------------- Known      the current list of backends
+//! Prepared ---------------------->            stops accepting connections; its dispatcher yields
+//!       <------------------------- Carry      counts, learned latencies, its shares of shared limits
+//! Taken ------------------------->            closes clients' connections, answers the open requests
 //! ```
 //!
-//! Whoever is left alone goes on alone: the successor serves without what it could not get, and the predecessor
-//! accepts clients again if the successor ends, unless it was told to end.
+//! Each side goes on without the other: the successor serves without the state that it did not receive, and the
+//! predecessor accepts clients again if the successor ends, unless the predecessor was told to shut down.
 #![warn(clippy::too_many_lines, unreachable_pub)]
 
 use damsonbeam::interface::Carry;
 use serde::{Deserialize, Serialize};
 
-/// Of what is said; a process that hears another version's `Hello` does not answer it.
+/// Version of the messages; a process doesn't reply to a `Hello` with another version.
 pub const VERSION: u32 = 1;
 
-/// What the two send each other, a JSON line each.
+/// A message between the two processes, sent as one line of JSON.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum HandoverMessage {
-    /// The successor greets.
+    /// The successor's first message.
     Hello {
-        /// The version of these messages that it speaks.
+        /// The successor's version of the messages.
         version: u32,
         /// The gateway's name.
         name: String,
     },
-    /// The list of backends, in discovery's form.
+    /// The list of backends, in discovery's format.
     Known(serde_json::Value),
-    /// The successor has started all but taking clients.
+    /// The successor has started and is ready to accept clients.
     Prepared,
     /// The predecessor's state.
     Carry(Box<Carry>),
@@ -40,59 +40,59 @@
     Taken,
 }
 
-/// How far the predecessor has come.
+/// The state of the predecessor in the hand-over.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Predecessor {
-    /// It serves; nobody is there to follow it.
+    /// The process serves and has no successor.
     #[default]
     Alone,
-    /// A successor has asked, and starts.
+    /// A successor has sent its `Hello` and is starting.
     Asked,
-    /// It accepts no more, and has handed over its parts.
+    /// The process no longer accepts clients and has handed over its state.
     Yielded,
     /// The successor serves.
     Followed,
-    /// It was told to end: nothing takes it back.
+    /// The process was told to shut down; no event changes this state.
     Ending,
 }
 
-/// What happens to the predecessor.
+/// An event for the predecessor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PredecessorEvent {
-    /// A greeting, and whether its version and the gateway's name are ours.
+    /// A process has sent `Hello`.
     Hello {
-        /// The version and the name are ours.
+        /// Whether the version and the gateway's name are those of the predecessor.
         ours: bool,
     },
-    /// The successor has started all but taking clients.
+    /// The successor has started and is ready to accept clients.
     Prepared,
     /// The successor serves.
     Taken,
-    /// The successor said what has no place here, or its connection ended.
+    /// The successor sent an unexpected message, or its connection ended.
     Lost,
-    /// SIGTERM.
+    /// SIGTERM was received.
     Terminate,
 }
 
-/// What the predecessor does, in order.
+/// An action of the predecessor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PredecessorAction {
-    /// The list of backends is sent.
+    /// Send the list of backends.
     TellKnown,
-    /// It accepts no more clients.
+    /// Stop accepting clients.
     StopAccepting,
-    /// The module yields; what it hands over is sent.
+    /// Have the decision module yield, and send the state that it hands over.
     SendCarry,
-    /// Its clients are sent to the successor.
+    /// Close the clients' connections, so that they connect to the successor.
     SendClientsAway,
-    /// Accepts again, and the module has its parts again.
+    /// Accept clients again, and return the handed-over state to the decision module.
     Resume,
-    /// The connection to the successor is closed.
+    /// Close the connection to the successor.
     HangUp,
 }
 
 impl Predecessor {
-    /// The next step, and what is to be done.
+    /// Applies an event; returns the actions to carry out, in order.
     pub fn handle(&mut self, event: PredecessorEvent) -> &'static [PredecessorAction] {
         let (next, actions): (Predecessor, &'static [PredecessorAction]) = match (*self, event) {
             (Predecessor::Ending, _) => (Predecessor::Ending, &[]),
@@ -122,46 +122,47 @@
         actions
     }
 
-    /// Whether another process serves in this one's place, or is about to.
+    /// Returns whether a successor serves or is about to.
     pub fn is_followed(self) -> bool {
         matches!(self, Predecessor::Yielded | Predecessor::Followed)
     }
 }
 
-/// How far the successor has come.
+/// The state of the successor in the hand-over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Successor {
-    /// It has greeted, and waits for the list.
+    /// The process has sent `Hello` and waits for the list of backends.
     Greeted,
-    /// It has the list, and starts its own parts.
+    /// The process has the list and starts its actors.
     Starting,
-    /// It has told that it is prepared, and waits for what it takes over.
+    /// The process has sent `Prepared` and waits for the predecessor's state.
     Prepared,
-    /// It serves after the predecessor, whose state it has.
+    /// The process has the predecessor's state and serves.
     Follows,
-    /// It serves alone: nobody answered, or the predecessor went silent or away midway.
+    /// The process serves without the predecessor's state: no predecessor replied, or it stopped replying midway.
     Alone,
 }
 
 impl Successor {
-    /// The next step after what the predecessor said; none: it is gone, silent, or says what has no place here.
+    /// Applies the predecessor's reply and returns the new state. `None` stands for a predecessor that is gone, doesn't
+    /// reply in time or sends an unreadable message.
     pub fn handle(&mut self, message: Option<&HandoverMessage>) -> Successor {
         *self = match (*self, message) {
             (Successor::Greeted, Some(HandoverMessage::Known(_))) => Successor::Starting,
             (Successor::Prepared, Some(HandoverMessage::Carry(_))) => Successor::Follows,
-            // Once it follows, the predecessor's end is what is meant to come.
+            // After the hand-over the predecessor is expected to end.
             (Successor::Follows, None) => Successor::Follows,
             _ => Successor::Alone,
         };
         *self
     }
 
-    /// It has started all but taking clients; false where there is nobody to tell so.
+    /// Marks the process as ready to accept clients; returns whether there is a predecessor to send `Prepared` to.
     pub fn prepared(&mut self) -> bool {
-        let there = *self == Successor::Starting;
-        if there {
+        let has_predecessor = *self == Successor::Starting;
+        if has_predecessor {
             *self = Successor::Prepared;
         }
-        there
+        has_predecessor
     }
 }
--- a/crates/handover/tests/carry_format.rs
+++ b/crates/handover/tests/carry_format.rs
@@ -1,16 +1,17 @@
-//! The state that goes to a successor keeps its form on the socket: a successor may be of the version before.
+//! The format of the state that is handed over must not change, since a successor may run the previous version.
 
 use damsonbeam::interface::Carry;
 use serde_json::{Value, json};
 
+/// Bins of a latency histogram.
 const BINS: usize = 24;
 
 fn seconds(secs: u64) -> Value {
     json!({"secs": secs, "nanos": 0})
 }
 
-/// As the version before the types were renamed wrote it.
-fn recorded() -> Value {
+/// The state as written by the version before its types were renamed.
+fn previous_version_state() -> Value {
     let latency = vec![0.5; BINS];
     let slot = json!({
         "own": 1.0, "asking": 0.25, "came": 0.5, "put": 1.25, "others": 2.0,
@@ -34,7 +35,11 @@
 }
 
 #[test]
-fn a_carry_of_the_version_before_is_read_and_written_alike() {
-    let carry: Carry = serde_json::from_value(recorded()).expect("every name is known");
-    assert_eq!(serde_json::to_value(&carry).expect("JSON"), recorded());
+fn state_of_the_previous_version_survives_a_round_trip() {
+    let carry: Carry =
+        serde_json::from_value(previous_version_state()).expect("all field names are known");
+    assert_eq!(
+        serde_json::to_value(&carry).expect("the state is valid JSON"),
+        previous_version_state()
+    );
 }
--- a/crates/handover/tests/steps.rs
+++ b/crates/handover/tests/steps.rs
@@ -1,4 +1,4 @@
-//! The steps of a hand-over, in order and out of it.
+//! The state machines of a hand-over, with events in the expected order and in any other order.
 
 use damsonbeam_handover::{
     HandoverMessage, Predecessor, PredecessorAction, PredecessorEvent, Successor,
@@ -14,21 +14,22 @@
     PredecessorEvent::Terminate,
 ];
 
-fn after(event: &[PredecessorEvent]) -> (Predecessor, Vec<PredecessorAction>) {
+/// Returns the predecessor's state after `events`, and all its actions.
+fn predecessor_after(events: &[PredecessorEvent]) -> (Predecessor, Vec<PredecessorAction>) {
     let mut predecessor = Predecessor::default();
-    let actions = event
+    let actions = events
         .iter()
-        .flat_map(|h| predecessor.handle(*h))
+        .flat_map(|event| predecessor.handle(*event))
         .copied()
         .collect();
     (predecessor, actions)
 }
 
 #[test]
-fn the_steps_of_a_hand_over_come_in_order() {
+fn complete_hand_over_yields_all_actions_in_order() {
     let (predecessor, actions) =
-        after(&[OURS, PredecessorEvent::Prepared, PredecessorEvent::Taken]);
-    let all = [
+        predecessor_after(&[OURS, PredecessorEvent::Prepared, PredecessorEvent::Taken]);
+    let expected = [
         PredecessorAction::TellKnown,
         PredecessorAction::StopAccepting,
         PredecessorAction::SendCarry,
@@ -36,10 +37,10 @@
     ];
     assert_eq!(
         (predecessor, actions.as_slice()),
-        (Predecessor::Followed, all.as_slice())
+        (Predecessor::Followed, expected.as_slice())
     );
     assert_eq!(
-        after(&[
+        predecessor_after(&[
             OURS,
             PredecessorEvent::Prepared,
             PredecessorEvent::Taken,
@@ -51,63 +52,65 @@
 }
 
 #[test]
-fn a_successor_that_dies_leaves_the_predecessor_as_it_was() {
+fn predecessor_resumes_if_the_successor_dies() {
     for n in 1..=3 {
-        let mut event = [OURS, PredecessorEvent::Prepared, PredecessorEvent::Taken][..n].to_vec();
-        event.push(PredecessorEvent::Lost);
-        let (predecessor, actions) = after(&event);
-        assert_eq!(predecessor, Predecessor::Alone, "{event:?}");
+        let mut events = [OURS, PredecessorEvent::Prepared, PredecessorEvent::Taken][..n].to_vec();
+        events.push(PredecessorEvent::Lost);
+        let (predecessor, actions) = predecessor_after(&events);
+        assert_eq!(predecessor, Predecessor::Alone, "{events:?}");
         let stopped = actions.contains(&PredecessorAction::StopAccepting);
         assert_eq!(
             actions.contains(&PredecessorAction::Resume),
             stopped,
-            "it accepts again iff it had stopped: {event:?}"
+            "the predecessor resumes if and only if it had stopped accepting: {events:?}"
         );
-        // And the next one can follow it.
-        event.extend([OURS, PredecessorEvent::Prepared]);
-        assert_eq!(after(&event).0, Predecessor::Yielded);
+        // Another successor can take over afterwards.
+        events.extend([OURS, PredecessorEvent::Prepared]);
+        assert_eq!(predecessor_after(&events).0, Predecessor::Yielded);
     }
 }
 
 #[test]
-fn told_to_end_nothing_takes_it_back_and_out_of_order_nothing_is_handed_over() {
-    // All sequences of five.
+fn no_action_follows_sigterm_and_only_a_followed_predecessor_stops_accepting() {
+    // All sequences of five events.
     for n in 0..ALL.len().pow(5) {
-        let event: Vec<PredecessorEvent> = (0..5)
+        let events: Vec<PredecessorEvent> = (0..5)
             .map(|i| ALL[n / ALL.len().pow(i) % ALL.len()])
             .collect();
-        let (predecessor, actions) = after(&event);
-        let ended = event.iter().position(|h| *h == PredecessorEvent::Terminate);
-        if let Some(ended) = ended {
+        let (predecessor, actions) = predecessor_after(&events);
+        let terminated_at = events
+            .iter()
+            .position(|event| *event == PredecessorEvent::Terminate);
+        if let Some(terminated_at) = terminated_at {
             assert_eq!(predecessor, Predecessor::Ending);
             assert_eq!(
                 actions,
-                after(&event[..ended]).1,
-                "after SIGTERM nothing is done: {event:?}"
+                predecessor_after(&events[..terminated_at]).1,
+                "no action may follow SIGTERM: {events:?}"
             );
         }
         let stops = actions
             .iter()
-            .filter(|d| **d == PredecessorAction::StopAccepting)
+            .filter(|action| **action == PredecessorAction::StopAccepting)
             .count();
         let resumes = actions
             .iter()
-            .filter(|d| **d == PredecessorAction::Resume)
+            .filter(|action| **action == PredecessorAction::Resume)
             .count();
-        let silent = stops - resumes;
-        assert!(silent <= 1);
-        if ended.is_none() {
+        let stops_in_effect = stops - resumes;
+        assert!(stops_in_effect <= 1);
+        if terminated_at.is_none() {
             assert_eq!(
-                silent == 1,
+                stops_in_effect == 1,
                 predecessor.is_followed(),
-                "{event:?}: it accepts unless it is followed"
+                "{events:?}: the predecessor accepts unless it is followed"
             );
         }
     }
 }
 
 #[test]
-fn the_successor_serves_alone_from_whatever_step_the_predecessor_leaves_it() {
+fn successor_serves_alone_if_the_predecessor_leaves_at_any_step() {
     let known = HandoverMessage::Known(serde_json::Value::Null);
     let carry = HandoverMessage::Carry(Box::default());
     let mut successor = Successor::Greeted;
@@ -115,20 +118,23 @@
     assert!(successor.prepared());
     assert_eq!(successor.handle(Some(&carry)), Successor::Follows);
     assert_eq!(successor.handle(None), Successor::Follows);
-    for before in [
+    for state in [
         Successor::Greeted,
         Successor::Starting,
         Successor::Prepared,
         Successor::Alone,
     ] {
-        let mut successor = before;
-        assert_eq!(successor.handle(None), Successor::Alone, "{before:?}");
-        assert!(!successor.prepared(), "nobody is there to tell");
+        let mut successor = state;
+        assert_eq!(successor.handle(None), Successor::Alone, "{state:?}");
+        assert!(
+            !successor.prepared(),
+            "there is no predecessor to send `Prepared` to"
+        );
     }
     let mut successor = Successor::Greeted;
     assert_eq!(
         successor.handle(Some(&carry)),
         Successor::Alone,
-        "a state that was not asked for is not taken"
+        "state that was not requested must be rejected"
     );
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,5 +1,5 @@
-//! The settings object that a gateway gets at its start, as it stands on the simulator's wire and in a
-//! gateway's configuration, and its translation to the module's settings. One decoder for both.
+//! Decodes the settings object of a gateway, which has the same format in the simulator's protocol and in a gateway's
+//! configuration file, and converts it to the decision module's settings.
 #![warn(clippy::too_many_lines, unreachable_pub)]
 
 use std::time::Duration;
@@ -10,25 +10,26 @@
 };
 use serde::Deserialize;
 
-fn ns(t: u64) -> Duration {
-    Duration::from_nanos(t)
+fn ns(nanos: u64) -> Duration {
+    Duration::from_nanos(nanos)
 }
 
-/// The settings as they stand in the file.
+/// The settings as decoded.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "kebab-case", default)]
 pub struct Facts {
-    /// What the deployment allows.
+    /// The deployment's limits and permissions.
     pub ceilings: Ceilings,
-    /// Names of the zones, by number.
+    /// Names of the zones, indexed by zone number.
     pub dcs: Vec<String>,
-    /// How the list of backends comes.
+    /// How the list of backends is delivered: `subscribe` if the gateway must ask for it; with any other value it is
+    /// pushed.
     pub discovery: String,
-    /// The counted domain.
+    /// Units and the counter that quotas are enforced with.
     pub domain: Domain,
-    /// Names of the kinds of machine, by number.
+    /// Names of the machine types, indexed by number.
     pub kinds: Vec<String>,
-    /// This gateway's zone.
+    /// Number of this gateway's zone.
     pub locality: u32,
     /// The plans of customers.
     pub plans: Vec<PlanFacts>,
@@ -36,107 +37,108 @@
     pub report: ReportFacts,
     /// The operations of the service.
     pub request_classes: Vec<Class>,
-    /// The bounds that decisions keep to.
+    /// Parameters of the decision module.
     pub rules: RuleFacts,
-    /// This gateway's number.
+    /// This gateway's number, from 0.
     pub self_index: u32,
-    /// Gateways of the fleet.
+    /// Number of gateways in the fleet, including this one.
     pub siblings: u32,
-    /// Between two batches of events.
+    /// Interval between two batches of events, in nanoseconds.
     pub tick_ns: u64,
 }
 
-/// What the deployment allows.
+/// The deployment's limits and permissions.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "kebab-case", default)]
 pub struct Ceilings {
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub cancel: bool,
-    /// The platform closes idle connections after this.
+    /// Time after which the platform closes idle connections, in nanoseconds.
     pub conn_idle_ns: u64,
-    /// A connection comes up within this.
+    /// Time limit for opening a connection to a backend, in nanoseconds.
     pub connect_timeout_ns: u64,
-    /// Invocations that are open at most.
+    /// Maximum number of open invocations.
     pub max_open: usize,
-    /// The longest wait that clients are told.
+    /// Longest retry delay that clients are given, in nanoseconds; used only with `retry_after`.
     pub max_retry_after_ns: u64,
-    /// Gateways may send each other messages.
+    /// Whether gateways may send each other messages.
     pub may_tell: bool,
-    /// Several attempts may be out at once.
+    /// Whether several attempts of an invocation may be in flight at once.
     pub parallel_tries: bool,
-    /// Backends may be probed.
+    /// Whether backends may be probed.
     pub probes: bool,
-    /// Clients may be told when to come back.
+    /// Whether clients may be given a retry delay.
     pub retry_after: bool,
-    /// Attempts of an invocation at most.
+    /// Maximum number of attempts per invocation.
     pub try_limit: u32,
 }
 
-/// The counted domain.
+/// Units and the shared counter that quotas are enforced with.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "kebab-case", default)]
 pub struct Domain {
-    /// What a call to the counter costs.
+    /// Cost of a call to the counter.
     pub call_price: f64,
-    /// It answers within this.
+    /// Time limit for a call to the counter, in nanoseconds.
     pub counter_timeout_ns: u64,
     /// Whether there is a counter.
     pub has_counter: bool,
-    /// The span that answers tell a customer's use of.
+    /// Period over which responses report a customer's usage, in nanoseconds; 0 if they don't.
     pub meter_ns: u64,
-    /// Units of an invocation at most.
+    /// Maximum number of units per invocation.
     pub most_units: f64,
-    /// True units come with the answer.
+    /// Whether responses report the units used, so that the units of a request are only an estimate.
     pub settles: bool,
 }
 
-/// A plan.
+/// A plan: its limits for each customer, over all gateways together.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "kebab-case", default)]
 pub struct PlanFacts {
-    /// Units a second that are never passed.
+    /// Rate of the hard limit, in units per second; 0 for no hard limit.
     pub cap_rate: f64,
-    /// What a unit beyond the quota earns.
+    /// Value of a unit beyond the quota, as a fraction of `value_factor`.
     pub excess_worth: f64,
-    /// Part by which the ceiling may be passed.
+    /// Fraction by which the hard limit may be exceeded.
     pub hard_slack: f64,
-    /// Attempts that are out at once.
+    /// Maximum number of attempts in flight; 0 for no limit.
     pub max_out: f64,
-    /// Its name.
+    /// The plan's name.
     pub name: String,
-    /// Units that the ceiling saves up.
+    /// Burst size of the hard limit, in units.
     pub never_over_depth: f64,
-    /// What a unit beyond the quota costs.
+    /// Cost of a unit beyond the quota, as a fraction of `value_factor`.
     pub overrun_cost: f64,
-    /// Units a second.
+    /// Rate of the quota, in units per second; 0 for no quota.
     pub quota_rate: f64,
-    /// Units in a window.
+    /// Units in a window of the quota; the window's length is `store_size / quota_rate` seconds.
     pub store_size: f64,
-    /// What a unit earns, beside other plans.
+    /// Value of a unit, relative to other plans.
     pub value_factor: f64,
 }
 
-/// An operation.
+/// An operation of the service.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "kebab-case", default)]
 pub struct Class {
-    /// What a client waits over all its tries.
+    /// How long a client waits over all its tries, in nanoseconds.
     pub deadline_ns: u64,
-    /// The backends that share their memory of repeats.
+    /// Which backends deduplicate requests together: `all`, `zone`, or any other value for those of one cell.
     pub group: String,
-    /// Whether it may take effect again.
+    /// Whether a request may be repeated: `retryable`, `dedup` (backends drop duplicates), or any other value for
+    /// never.
     pub idempotency: String,
-    /// What a unit earns, beside other operations.
+    /// Value of a unit, relative to other operations.
     pub importance: f64,
-    /// Part of that for an answer after the objective.
+    /// Fraction of the value that a response after the latency objective still has.
     pub late_worth: f64,
-    /// Its name.
+    /// The operation's name.
     pub name: String,
-    /// The latency objective.
+    /// The latency objective, in nanoseconds.
     pub slo_ns: u64,
-    /// Its answers are streams.
+    /// Whether responses are streamed.
     pub streamed: bool,
-    /// For how long repeats are dropped.
+    /// How long backends drop duplicates of a request, in nanoseconds.
     pub window_ns: u64,
 }
 
@@ -144,91 +146,94 @@
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "kebab-case", default)]
 pub struct ReportFacts {
-    /// `inline`, `on_probe` or `off`; what else stands there is taken as `off`.
+    /// How reports are sent: `inline`, `on_probe` or `off`; any other value means `off`.
     pub how: String,
-    /// The values in them.
+    /// Names of the values in a report.
     pub names: Vec<String>,
 }
 
-/// The bounds that decisions keep to.
+/// Parameters of the decision module.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "kebab-case", default)]
 pub struct RuleFacts {
-    /// How long an answer takes to its client.
+    /// Time that a response takes from the gateway to its client, in nanoseconds.
     pub answer_slack_ns: u64,
-    /// How long a list of backends is asked for at most.
+    /// Longest time for which a list of backends is requested, in nanoseconds.
     pub ask_within_ns: u64,
-    /// A backend has its full capacity after this.
+    /// Time after its start at which a backend has its full capacity, in nanoseconds.
     pub cold_ns: u64,
-    /// Part of its capacity that a backend has at its start.
+    /// Fraction of its capacity that a backend has at its start.
     pub cold_share: f64,
-    /// How long a backend that drains answers on.
+    /// How long a draining backend still answers, in nanoseconds.
     pub drain_grace_ns: u64,
-    /// So many times the usual work overloads a backend that warms up.
+    /// A backend that warms up is overloaded by `overload_factor` times the usual work of a warm one.
     pub overload_factor: f64,
-    /// The span over which that work is taken.
+    /// Period over which the work for `overload_factor` is measured, in nanoseconds.
     pub tip_after_ns: u64,
 }
 
-/// What the decision module is told of them.
+/// Converts the settings to those of the decision module.
 ///
 /// # Errors
-/// Where they name no operation.
-#[expect(clippy::too_many_lines, reason = "one field after the other")]
-pub fn settings(f: &Facts) -> Result<Settings, String> {
-    let operation = |c: &Class| {
-        let repeat = match c.idempotency.as_str() {
+/// Returns an error if the settings have no operation.
+#[expect(
+    clippy::too_many_lines,
+    reason = "a flat conversion of one field after the other"
+)]
+pub fn settings(facts: &Facts) -> Result<Settings, String> {
+    let operation = |class: &Class| {
+        let repeat = match class.idempotency.as_str() {
             "retryable" => Repeat::Idempotent,
             "dedup" => {
-                let group = match c.group.as_str() {
+                let group = match class.group.as_str() {
                     "all" => Group::All,
                     "zone" => Group::Zone,
                     _ => Group::Cell,
                 };
                 Repeat::Tokened {
                     group,
-                    window: ns(c.window_ns),
+                    window: ns(class.window_ns),
                 }
             }
-            // What is not known to be repeatable is not repeated.
+            // An unknown value is treated as not repeatable, the safe choice.
             _ => Repeat::NonIdempotent,
         };
         Operation {
-            name: c.name.as_str().into(),
+            name: class.name.as_str().into(),
             repeat,
-            latency_objective: ns(c.slo_ns),
-            integration_timeout: ns(c.deadline_ns),
-            billed_value: c.importance,
-            late_value: c.late_worth,
-            streamed: c.streamed,
+            latency_objective: ns(class.slo_ns),
+            integration_timeout: ns(class.deadline_ns),
+            billed_value: class.importance,
+            late_value: class.late_worth,
+            streamed: class.streamed,
         }
     };
-    let plan = |p: &PlanFacts| Plan {
-        name: p.name.as_str().into(),
-        rate: p.quota_rate,
-        burst: p.store_size,
-        max_in_flight: p.max_out,
-        price: p.value_factor,
-        excess_value: p.excess_worth,
-        excess_cost: p.overrun_cost,
-        ceiling_rate: p.cap_rate,
-        ceiling_burst: p.never_over_depth,
-        ceiling_slack: p.hard_slack,
+    let plan = |plan: &PlanFacts| Plan {
+        name: plan.name.as_str().into(),
+        rate: plan.quota_rate,
+        burst: plan.store_size,
+        max_in_flight: plan.max_out,
+        price: plan.value_factor,
+        excess_value: plan.excess_worth,
+        excess_cost: plan.overrun_cost,
+        ceiling_rate: plan.cap_rate,
+        ceiling_burst: plan.never_over_depth,
+        ceiling_slack: plan.hard_slack,
     };
-    if f.request_classes.is_empty() {
+    if facts.request_classes.is_empty() {
         return Err("the settings name no request-classes".into());
     }
-    let (limits, domain, rules) = (&f.ceilings, &f.domain, &f.rules);
+    let (limits, domain, rules) = (&facts.ceilings, &facts.domain, &facts.rules);
     Ok(Settings {
-        gateways: f.siblings,
-        own_id: GatewayId(f.self_index),
-        zone: f.locality,
-        tick: ns(f.tick_ns),
-        operations: f.request_classes.iter().map(operation).collect(),
-        plans: f.plans.iter().map(plan).collect(),
+        gateways: facts.siblings,
+        own_id: GatewayId(facts.self_index),
+        zone: facts.locality,
+        tick: ns(facts.tick_ns),
+        operations: facts.request_classes.iter().map(operation).collect(),
+        plans: facts.plans.iter().map(plan).collect(),
         in_force: InForce {
-            operations: (0..f.request_classes.len()).map(OperationId).collect(),
-            plans: (0..f.plans.len()).map(PlanId).collect(),
+            operations: (0..facts.request_classes.len()).map(OperationId).collect(),
+            plans: (0..facts.plans.len()).map(PlanId).collect(),
         },
         limits: Limits {
             may_cancel: limits.cancel,
@@ -247,7 +252,7 @@
         true_units_follow: domain.settles,
         max_units: domain.most_units,
         meter_period: ns(domain.meter_ns),
-        discovery: if f.discovery == "subscribe" {
+        discovery: if facts.discovery == "subscribe" {
             Discovery::Subscribed
         } else {
             Discovery::Pushed
