--- a/crates/account/src/lib.rs
+++ b/crates/account/src/lib.rs
@@ -118,7 +118,7 @@
     for path in paths {
         let bytes = fs::read(&path).map_err(|source| unreadable(&path, source))?;
         let text = String::from_utf8_lossy(&bytes);
-        account.take(&path.display().to_string(), &text);
+        account.add_log(&path.display().to_string(), &text);
     }
     let folder = folder.display().to_string();
     if account.files == 0 {
@@ -136,7 +136,7 @@
 
 impl Account {
     /// Adds the `account` lines of one gateway's log; `name` stands for the log in reports of faulty lines.
-    pub fn take(&mut self, name: &str, text: &str) {
+    pub fn add_log(&mut self, name: &str, text: &str) {
         self.files += 1;
         for (position, line) in text.lines().enumerate() {
             if let Err(error) = self.add_line(line) {
--- a/crates/account/tests/account.rs
+++ b/crates/account/tests/account.rs
@@ -10,8 +10,8 @@
 #[test]
 fn counts_of_several_logs_are_added_up_by_second() {
     let mut account = Account::default();
-    account.take("a", VALID_LINE);
-    account.take(
+    account.add_log("a", VALID_LINE);
+    account.add_log(
         "b",
         &format!(
             "3.120 {VALID_LINE}\n{}",
@@ -39,7 +39,7 @@
     let truncated = &VALID_LINE[..80];
     let other_version = VALID_LINE.replace("\"version\":1", "\"version\":2");
     let without_second = VALID_LINE.replace("\"second\":7,", "");
-    account.take(
+    account.add_log(
         "n1.log",
         &[
             truncated,
--- a/crates/gateway/src/account.rs
+++ b/crates/gateway/src/account.rs
@@ -34,12 +34,12 @@
 
     /// Adds `n` to the count `what` of the current second.
     pub fn add(&mut self, now: Duration, what: &str, n: u64) {
-        self.turn(now);
+        self.log_finished_second(now);
         *self.counts.entry(what.to_owned()).or_default() += n;
     }
 
     /// Logs the counts of the previous second and clears them, once `now` is in another second.
-    pub fn turn(&mut self, now: Duration) {
+    pub fn log_finished_second(&mut self, now: Duration) {
         if self.second == now.as_secs() {
             return;
         }
@@ -55,7 +55,7 @@
     }
 
     /// Counts an event.
-    pub fn event(&mut self, now: Duration, event: &Event) {
+    pub fn count_event(&mut self, now: Duration, event: &Event) {
         match event {
             Event::Invocation(i) => self.add(
                 now,
@@ -102,7 +102,7 @@
     }
 
     /// Counts an action.
-    pub fn action(&mut self, now: Duration, action: &Action) {
+    pub fn count_action(&mut self, now: Duration, action: &Action) {
         match action {
             Action::Throttle { reason, .. } => {
                 self.add(now, &format!("turned.{}", reason.name()), 1)
--- a/crates/gateway/src/dispatcher/mod.rs
+++ b/crates/gateway/src/dispatcher/mod.rs
@@ -176,7 +176,7 @@
             {
                 Timer::Rules(token) => self.handle_event(Event::Timer { token }),
                 Timer::AttemptTimeout(invocation_id, number) => {
-                    self.timed_out(invocation_id, number)
+                    self.attempt_timed_out(invocation_id, number)
                 }
                 Timer::OverdueEnd(invocation_id) => self.overdue_timed_out(invocation_id),
                 Timer::PeerReport => self.report_to_peers(now),
@@ -262,7 +262,7 @@
         let (invocation_id, number) = (ended.invocation_id, ended.number);
         // The outcome of an attempt that timed out was already reported.
         let Some(attempt) = self.take_attempt(invocation_id, number) else {
-            return self.overdue_done(ended);
+            return self.overdue_ended(ended);
         };
         let AttemptEnded {
             ending,
@@ -471,15 +471,9 @@
 
     /// Forgets an invocation that is answered and has no attempts in flight.
     fn forget_if_finished(&mut self, invocation_id: InvocationId) {
-        let finished = |request: &PendingRequest| {
-            request.answer.is_none() && request.in_flight.iter().all(Option::is_none)
-        };
-        if self
-            .state
-            .requests
-            .get(&invocation_id)
-            .is_some_and(finished)
-        {
+        let over =
+            |r: &PendingRequest| r.answer.is_none() && r.in_flight.iter().all(Option::is_none);
+        if self.state.requests.get(&invocation_id).is_some_and(over) {
             self.state.requests.remove(&invocation_id);
         }
     }
@@ -510,11 +504,11 @@
         while let Some(current) = event.take() {
             let now = self.clock.now();
             if let Some(account) = &mut self.account {
-                account.event(now, &current);
+                account.count_event(now, &current);
             }
             for action in self.rules.on(now, current) {
                 if let Some(account) = &mut self.account {
-                    account.action(now, &action);
+                    account.count_action(now, &action);
                 }
                 self.carry_out(action);
             }
--- a/crates/gateway/src/dispatcher/overdue.rs
+++ b/crates/gateway/src/dispatcher/overdue.rs
@@ -41,7 +41,7 @@
 
 impl Dispatcher {
     /// Handles the timeout of an attempt: the one set by the decision module, or the client's deadline.
-    pub(super) fn timed_out(&mut self, invocation_id: InvocationId, number: AttemptNumber) {
+    pub(super) fn attempt_timed_out(&mut self, invocation_id: InvocationId, number: AttemptNumber) {
         let now = self.clock.now();
         let Some(request) = self.state.requests.get(&invocation_id) else {
             return;
@@ -148,7 +148,7 @@
     }
 
     /// Handles the result of an overdue attempt.
-    pub(super) fn overdue_done(
+    pub(super) fn overdue_ended(
         &mut self,
         AttemptEnded {
             invocation_id,
--- a/crates/gateway/src/handover.rs
+++ b/crates/gateway/src/handover.rs
@@ -32,18 +32,18 @@
 
 /// A connection between predecessor and successor.
 pub struct HandoverConnection {
-    from: Take<BufReader<OwnedReadHalf>>,
-    to: OwnedWriteHalf,
+    reader: Take<BufReader<OwnedReadHalf>>,
+    writer: OwnedWriteHalf,
     /// The part of a line received so far, kept when `receive` is cancelled.
     line: Vec<u8>,
 }
 
 impl HandoverConnection {
     fn new(stream: UnixStream) -> Self {
-        let (from, to) = stream.into_split();
+        let (reader, writer) = stream.into_split();
         HandoverConnection {
-            from: BufReader::new(from).take(MAX_LINE_BYTES),
-            to,
+            reader: BufReader::new(reader).take(MAX_LINE_BYTES),
+            writer,
             line: Vec::new(),
         }
     }
@@ -70,7 +70,7 @@
         };
         line.push(b'\n');
         matches!(
-            timeout(REPLY_TIMEOUT, self.to.write_all(&line)).await,
+            timeout(REPLY_TIMEOUT, self.writer.write_all(&line)).await,
             Ok(Ok(()))
         )
     }
@@ -78,8 +78,8 @@
     /// Receives the next message; returns `None` if the connection is closed or the message can't be parsed.
     /// Cancel-safe.
     pub async fn receive(&mut self) -> Option<HandoverMessage> {
-        self.from.read_until(b'\n', &mut self.line).await.ok()?;
-        self.from.set_limit(MAX_LINE_BYTES);
+        self.reader.read_until(b'\n', &mut self.line).await.ok()?;
+        self.reader.set_limit(MAX_LINE_BYTES);
         if !self.line.ends_with(b"\n") {
             return None;
         }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -51,8 +51,8 @@
 
 fn serve() -> Result<(), ServerError> {
     let config = config::Config::read()?;
-    // One thread, since the gateway has one core. A `LocalSet` isn't used because each wake-up of one of its tasks
-    // would write to the poller's wake-up descriptor.
+    // One thread, since the gateway has one core. A `LocalSet` isn't used because its tasks would write to the poller's
+    // wake-up descriptor at each turn of the event loop.
     let runtime = Builder::new_current_thread()
         .enable_all()
         .build_local(LocalOptions::default())
--- a/crates/gateway/src/server/mod.rs
+++ b/crates/gateway/src/server/mod.rs
@@ -98,7 +98,7 @@
                         self.hand_over(running, *action).await?;
                     }
                 }
-                () = ended(&mut running.predecessor) => {
+                () = predecessor_ended(&mut running.predecessor) => {
                     running.predecessor = None;
                     running.clients.use_all_connections();
                 }
@@ -111,7 +111,7 @@
     /// the grace period ends.
     async fn shut_down(&self, running: &mut Running, name: &str) -> Result<(), ServerError> {
         self.phase.enter(Phase::Draining, name);
-        let end = Instant::now() + running.grace();
+        let deadline = Instant::now() + running.grace_period();
         if running.accepting.is_some() {
             tokio::select! {
                 () = sleep(ACCEPT_AFTER_DRAIN) => {}
@@ -131,14 +131,14 @@
                 }
             }
         };
-        timeout_at(end, all_gone).await.ok();
+        timeout_at(deadline, all_gone).await.ok();
         self.phase.enter(Phase::Ended, name);
         Ok(())
     }
 }
 
 /// Waits until the predecessor has ended; never returns if there is none.
-async fn ended(predecessor: &mut Option<HandoverConnection>) {
+async fn predecessor_ended(predecessor: &mut Option<HandoverConnection>) {
     match predecessor {
         Some(connection) => while connection.receive().await.is_some() {},
         None => pending().await,
--- a/crates/gateway/src/server/running.rs
+++ b/crates/gateway/src/server/running.rs
@@ -59,7 +59,7 @@
 }
 
 impl Running {
-    pub(super) fn accept(&mut self) {
+    pub(super) fn start_accepting(&mut self) {
         self.stop_accepting();
         let accepting = self.clients.clone().accept(self.listener.clone());
         self.accepting = Some(tokio::task::spawn_local(accepting));
@@ -82,7 +82,7 @@
     }
 
     /// Returns the longest time from SIGTERM to the exit.
-    pub(super) fn grace(&self) -> Duration {
+    pub(super) fn grace_period(&self) -> Duration {
         let operations = self.settings.operations.iter();
         let longest = operations
             .map(|operation| operation.integration_timeout)
--- a/crates/gateway/src/server/start.rs
+++ b/crates/gateway/src/server/start.rs
@@ -102,20 +102,20 @@
             running.clients.share_with_predecessor();
             running.predecessor = Some(connection);
         }
-        running.accept();
+        running.start_accepting();
         Ok(())
     }
 }
 
 /// The parts that the actors share.
-struct Parts {
+struct SharedParts {
     clock: Clock,
     figures: Figures,
     dispatcher: mpsc::Sender<ToDispatcher>,
     actors: FuturesUnordered<JoinHandle<()>>,
 }
 
-impl Parts {
+impl SharedParts {
     /// Starts an actor that the gateway can't serve without.
     fn start(&self, actor: impl Future<Output = ()> + 'static) {
         self.actors.push(spawn_local(actor));
@@ -211,7 +211,7 @@
         &self,
         config: &Config,
         mailbox: mpsc::Receiver<ToDispatcher>,
-        actors: DispatcherPeers,
+        targets: DispatcherMailboxes,
     ) -> Dispatcher {
         let connection_pools = ConnectionPools::new(
             config.settings.limits.connect_timeout,
@@ -223,7 +223,7 @@
             &self.figures,
         );
         let settings = &config.settings;
-        let peer_admissions = (config.witness && actors.peers.is_some())
+        let peer_admissions = (config.witness && targets.peers.is_some())
             .then(|| (PeerAdmissions::default(), other_gateways(config)));
         Dispatcher {
             rules: Rules::new(config.seed, settings.clone(), self.clock.now()),
@@ -234,9 +234,9 @@
             }),
             own_mailbox: self.dispatcher.clone(),
             attempt_policy: None,
-            counter: actors.counter,
-            list_watcher: actors.list_watcher,
-            peers: actors.peers,
+            counter: targets.counter,
+            list_watcher: targets.list_watcher,
+            peers: targets.peers,
             peer_admissions,
             state: DispatcherState::default(),
             figures: self.figures.clone(),
@@ -247,8 +247,8 @@
     }
 }
 
-/// The actors to which the dispatcher sends messages.
-struct DispatcherPeers {
+/// Senders to the mailboxes of the actors that the dispatcher sends messages to.
+struct DispatcherMailboxes {
     counter: Option<mpsc::Sender<ToCounter>>,
     list_watcher: mpsc::Sender<ToListWatcher>,
     peers: Option<mpsc::Sender<ToPeers>>,
@@ -277,7 +277,7 @@
             source,
         })?;
         let (dispatcher, dispatcher_mailbox) = mpsc::channel(DISPATCHER_MAILBOX_CAPACITY);
-        let parts = Parts {
+        let parts = SharedParts {
             clock: Clock::start(),
             figures: Figures::new().map_err(|e| ServerError::Figures(e.to_string()))?,
             dispatcher,
@@ -295,7 +295,7 @@
         let dispatcher = parts.dispatcher(
             &config,
             dispatcher_mailbox,
-            DispatcherPeers {
+            DispatcherMailboxes {
                 counter: counter.clone(),
                 list_watcher: list_watcher.clone(),
                 peers,
@@ -335,7 +335,7 @@
             },
         };
         if takeover.connection.is_none() {
-            running.accept();
+            running.start_accepting();
         }
         wait_for_list(&mut running, listed, knows_backends).await?;
         takeover.finish(&mut running).await?;
--- a/crates/gateway/src/server/succession.rs
+++ b/crates/gateway/src/server/succession.rs
@@ -17,7 +17,8 @@
 use crate::messages::ToDispatcher;
 use crate::phase::Phase;
 
-/// How long the dispatcher may take to return the state to hand over; without it the hand-over goes on with no state.
+/// How long the dispatcher may take to return the state to hand over; after that no state is sent, and the successor
+/// serves without it.
 const CARRY_TIMEOUT: Duration = Duration::from_millis(1000);
 
 /// The hand-over to a successor: its socket, its connection and its state.
@@ -114,7 +115,7 @@
     /// Serves again after the successor has ended.
     async fn resume(&self, running: &mut Running) -> Result<(), ServerError> {
         send(&running.dispatcher, ToDispatcher::Resume).await?;
-        running.accept();
+        running.start_accepting();
         if let Some(path) = &running.succession.path {
             running.succession.listener = HandoverListener::bind(path);
         }
