--- a/crates/gateway/src/config/facts_check.rs
+++ b/crates/gateway/src/config/facts_check.rs
@@ -1,6 +1,6 @@
 //! Checks of the settings, and notes on settings that have no effect in this process.
 
-use damsonbeam_settings::{Class, Facts, PlanFacts};
+use damsonbeam_settings::{Facts, OperationSettings, PlanSettings};
 
 use super::ConfigError;
 
@@ -14,7 +14,7 @@
     let operations: Vec<_> = facts
         .request_classes
         .iter()
-        .map(|class| &class.name)
+        .map(|operation| &operation.name)
         .collect();
     check_unique("request-classes", &operations)?;
     let plans: Vec<_> = facts.plans.iter().map(|plan| &plan.name).collect();
@@ -27,13 +27,13 @@
         return Err(ConfigError::invalid("settings.self-index", problem));
     }
     let numbered = facts.request_classes.iter().enumerate();
-    for (number, class) in numbered.clone() {
-        check_class(number, class)?;
+    for (number, operation) in numbered.clone() {
+        check_operation(number, operation)?;
     }
-    for (number, class) in numbered {
+    for (number, operation) in numbered {
         let values = [
-            ("importance", class.importance),
-            ("late-worth", class.late_worth),
+            ("importance", operation.importance),
+            ("late-worth", operation.late_worth),
         ];
         check_non_negative(&format!("settings.request-classes[{number}]"), &values)?;
     }
@@ -81,9 +81,9 @@
     Ok(())
 }
 
-fn check_class(number: usize, class: &Class) -> Result<(), ConfigError> {
-    let has_name = !class.name.is_empty() && !class.name.contains('/');
-    if has_name && class.deadline_ns > 0 && class.slo_ns > 0 {
+fn check_operation(number: usize, operation: &OperationSettings) -> Result<(), ConfigError> {
+    let has_name = !operation.name.is_empty() && !operation.name.contains('/');
+    if has_name && operation.deadline_ns > 0 && operation.slo_ns > 0 {
         return Ok(());
     }
     let key = format!("settings.request-classes[{number}]");
@@ -91,7 +91,7 @@
     Err(ConfigError::invalid(key, problem))
 }
 
-fn check_plan(number: usize, plan: &PlanFacts) -> Result<(), ConfigError> {
+fn check_plan(number: usize, plan: &PlanSettings) -> Result<(), ConfigError> {
     let path = format!("settings.plans[{number}]");
     if plan.name.is_empty() {
         return Err(ConfigError::invalid(format!("{path}.name"), "missing"));
--- a/crates/gateway/src/config/reload.rs
+++ b/crates/gateway/src/config/reload.rs
@@ -10,7 +10,7 @@
     ///
     /// # Errors
     /// Returns the first key that is missing.
-    pub fn follows(&self, old: &Value) -> Result<(), ConfigError> {
+    pub fn ensure_may_replace(&self, old: &Value) -> Result<(), ConfigError> {
         match missing_key(&old["settings"], &self.source["settings"], "settings") {
             Some(key) => {
                 let problem = "missing, although the configuration in force has it";
--- a/crates/gateway/src/server/running.rs
+++ b/crates/gateway/src/server/running.rs
@@ -92,7 +92,8 @@
 
     /// Reloads the configuration; keeps the old one and logs the reason if the new one is invalid.
     pub(super) async fn reload(&mut self) -> Result<(), ServerError> {
-        let config = Config::read().and_then(|new| new.follows(&self.source).map(|()| new));
+        let config =
+            Config::read().and_then(|new| new.ensure_may_replace(&self.source).map(|()| new));
         match config {
             Ok(config) => self.apply(config).await,
             Err(reason) => {
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -19,26 +19,26 @@
 #[serde(rename_all = "kebab-case", default)]
 pub struct Facts {
     /// The deployment's limits and permissions.
-    pub ceilings: Ceilings,
+    pub ceilings: DeploymentLimits,
     /// Names of the zones, indexed by zone number.
     pub dcs: Vec<String>,
     /// How the list of backends is delivered: `subscribe` if the gateway must ask for it; with any other value it is
     /// pushed.
     pub discovery: String,
     /// Units and the counter that quotas are enforced with.
-    pub domain: Domain,
+    pub domain: QuotaSettings,
     /// Names of the machine types, indexed by number.
     pub kinds: Vec<String>,
     /// Number of this gateway's zone.
     pub locality: u32,
     /// The plans of customers.
-    pub plans: Vec<PlanFacts>,
+    pub plans: Vec<PlanSettings>,
     /// The load reports of backends.
-    pub report: ReportFacts,
+    pub report: ReportSettings,
     /// The operations of the service.
-    pub request_classes: Vec<Class>,
+    pub request_classes: Vec<OperationSettings>,
     /// Parameters of the decision module.
-    pub rules: RuleFacts,
+    pub rules: RuleSettings,
     /// This gateway's number, from 0.
     pub self_index: u32,
     /// Number of gateways in the fleet, including this one.
@@ -50,7 +50,7 @@
 /// The deployment's limits and permissions.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "kebab-case", default)]
-pub struct Ceilings {
+pub struct DeploymentLimits {
     /// Whether attempts may be cancelled.
     pub cancel: bool,
     /// Time after which the platform closes idle connections, in nanoseconds.
@@ -76,7 +76,7 @@
 /// Units and the shared counter that quotas are enforced with.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "kebab-case", default)]
-pub struct Domain {
+pub struct QuotaSettings {
     /// Cost of a call to the counter.
     pub call_price: f64,
     /// Time limit for a call to the counter, in nanoseconds.
@@ -94,7 +94,7 @@
 /// A plan: its limits for each customer, over all gateways together.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "kebab-case", default)]
-pub struct PlanFacts {
+pub struct PlanSettings {
     /// Rate of the hard limit, in units per second; 0 for no hard limit.
     pub cap_rate: f64,
     /// Value of a unit beyond the quota, as a fraction of `value_factor`.
@@ -120,7 +120,7 @@
 /// An operation of the service.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "kebab-case", default)]
-pub struct Class {
+pub struct OperationSettings {
     /// How long a client waits over all its tries, in nanoseconds.
     pub deadline_ns: u64,
     /// Which backends deduplicate requests together: `all`, `zone`, or any other value for those of one cell.
@@ -145,7 +145,7 @@
 /// The load reports of backends.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "kebab-case", default)]
-pub struct ReportFacts {
+pub struct ReportSettings {
     /// How reports are sent: `inline`, `on_probe` or `off`; any other value means `off`.
     pub how: String,
     /// Names of the values in a report.
@@ -155,7 +155,7 @@
 /// Parameters of the decision module.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "kebab-case", default)]
-pub struct RuleFacts {
+pub struct RuleSettings {
     /// Time that a response takes from the gateway to its client, in nanoseconds.
     pub answer_slack_ns: u64,
     /// Longest time for which a list of backends is requested, in nanoseconds.
@@ -181,7 +181,7 @@
     reason = "a flat conversion of one field after the other"
 )]
 pub fn settings(facts: &Facts) -> Result<Settings, String> {
-    let operation = |class: &Class| {
+    let operation = |class: &OperationSettings| {
         let repeat = match class.idempotency.as_str() {
             "retryable" => Repeat::Idempotent,
             "dedup" => {
@@ -208,7 +208,7 @@
             streamed: class.streamed,
         }
     };
-    let plan = |plan: &PlanFacts| Plan {
+    let plan = |plan: &PlanSettings| Plan {
         name: plan.name.as_str().into(),
         rate: plan.quota_rate,
         burst: plan.store_size,
