--- a/crates/gateway/src/config/facts_check.rs
+++ b/crates/gateway/src/config/facts_check.rs
@@ -74,7 +74,7 @@
     for (number, name) in names.iter().enumerate() {
         if names[..number].contains(name) {
             let key = format!("settings.{key}[{number}].name");
-            let problem = format!("duplicate name `{name}`");
+            let problem = format!("the name `{name}` is used twice");
             return Err(ConfigError::invalid(key, problem));
         }
     }
