--- a/crates/cli/tests/sockets/upgrade.rs
+++ b/crates/cli/tests/sockets/upgrade.rs
@@ -1,4 +1,4 @@
-//! A new version under load: two processes of the built program are one gateway for a while.
+//! Hand-over from an old gateway process to a new one: both run at the same time as one gateway.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::SocketAddr;
@@ -13,20 +13,20 @@
 
 use serde_json::{Value, json};
 
-use crate::stand_ins::*;
+use crate::harness::*;
 
-/// A gateway's place on the platform: its listening socket, which processes inherit, and its `$TMPDIR`.
-struct Place {
+/// Deployment of a gateway: the listening socket, which its processes inherit, and their `$TMPDIR`.
+struct Deployment {
     config: Value,
-    _list: std::sync::mpsc::Sender<Value>,
+    _list_updates: std::sync::mpsc::Sender<Value>,
     listener: socket2::Socket,
-    at: SocketAddr,
-    tmp: PathBuf,
-    /// Where the processes' operators call, by their order.
-    processes: AtomicUsize,
+    address: SocketAddr,
+    temp_dir: PathBuf,
+    /// Number of processes launched so far; each gets its own port for operator requests.
+    launched: AtomicUsize,
 }
 
-/// One process of a gateway, and where its operators call.
+/// A process of a gateway with its address for operator requests; killed on drop.
 struct Process {
     child: Child,
     admin: SocketAddr,
@@ -40,6 +40,7 @@
 }
 
 impl Process {
+    /// Sends a signal to the process, given as an option of `kill`.
     fn signal(&self, name: &str) {
         Command::new("kill")
             .arg(name)
@@ -48,113 +49,122 @@
             .unwrap();
     }
 
-    fn ready(&self) -> bool {
+    /// Reports whether `/api/ready` returns 200.
+    fn is_ready(&self) -> bool {
         std::net::TcpStream::connect(self.admin).is_ok()
-            && call(self.admin, "GET /api/ready").status() == 200
+            && call_operator_api(self.admin, "GET /api/ready").status() == 200
     }
 
-    fn ends(&mut self) -> bool {
-        let began = Instant::now();
-        while began.elapsed() < Duration::from_secs(8) {
+    /// Waits up to 8 s for the process to end and reports whether it succeeded.
+    fn exits_successfully(&mut self) -> bool {
+        let start = Instant::now();
+        while start.elapsed() < Duration::from_secs(8) {
             if let Some(status) = self.child.try_wait().unwrap() {
                 return status.success();
             }
             thread::sleep(Duration::from_millis(10));
         }
-        panic!("it does not end");
+        panic!("the process does not end");
     }
 }
 
-impl Place {
+impl Deployment {
+    /// Creates the listening socket and the temporary folder of a gateway with these backends.
     fn new(members: &[(&str, SocketAddr)]) -> Self {
-        let (config, list) = config(members, None);
-        let at: SocketAddr = config["listen"].as_str().unwrap().parse().unwrap();
+        let (config, list_updates) = gateway_config(members, None);
+        let address: SocketAddr = config["listen"].as_str().unwrap().parse().unwrap();
         let listener =
             socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
-        listener.bind(&at.into()).unwrap();
+        listener.bind(&address.into()).unwrap();
         listener.listen(1024).unwrap();
         listener.set_cloexec(false).unwrap();
-        let tmp =
-            std::env::temp_dir().join(format!("damsonbeam-{}-{}", std::process::id(), at.ip()));
-        std::fs::create_dir_all(&tmp).unwrap();
-        Place {
+        let temp_dir = std::env::temp_dir().join(format!(
+            "damsonbeam-{}-{}",
+            std::process::id(),
+            address.ip()
+        ));
+        std::fs::create_dir_all(&temp_dir).unwrap();
+        Deployment {
             config,
-            _list: list,
+            _list_updates: list_updates,
             listener,
-            at,
-            tmp,
-            processes: AtomicUsize::new(0),
+            address,
+            temp_dir,
+            launched: AtomicUsize::new(0),
         }
     }
 
-    fn seat(&self) -> PathBuf {
-        self.tmp.join("damsonbeam-n0.sock")
+    /// Returns the path of the hand-over socket.
+    fn handover_socket(&self) -> PathBuf {
+        self.temp_dir.join("damsonbeam-n0.sock")
     }
 
-    /// Another process, started beside whatever runs.
-    fn launch(&self) -> Process {
-        let n = self.processes.fetch_add(1, Ordering::SeqCst);
-        let admin = SocketAddr::from((self.at.ip(), 9100 + n as u16));
+    /// Starts another process beside the running ones.
+    fn launch_process(&self) -> Process {
+        let n = self.launched.fetch_add(1, Ordering::SeqCst);
+        let admin = SocketAddr::from((self.address.ip(), 9100 + n as u16));
         let mut config = self.config.clone();
         config["admin_addr"] = json!(admin);
-        let path = self.tmp.join(format!("config-{n}.json"));
+        let path = self.temp_dir.join(format!("config-{n}.json"));
         std::fs::write(&path, config.to_string()).unwrap();
         let child = Command::new(env!("CARGO_BIN_EXE_damsonbeam"))
             .env("NODE_CONFIG", path)
             .env("NODE_LISTEN_FD", self.listener.as_raw_fd().to_string())
-            .env("TMPDIR", &self.tmp)
+            .env("TMPDIR", &self.temp_dir)
             .stderr(Stdio::null())
             .spawn()
             .unwrap();
         Process { child, admin }
     }
 
-    fn start(&self) -> Process {
-        let process = self.launch();
-        until(|| process.ready());
+    /// Starts another process and waits until it is ready.
+    fn start_process(&self) -> Process {
+        let process = self.launch_process();
+        wait_until(|| process.is_ready());
         process
     }
 
-    fn ask(&self, n: usize) -> Message {
-        ask(
-            self.at,
+    /// Sends a request with the correlation id `n` and returns the response.
+    fn send(&self, n: usize) -> Message {
+        send_request(
+            self.address,
             &request("/tile", "").replace("9b1f03aa5c7e2d41", &format!("{n:016x}")),
         )
     }
 }
 
-impl Drop for Place {
+impl Drop for Deployment {
     fn drop(&mut self) {
-        std::fs::remove_dir_all(&self.tmp).ok();
+        std::fs::remove_dir_all(&self.temp_dir).ok();
     }
 }
 
-/// Clients that ask one after another on kept connections until told to stop; how many were answered, and how
-/// many were not: their connection ended before the answer, though it had been asked on in good time.
-fn load(
-    at: SocketAddr,
+/// Starts clients that send one request after another on persistent connections until `stop` is set. Each returns its
+/// numbers of responses and of requests whose connection ended before the response.
+fn start_load(
+    address: SocketAddr,
     clients: usize,
     stop: &Arc<AtomicBool>,
 ) -> Vec<thread::JoinHandle<(usize, usize)>> {
-    let one = move |client: usize, stop: Arc<AtomicBool>| {
+    let run_client = move |client: usize, stop: Arc<AtomicBool>| {
         let (mut answered, mut lost, mut n) = (0, 0, 0);
-        let mut socket = connect(at);
+        let mut socket = connect(address);
         while !stop.load(Ordering::SeqCst) {
             n += 1;
             let text = request("/tile", "")
                 .replace("9b1f03aa5c7e2d41", &format!("{:016x}", client << 32 | n));
             socket.get_mut().write_all(text.as_bytes()).ok();
             match Message::read(&mut socket) {
-                Some(answer) => {
-                    assert_eq!(answer.status(), 200);
+                Some(response) => {
+                    assert_eq!(response.status(), 200);
                     answered += 1;
-                    if answer.header("connection") == Some("close") {
-                        socket = connect(at);
+                    if response.header("connection") == Some("close") {
+                        socket = connect(address);
                     }
                 }
                 None => {
                     lost += 1;
-                    socket = connect(at);
+                    socket = connect(address);
                 }
             }
         }
@@ -162,157 +172,161 @@
     };
     (0..clients)
         .map(|client| (client, stop.clone()))
-        .map(|(c, s)| thread::spawn(move || one(c, s)))
+        .map(|(c, s)| thread::spawn(move || run_client(c, s)))
         .collect()
 }
 
 #[test]
-fn under_load_a_new_process_takes_the_place_of_the_old_and_nothing_is_lost() {
-    let backend = backend(|n| {
-        // Some answers are long on the way.
+fn new_process_takes_over_under_load_and_loses_no_accepted_request() {
+    let backend = start_backend(|n| {
+        // One response in 16 takes 700 ms.
         thread::sleep(Duration::from_millis(if n % 16 == 0 { 700 } else { 3 }));
-        Does::Answers(answer("200 OK", "here"))
+        Behavior::Respond(answer("200 OK", "here"))
     });
-    let place = Place::new(&[("s-1", backend.at)]);
-    let mut old = place.start();
+    let deployment = Deployment::new(&[("s-1", backend.address)]);
+    let mut old = deployment.start_process();
     let stop = Arc::<AtomicBool>::default();
-    let clients = load(place.at, 24, &stop);
+    let clients = start_load(deployment.address, 24, &stop);
     thread::sleep(Duration::from_millis(300));
     for _ in 0..3 {
-        let new = place.start();
-        assert!(!old.ready(), "both say that they are ready");
+        let new = deployment.start_process();
+        assert!(!old.is_ready(), "both processes report ready");
         assert_eq!(
-            call(old.admin, "POST /api/rejoin").status(),
+            call_operator_api(old.admin, "POST /api/rejoin").status(),
             409,
-            "it is not the old one's any more"
+            "the old process must not rejoin"
         );
         old.signal("-TERM");
         old.signal("-TERM");
-        assert!(old.ends());
+        assert!(old.exits_successfully());
         assert_eq!(
-            figure(new.admin, "gateway_handovers{step=\"Follows\"}"),
+            read_metric(new.admin, "gateway_handovers{step=\"Follows\"}"),
             Some(1)
         );
         old = new;
         thread::sleep(Duration::from_millis(200));
     }
     stop.store(true, Ordering::SeqCst);
-    let all: Vec<_> = clients.into_iter().map(|c| c.join().unwrap()).collect();
-    let (answered, lost) = all.iter().fold((0, 0), |(a, l), (x, y)| (a + x, l + y));
+    let counts: Vec<_> = clients.into_iter().map(|c| c.join().unwrap()).collect();
+    let (answered, lost) = counts.iter().fold((0, 0), |(a, l), (x, y)| (a + x, l + y));
     assert!(answered > 500, "{answered} answered");
-    // A close may cross a request that nobody read; the platform has its client send that again.
-    assert!(lost <= 3, "{lost} of {answered} ended at the door");
+    // A connection may be closed while a request that no process has read is on its way; the platform lets the client
+    // send this request again.
+    assert!(lost <= 3, "{lost} requests lost, {answered} answered");
 }
 
 #[test]
-fn the_old_process_serves_on_where_the_new_one_dies() {
-    let backend = serves("here");
-    let place = Place::new(&[("s-1", backend.at)]);
-    let old = place.start();
-    // It dies at each step before its yes, and once after it.
+fn old_process_serves_on_when_the_new_one_dies() {
+    let backend = start_fixed_backend("here");
+    let deployment = Deployment::new(&[("s-1", backend.address)]);
+    let old = deployment.start_process();
+    // The new process dies at each step before it is ready, and once after.
     let hello = json!({"Hello": {"version": 1, "name": "n0"}}).to_string() + "\n";
-    for (n, said) in ["", &hello, &(hello.clone() + "\"Prepared\"\n")]
+    for (n, sent) in ["", &hello, &(hello.clone() + "\"Prepared\"\n")]
         .iter()
         .enumerate()
     {
-        let mut link = BufReader::new(UnixStream::connect(place.seat()).unwrap());
-        link.get_mut().write_all(said.as_bytes()).unwrap();
-        let lines = said.lines().count();
+        let mut connection =
+            BufReader::new(UnixStream::connect(deployment.handover_socket()).unwrap());
+        connection.get_mut().write_all(sent.as_bytes()).unwrap();
+        let lines = sent.lines().count();
         for expected in ["Known", "Carry"].iter().take(lines) {
             let mut line = String::new();
-            link.read_line(&mut line).unwrap();
+            connection.read_line(&mut line).unwrap();
             assert!(line.contains(expected), "{expected}: {line}");
         }
-        drop(link);
+        drop(connection);
         assert_eq!(
-            place.ask(n).status(),
+            deployment.send(n).status(),
             200,
-            "it accepts no more after {said}"
+            "the old process accepts no more requests after {sent}"
         );
-        until(|| old.ready());
+        wait_until(|| old.is_ready());
     }
-    let mut new = place.start();
-    assert!(!old.ready());
+    let mut new = deployment.start_process();
+    assert!(!old.is_ready());
     new.child.kill().unwrap();
     new.child.wait().unwrap();
-    until(|| old.ready());
-    assert_eq!(place.ask(9).status(), 200);
-    // And it can be followed again.
-    let new = place.start();
-    assert!(new.ready() && !old.ready());
-    assert_eq!(place.ask(10).status(), 200);
+    wait_until(|| old.is_ready());
+    assert_eq!(deployment.send(9).status(), 200);
+    // The old process can be replaced again.
+    let new = deployment.start_process();
+    assert!(new.is_ready() && !old.is_ready());
+    assert_eq!(deployment.send(10).status(), 200);
 }
 
 #[test]
-fn one_that_speaks_another_version_or_for_another_gateway_gets_nothing() {
-    let backend = serves("here");
-    let place = Place::new(&[("s-1", backend.at)]);
-    let old = place.start();
+fn handover_with_another_version_or_gateway_name_is_refused() {
+    let backend = start_fixed_backend("here");
+    let deployment = Deployment::new(&[("s-1", backend.address)]);
+    let old = deployment.start_process();
     for hello in [
         json!({"Hello": {"version": 2, "name": "n0"}}),
         json!({"Hello": {"version": 1, "name": "n1"}}),
     ] {
-        let mut link = BufReader::new(UnixStream::connect(place.seat()).unwrap());
-        link.get_mut()
+        let mut connection =
+            BufReader::new(UnixStream::connect(deployment.handover_socket()).unwrap());
+        connection
+            .get_mut()
             .write_all(format!("{hello}\n").as_bytes())
             .unwrap();
         let mut line = String::new();
-        assert_eq!(link.read_line(&mut line).unwrap_or(0), 0, "{line}");
+        assert_eq!(connection.read_line(&mut line).unwrap_or(0), 0, "{line}");
     }
-    assert!(old.ready());
+    assert!(old.is_ready());
 }
 
 #[test]
-fn the_new_process_serves_alone_where_the_old_one_dies_midway_or_says_nothing() {
-    let backend = serves("here");
-    for says in ["", "\"Taken\"\n", "{\"Known\":null}\n"] {
-        let place = Place::new(&[("s-1", backend.at)]);
-        let seat = UnixListener::bind(place.seat()).unwrap();
-        let stand_in = thread::spawn(move || {
-            let (mut link, _) = seat.accept().unwrap();
-            link.write_all(says.as_bytes()).unwrap();
+fn new_process_serves_alone_when_the_old_one_dies_or_is_silent_during_handover() {
+    let backend = start_fixed_backend("here");
+    for sent in ["", "\"Taken\"\n", "{\"Known\":null}\n"] {
+        let deployment = Deployment::new(&[("s-1", backend.address)]);
+        let handover_socket = UnixListener::bind(deployment.handover_socket()).unwrap();
+        let old_process = thread::spawn(move || {
+            let (mut connection, _) = handover_socket.accept().unwrap();
+            connection.write_all(sent.as_bytes()).unwrap();
             let mut hello = String::new();
-            BufReader::new(link.try_clone().unwrap())
+            BufReader::new(connection.try_clone().unwrap())
                 .read_line(&mut hello)
                 .unwrap();
-            if says.is_empty() {
-                // It is there, and hangs.
+            if sent.is_empty() {
+                // The old process keeps the connection open and sends nothing.
                 thread::sleep(Duration::from_secs(3));
             }
         });
-        let began = Instant::now();
-        let new = place.start();
+        let start = Instant::now();
+        let new = deployment.start_process();
         assert!(
-            began.elapsed() < Duration::from_secs(5),
-            "{says}: its yes is due within 6 s"
+            start.elapsed() < Duration::from_secs(5),
+            "{sent}: the new process must be ready within 6 s"
         );
-        assert_eq!(place.ask(1).status(), 200);
+        assert_eq!(deployment.send(1).status(), 200);
         assert_eq!(
-            figure(new.admin, "gateway_handovers{step=\"Alone\"}"),
+            read_metric(new.admin, "gateway_handovers{step=\"Alone\"}"),
             Some(1)
         );
-        stand_in.join().unwrap();
+        old_process.join().unwrap();
     }
 }
 
 #[test]
-fn an_old_version_that_knows_no_hand_over_is_started_beside() {
-    let backend = serves("here");
-    let place = Place::new(&[("s-1", backend.at)]);
-    let old = place.start();
-    // To the new one it looks so: nothing listens where a hand-over would be asked for.
-    std::fs::remove_file(place.seat()).unwrap();
-    let new = place.start();
-    assert!(old.ready() && new.ready());
+fn new_process_starts_beside_an_old_version_without_handover() {
+    let backend = start_fixed_backend("here");
+    let deployment = Deployment::new(&[("s-1", backend.address)]);
+    let old = deployment.start_process();
+    // Without the hand-over socket the old process looks to the new one like a version without hand-over.
+    std::fs::remove_file(deployment.handover_socket()).unwrap();
+    let new = deployment.start_process();
+    assert!(old.is_ready() && new.is_ready());
     old.signal("-TERM");
     for n in 0..20 {
-        assert_eq!(place.ask(n).status(), 200);
+        assert_eq!(deployment.send(n).status(), 200);
     }
 }
 
 #[test]
-fn a_descriptor_that_does_not_listen_is_named_in_one_line() {
-    let (config, _list) = config(&[], None);
+fn descriptor_that_is_no_listening_socket_is_rejected_naming_node_listen_fd() {
+    let (config, _list_updates) = gateway_config(&[], None);
     let path = std::env::temp_dir().join(format!("damsonbeam-fd-{}.json", std::process::id()));
     std::fs::write(&path, config.to_string()).unwrap();
     for fd in ["5000", "x", "0"] {
