--- a/crates/ctl/src/account.rs
+++ b/crates/ctl/src/account.rs
@@ -1,4 +1,4 @@
-//! What proxies did not serve, and why.
+//! Reports the requests that proxies did not serve, with the cause of each.
 
 use std::net::SocketAddr;
 
@@ -8,44 +8,46 @@
 use crate::CtlError;
 use crate::live::get;
 
-const PATH: &str = "/-/account";
+const ACCOUNT_PATH: &str = "/-/account";
 
 /// One request that was not served.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-struct Unserved {
+struct UnservedRequest {
     at_ms: u64,
-    sentence: String,
+    line: String,
 }
 
-/// What proxies did not serve of late, in order of time, or what one request came to.
+/// Returns the unserved requests that the proxies still keep, one line each, ordered by time. With `request`, returns
+/// only the records of the request with that id.
 ///
 /// # Errors
-/// Where one does not answer, or none knows that request.
+/// Fails if a proxy does not answer, or if no proxy has a record of the given request.
 pub fn account(proxies: &[SocketAddr], request: Option<&str>) -> Result<String, CtlError> {
     let path = match request {
-        Some(request) => format!("{PATH}?request={request}"),
-        None => PATH.to_string(),
+        Some(request) => format!("{ACCOUNT_PATH}?request={request}"),
+        None => ACCOUNT_PATH.to_string(),
     };
     let mut unserved = Vec::new();
     for proxy in proxies {
         let body = parse(get(*proxy, &path)?.into_bytes())
             .map_err(|error| CtlError::process(proxy, error))?;
         let last = body.get("last").and_then(|last| last.as_array());
-        let last = last.ok_or_else(|| CtlError::process(proxy, "no account"))?;
-        unserved.extend(last.iter().map(|event| read(*proxy, event)));
+        let last =
+            last.ok_or_else(|| CtlError::process(proxy, "the response has no `last` array"))?;
+        unserved.extend(last.iter().map(|event| format_event(*proxy, event)));
     }
     unserved.sort();
     if let Some(request) = request.filter(|_| unserved.is_empty()) {
         return Err(CtlError::Request(format!(
-            "no proxy asked has an account of `{request}`: served, never come, or of longer ago than is kept"
+            "no queried proxy has a record of request `{request}`: it was served, never received, or its record has expired"
         )));
     }
-    let sentences = unserved.into_iter().map(|unserved| unserved.sentence);
-    Ok(sentences.collect::<Vec<_>>().join("\n"))
+    let lines = unserved.into_iter().map(|unserved| unserved.line);
+    Ok(lines.collect::<Vec<_>>().join("\n"))
 }
 
-/// One event of an account, as a sentence.
-fn read(proxy: SocketAddr, event: &Value) -> Unserved {
+/// Formats one event of an account as a line of text.
+fn format_event(proxy: SocketAddr, event: &Value) -> UnservedRequest {
     let text = |name: &str| {
         let value = event.get(name).and_then(|value| value.as_str());
         value.unwrap_or("none")
@@ -55,16 +57,16 @@
         value.unwrap_or(0)
     };
     let may_have_run = event.get("may_have_run").and_then(|value| value.as_bool());
-    let ran = if may_have_run.unwrap_or(true) {
+    let execution = if may_have_run.unwrap_or(true) {
         "it may have run"
     } else {
         "it has not run"
     };
     let at_ms = number("at_ms");
-    Unserved {
+    UnservedRequest {
         at_ms,
-        sentence: format!(
-            "{}  {proxy}  request {}: {}, {ran}; route {}, tenant {}, coordinator's term {}, list {}",
+        line: format!(
+            "{}  {proxy}  request {}: {}, {execution}; route {}, tenant {}, coordinator's term {}, list {}",
             time_of_day(at_ms),
             text("request"),
             text("cause"),
--- a/crates/ctl/src/error.rs
+++ b/crates/ctl/src/error.rs
@@ -1,26 +1,26 @@
-//! Why a command failed.
+//! Errors of the commands.
 
 use std::fmt::Display;
 use std::path::Path;
 
-/// Why a command failed.
+/// The reason why a command failed.
 #[derive(Debug, thiserror::Error, PartialEq)]
 pub enum CtlError {
-    /// A file or folder can't be used.
+    /// A file or folder can't be read, or its contents are not valid.
     #[error("{path}: {reason}")]
     File {
-        /// The file or folder.
+        /// Path of the file or folder.
         path: String,
-        /// What is wrong.
+        /// Why the file or folder was rejected.
         reason: String,
     },
-    /// What was asked for can't be had: no answer, or one that says so.
+    /// A request failed: the process did not answer, or answered with an error.
     #[error("{0}")]
     Request(String),
 }
 
 impl CtlError {
-    /// A file or folder can't be used.
+    /// Creates the error for a file or folder that can't be used.
     pub(crate) fn file(path: &Path, reason: impl Display) -> Self {
         CtlError::File {
             path: path.display().to_string(),
@@ -28,7 +28,7 @@
         }
     }
 
-    /// A process does not answer as it should.
+    /// Creates the error for a process that did not answer, or whose answer is not valid.
     pub(crate) fn process(address: impl Display, reason: impl Display) -> Self {
         CtlError::Request(format!("{address}: {reason}"))
     }
--- a/crates/ctl/src/explain.rs
+++ b/crates/ctl/src/explain.rs
@@ -1,54 +1,56 @@
-//! What happened to one thing: the lines of all machines' logs that name it, in order of time.
+//! Merges the log lines of all machines that mention one request, item, machine or backend, ordered by time.
 //!
-//! A folder holds a file for each process, as the machines kept them; a file's name stands for its machine. Lines
-//! of the programs begin with a time, a level and a place, then the prefix of their part. Steps of a machine's
-//! time of day put its lines out of place; those of one file stay in their order.
+//! The folder holds one log file per process; the file stem is taken as the name of the machine. A log line starts
+//! with a timestamp, a level and a source location, followed by the prefix of the component. If the clock of a machine
+//! is stepped, its lines are sorted to the wrong position relative to other machines; lines of one file that have the
+//! same timestamp keep their order.
 
 use std::path::Path;
 
 use crate::CtlError;
 
-/// A line of a log.
+/// A line of a log file.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Line {
-    /// When it was written, as it says itself.
+pub struct LogLine {
+    /// Timestamp at the start of the line.
     pub time: String,
-    /// Whose log it stands in.
+    /// Stem of the log file.
     pub machine: String,
-    /// What it says.
+    /// Text after the level and the source location.
     pub text: String,
 }
 
-/// A log line's time and what it says; none where it is no line of the programs.
-fn read(machine: &str, line: &str) -> Option<Line> {
+/// Parses a log line; returns `None` if the line does not start with a timestamp.
+fn parse_line(machine: &str, line: &str) -> Option<LogLine> {
     let (time, rest) = line.trim_start().split_once(char::is_whitespace)?;
-    let known = time.starts_with(|c: char| c.is_ascii_digit());
-    // Level and place are for whoever wrote the programs.
+    let has_timestamp = time.starts_with(|c: char| c.is_ascii_digit());
+    // Operators need neither the level nor the source location.
     let text = rest.trim_start().splitn(4, ' ').last()?;
     let text = rest
         .split_once(".rs:")
         .map_or(text, |r| r.1.split_once(' ').map_or(text, |t| t.1));
-    known.then(|| Line {
+    has_timestamp.then(|| LogLine {
         time: time.into(),
         machine: machine.into(),
         text: text.into(),
     })
 }
 
-/// Whether a line names it: as a word of its own, not as part of another name.
-fn names(text: &str, what: &str) -> bool {
+/// Returns whether `text` contains `subject` as a whole word, not as part of a longer name.
+fn mentions(text: &str, subject: &str) -> bool {
     let is_part_of_name = |c: char| c.is_alphanumeric() || c == '-' || c == '_';
-    text.match_indices(what).any(|(start, _)| {
-        let (before, after) = (&text[..start], &text[start + what.len()..]);
+    text.match_indices(subject).any(|(start, _)| {
+        let (before, after) = (&text[..start], &text[start + subject.len()..]);
         !before.ends_with(is_part_of_name) && !after.starts_with(is_part_of_name)
     })
 }
 
-/// All lines that name it.
+/// Returns all log lines in the folder that mention `subject`, ordered by time. All lines of a file are included if the
+/// name of the file starts with `subject`.
 ///
 /// # Errors
-/// Where the folder or a file can't be read.
-pub fn explain(what: &str, logs: &Path) -> Result<Vec<Line>, CtlError> {
+/// Fails if the folder or a file can't be read.
+pub fn explain(subject: &str, logs: &Path) -> Result<Vec<LogLine>, CtlError> {
     let folder = std::fs::read_dir(logs).map_err(|error| CtlError::file(logs, error))?;
     let mut paths: Vec<_> = folder.flatten().map(|entry| entry.path()).collect();
     paths.sort();
@@ -57,11 +59,13 @@
         let bytes = std::fs::read(&path).map_err(|error| CtlError::file(&path, error))?;
         let text = String::from_utf8_lossy(&bytes);
         let machine = path.file_stem().unwrap_or_default().to_string_lossy();
-        let is_its_own = machine.starts_with(what);
-        let lines = text.lines().filter(|line| is_its_own || names(line, what));
-        found.extend(lines.filter_map(|line| read(&machine, line)));
+        let is_log_of_subject = machine.starts_with(subject);
+        let lines = text
+            .lines()
+            .filter(|line| is_log_of_subject || mentions(line, subject));
+        found.extend(lines.filter_map(|line| parse_line(&machine, line)));
     }
-    // A stable sort: what one process said at one time stays in its order.
+    // The sort is stable: lines of one process with the same timestamp keep their order.
     found.sort_by(|earlier, later| earlier.time.cmp(&later.time));
     Ok(found)
 }
--- a/crates/ctl/src/files.rs
+++ b/crates/ctl/src/files.rs
@@ -1,4 +1,4 @@
-//! Files checked before anything starts: settings, operators' calls.
+//! Checks settings files and configuration calls before they are used.
 
 use std::path::{Path, PathBuf};
 
@@ -7,14 +7,14 @@
 
 use crate::CtlError;
 
-/// Checks a settings file as a program would at its start; returns what is in it, in a line.
+/// Checks a settings file with the parser that the programs use at their start; returns a one-line summary.
 ///
 /// # Errors
-/// The first field that is missing or wrong.
+/// Names the first field that is missing or not valid.
 pub fn check_settings(path: &Path) -> Result<String, CtlError> {
     let text = std::fs::read(path).map_err(|error| CtlError::file(path, error))?;
     let name = path.display().to_string();
-    // The error names the file itself.
+    // The error already names the file.
     let settings =
         Settings::parse(&name, text).map_err(|error| CtlError::Request(error.to_string()))?;
     let seeds = settings.seed_nodes.len();
@@ -24,10 +24,11 @@
     Ok(format!("{name}: {node_name} in {zone}, {seeds} seeds"))
 }
 
-/// Checks operators' calls in the order in which they are to be sent, each on the whole as the store would.
+/// Applies configuration calls in the order in which they are to be sent and validates the whole configuration after
+/// each, as the configuration store does. Returns the number of routes, tenants and services after the last call.
 ///
 /// # Errors
-/// The first call that is no valid one, and why.
+/// Names the file of the first call that is not valid, and the reason.
 pub fn check_calls(paths: &[PathBuf]) -> Result<String, CtlError> {
     let mut snapshot = ConfigSnapshot::default();
     for path in paths {
--- a/crates/ctl/src/lib.rs
+++ b/crates/ctl/src/lib.rs
@@ -1,5 +1,5 @@
-//! What staff do besides running the three programs: check files before anything starts, ask a live system how it
-//! stands, read a store's disk, and join the logs of all machines into the account of one thing.
+//! Tools for operators: check settings and configuration calls before use, query a running system, read the disk of a
+//! stopped configuration store, and merge the log lines of all machines that mention one request or item.
 #![warn(clippy::too_many_lines, unreachable_pub)]
 
 mod account;
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -1,4 +1,5 @@
-//! `damsonbeam-ctl`: the operators' tool. Exit codes: 0 done, 1 faulty input or no answer, 2 usage.
+//! `damsonbeam-ctl`, the command line tool for operators. Exit codes: 0 success, 1 invalid input or no response,
+//! 2 usage error.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -12,90 +13,97 @@
 
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version)]
-/// Checks files of the system, asks a live one, reads stores and logs.
+/// Checks configuration files, queries a running system, and reads stores and logs.
 enum Command {
-    /// Checks a settings file as a program would at its start
+    /// Checks a settings file as the programs do at their start
     #[bpaf(command("check-settings"))]
     Settings(#[bpaf(positional("FILE"))] PathBuf),
-    /// Checks operators' calls, in the order in which they are to be sent, as the store would
+    /// Checks configuration calls as the store does, in the order in which they are to be sent
     #[bpaf(command("check-calls"))]
-    Calls(#[bpaf(positional("FILE"), some("name a file at least"))] Vec<PathBuf>),
-    /// How a live system stands, as the registry at that control address sees it
+    Calls(#[bpaf(positional("FILE"), some("at least one file is required"))] Vec<PathBuf>),
+    /// Shows the state of a running system as seen by the registry at this control address
     #[bpaf(command("state"))]
     State(#[bpaf(positional("ADDRESS"))] SocketAddr),
-    /// What proxies did not serve of late, with cause and versions, or what one request came to
+    /// Lists requests that proxies recently did not serve, with cause and versions, or what happened to one request
     #[bpaf(command("account"))]
     Account {
-        /// One request's id
+        /// Id of a single request to look up
         #[bpaf(argument("ID"))]
         request: Option<String>,
-        #[bpaf(positional("READINESS-ADDRESS"), some("name a proxy at least"))]
+        #[bpaf(
+            positional("READINESS-ADDRESS"),
+            some("at least one proxy address is required")
+        )]
         proxies: Vec<SocketAddr>,
     },
-    /// What a proxy knows of each backend's load, from how many others, how old
+    /// Shows what a proxy knows of the load of each backend, with the number and age of reports from other proxies
     #[bpaf(command("loads"))]
     Loads(#[bpaf(positional("READINESS-ADDRESS"))] SocketAddr),
-    /// Sets rules for copies of live requests to trial services, as a file has them
+    /// Sets the rules in a file for mirroring live requests to trial services
     #[bpaf(command("mirror-set"))]
     MirrorSet(
         #[bpaf(positional("CONTROL-ADDRESS"))] SocketAddr,
         #[bpaf(positional("FILE"))] PathBuf,
     ),
-    /// The rules for copies in force
+    /// Shows the mirror rules in force
     #[bpaf(command("mirror-show"))]
     MirrorShow(#[bpaf(positional("CONTROL-ADDRESS"))] SocketAddr),
-    /// Ends a rule, by a version above its own
+    /// Removes a mirror rule; the version must be higher than that of the rule
     #[bpaf(command("mirror-stop"))]
     MirrorStop(
         #[bpaf(positional("CONTROL-ADDRESS"))] SocketAddr,
         #[bpaf(positional("NAME"))] String,
         #[bpaf(positional("VERSION"))] String,
     ),
-    /// What came of the copies, over the proxies asked
+    /// Shows the results of mirrored requests, summed over the given proxies
     #[bpaf(command("mirror-report"))]
     MirrorReport(
-        #[bpaf(positional("READINESS-ADDRESS"), some("name a proxy at least"))] Vec<SocketAddr>,
+        #[bpaf(
+            positional("READINESS-ADDRESS"),
+            some("at least one proxy address is required")
+        )]
+        Vec<SocketAddr>,
     ),
-    /// A store's store: its items, their versions and ballots. Only while no store runs on it.
+    /// Shows the items of a store with their versions and ballots; the store process must be stopped
     #[bpaf(command("store-show"))]
     Show(#[bpaf(positional("FOLDER"))] PathBuf),
-    /// Whether a store's store is sound
+    /// Checks whether the data of a store is valid; the store process must be stopped
     #[bpaf(command("store-verify"))]
     Verify(#[bpaf(positional("FOLDER"))] PathBuf),
-    /// The configuration that a store's store holds, as a call that sets it
+    /// Prints the configuration in a store as a call that sets it; the store process must be stopped
     #[bpaf(command("store-export"))]
     Export(#[bpaf(positional("FOLDER"))] PathBuf),
-    /// What happened to a request, item, machine or backend: all logs' lines that name it, in order of time
+    /// Prints the log lines of all machines that mention a request, item, machine or backend, ordered by time
     #[bpaf(command("explain"))]
     Explain {
-        /// The folder of logs, a file for each process
+        /// Folder with one log file per process
         #[bpaf(argument("FOLDER"))]
         logs: PathBuf,
         #[bpaf(positional("WHAT"))]
-        what: String,
+        subject: String,
     },
 }
 
-/// Does what the command line asks for; returns what is printed.
+/// Runs the command and returns the text to print.
 fn run(command: Command) -> Result<String, CtlError> {
     match command {
         Command::Settings(path) => check_settings(&path),
         Command::Calls(paths) => check_calls(&paths),
-        Command::State(at) => state(at),
-        Command::Loads(at) => loads(at),
-        Command::MirrorSet(at, path) => mirror::set(at, &path),
-        Command::MirrorShow(at) => mirror::show(at),
-        Command::MirrorStop(at, name, version) => mirror::stop(at, &name, &version),
+        Command::State(address) => state(address),
+        Command::Loads(address) => loads(address),
+        Command::MirrorSet(address, path) => mirror::set(address, &path),
+        Command::MirrorShow(address) => mirror::show(address),
+        Command::MirrorStop(address, name, version) => mirror::stop(address, &name, &version),
         Command::MirrorReport(proxies) => mirror::report(&proxies),
         Command::Account { request, proxies } => account(&proxies, request.as_deref()),
-        Command::Show(dir) => show_store(&dir),
-        Command::Verify(dir) => verify_store(&dir),
-        Command::Export(dir) => export_store(&dir),
-        Command::Explain { what, logs } => {
-            let lines = explain::explain(&what, &logs)?;
+        Command::Show(folder) => show_store(&folder),
+        Command::Verify(folder) => verify_store(&folder),
+        Command::Export(folder) => export_store(&folder),
+        Command::Explain { subject, logs } => {
+            let lines = explain::explain(&subject, &logs)?;
             if lines.is_empty() {
                 return Err(CtlError::Request(format!(
-                    "{}: no line names `{what}`",
+                    "{}: no log line mentions `{subject}`",
                     logs.display()
                 )));
             }
@@ -120,8 +128,8 @@
             println!("{text}");
             ExitCode::SUCCESS
         }
-        Err(e) => {
-            eprintln!("damsonbeam-ctl: {e}");
+        Err(error) => {
+            eprintln!("damsonbeam-ctl: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/ctl/src/mirror.rs
+++ b/crates/ctl/src/mirror.rs
@@ -1,4 +1,4 @@
-//! Mirrored requests: rules set, shown and ended at a live system, and one report of what all proxies say came of them.
+//! Sets, shows and removes the mirror rules of a running system, and sums up what proxies report about mirrored requests.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,9 +11,9 @@
 use crate::CtlError;
 use crate::live::{call, get};
 
-const PATH: &str = "/-/copies";
-/// What is counted of each rule, in the order of the report.
-const COUNTS: [&str; 5] = [
+const MIRROR_PATH: &str = "/-/copies";
+/// Names of the counters in a report of a proxy.
+const COUNTER_NAMES: [&str; 5] = [
     "copied",
     "answered",
     "compared",
@@ -21,10 +21,10 @@
     "other_body",
 ];
 
-/// Sends a file's rules, each checked here first.
+/// Checks each rule in a file and then sends them all; returns the number of rules sent.
 ///
 /// # Errors
-/// What is wrong with the file, by rule and field, or what the system says.
+/// Names the rule and field in the file that is not valid, or returns the error response of the system.
 pub fn set(address: SocketAddr, path: &Path) -> Result<String, CtlError> {
     let text = std::fs::read_to_string(path).map_err(|error| CtlError::file(path, error))?;
     let change = ConfigChange::from_mirror_rules_json(text.clone().into_bytes())
@@ -32,31 +32,31 @@
     for item in change.items.iter().filter(|item| item.body.is_some()) {
         MirrorRule::try_from(item).map_err(|error| CtlError::file(path, error))?;
     }
-    call(address, "PATCH", PATH, &text)?;
+    call(address, "PATCH", MIRROR_PATH, &text)?;
     Ok(format!("{} rules set", change.items.len()))
 }
 
-/// The rules in force.
+/// Returns the mirror rules in force as JSON.
 ///
 /// # Errors
-/// Where the system does not answer.
+/// Fails if the system does not answer with status 200.
 pub fn show(address: SocketAddr) -> Result<String, CtlError> {
-    get(address, PATH)
+    get(address, MIRROR_PATH)
 }
 
-/// Ends a rule, by a version above its own.
+/// Removes a rule; `version` must be higher than the version of the rule.
 ///
 /// # Errors
-/// Where the name or version can't be sent, or what the system says.
+/// Fails if the name or version would need escapes in JSON, or returns the error response of the system.
 pub fn stop(address: SocketAddr, name: &str, version: &str) -> Result<String, CtlError> {
     if needs_escapes(name) || needs_escapes(version) {
-        let reason = "a name or version with a quote, backslash or control character";
+        let reason = "name or version contains a quote, backslash or control character";
         return Err(CtlError::Request(reason.into()));
     }
     let removal = format!("{{\"name\":\"{name}\",\"config_version\":\"{version}\"}}");
     let body = format!("{{\"removals\":{{\"copy_list\":[{removal}]}}}}");
-    call(address, "PATCH", PATH, &body)?;
-    Ok(format!("{name} ends with {version}"))
+    call(address, "PATCH", MIRROR_PATH, &body)?;
+    Ok(format!("{name} removed with version {version}"))
 }
 
 fn needs_escapes(text: &str) -> bool {
@@ -64,37 +64,39 @@
         .any(|c| c == '"' || c == '\\' || c.is_control())
 }
 
-/// A version of a rule.
+/// Name and version of a rule.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct RuleVersion {
     name: String,
     version: u64,
 }
 
-/// What all proxies say of a rule.
+/// Sums of the reports of all queried proxies about one version of a rule.
 #[derive(Default)]
-struct Sums {
+struct RuleTotals {
     counts: BTreeMap<&'static str, u64>,
-    /// Not sent, by reason.
+    /// Numbers of requests that were not mirrored, by reason.
     dropped: BTreeMap<String, u64>,
-    /// Times of the pairs compared.
-    real_ms: f64,
-    trial_ms: f64,
-    /// Whether a caller is broken anywhere.
+    /// Sum of the latencies of the real responses in the compared pairs, in milliseconds.
+    real_ms_sum: f64,
+    /// Sum of the latencies of the trial responses in the compared pairs, in milliseconds.
+    trial_ms_sum: f64,
+    /// Callers by name, with whether any proxy reports the caller as broken.
     callers: BTreeMap<String, bool>,
 }
 
-/// What came of the mirrored requests, over the proxies asked.
+/// Returns one line for each rule version with the results of mirrored requests, summed over the given proxies.
 ///
 /// # Errors
-/// Where a proxy does not answer.
+/// Fails if a proxy does not answer with status 200, or its response has no list of reports.
 pub fn report(proxies: &[SocketAddr]) -> Result<String, CtlError> {
-    let mut rules: BTreeMap<RuleVersion, Sums> = BTreeMap::new();
+    let mut rules: BTreeMap<RuleVersion, RuleTotals> = BTreeMap::new();
     for proxy in proxies {
-        let body = parse(get(*proxy, PATH)?.into_bytes())
+        let body = parse(get(*proxy, MIRROR_PATH)?.into_bytes())
             .map_err(|error| CtlError::process(proxy, error))?;
         let reports = body.get("copies").and_then(|copies| copies.as_array());
-        let reports = reports.ok_or_else(|| CtlError::process(proxy, "no report"))?;
+        let reports = reports
+            .ok_or_else(|| CtlError::process(proxy, "the response has no `copies` array"))?;
         for report in reports {
             let name = report.get("rule").and_then(|rule| rule.as_str());
             let version = report.get("version").and_then(|version| version.as_u64());
@@ -105,18 +107,18 @@
             rules.entry(rule).or_default().add(report);
         }
     }
-    let lines = rules.iter().map(|(rule, sums)| sums.line(rule));
+    let lines = rules.iter().map(|(rule, totals)| totals.format_line(rule));
     Ok(lines.collect::<Vec<_>>().join("\n"))
 }
 
-impl Sums {
-    /// Adds one proxy's report.
+impl RuleTotals {
+    /// Adds the report of one proxy.
     fn add(&mut self, report: &Value) {
         let count = |name: &str| {
             let value = report.get(name).and_then(|value| value.as_u64());
             value.unwrap_or(0)
         };
-        for name in COUNTS {
+        for name in COUNTER_NAMES {
             *self.counts.entry(name).or_default() += count(name);
         }
         let dropped = report
@@ -131,15 +133,15 @@
             value.unwrap_or(0.0)
         };
         let pairs = count("compared") as f64;
-        self.real_ms += mean("real_ms") * pairs;
-        self.trial_ms += mean("trial_ms") * pairs;
+        self.real_ms_sum += mean("real_ms") * pairs;
+        self.trial_ms_sum += mean("trial_ms") * pairs;
         let callers = report.get("callers").and_then(|callers| callers.as_array());
         for caller in callers.into_iter().flatten() {
             self.add_caller(caller);
         }
     }
 
-    /// A caller is an array: its name, requests, whether it is broken.
+    /// Adds a caller, given as the array `[name, requests, is_broken]`.
     fn add_caller(&mut self, caller: &Value) {
         let field = |position: usize| caller.as_array().and_then(|fields| fields.get(position));
         let name = field(0).and_then(|name| name.as_str()).unwrap_or_default();
@@ -147,7 +149,7 @@
         *self.callers.entry(name.to_string()).or_default() |= is_broken;
     }
 
-    fn line(&self, rule: &RuleVersion) -> String {
+    fn format_line(&self, rule: &RuleVersion) -> String {
         let callers = self.callers.len();
         let broken = self.callers.values().filter(|broken| **broken).count();
         let counts: Vec<String> = self
@@ -167,13 +169,13 @@
         };
         let pairs = (self.counts["compared"] as f64).max(1.0);
         format!(
-            "{} r{}: {callers} callers, {} whole, {broken} broken; {}; dropped: {dropped}; mean ms real {:.1}, trial {:.1}",
+            "{} r{}: {callers} callers, {} whole, {broken} broken; {}; dropped: {dropped}; mean latency in ms: real {:.1}, trial {:.1}",
             rule.name,
             rule.version,
             callers - broken,
             counts.join(", "),
-            self.real_ms / pairs,
-            self.trial_ms / pairs
+            self.real_ms_sum / pairs,
+            self.trial_ms_sum / pairs
         )
     }
 }
--- a/crates/ctl/src/stores.rs
+++ b/crates/ctl/src/stores.rs
@@ -1,4 +1,4 @@
-//! What a store holds on its disk, read while no store runs on it.
+//! Reads the data of a configuration store from its disk. The store process must be stopped.
 
 use std::path::Path;
 
@@ -9,27 +9,27 @@
 
 use crate::CtlError;
 
-/// The file that holds a store's state.
+/// Name of the file in a store's folder that holds its state.
 const STORE_FILE: &str = "items.redb";
 
-/// Shows a store's state, item by item.
+/// Returns the state of a store as text: its vote, voters, known stores, backend list and items.
 ///
 /// # Errors
-/// Where there is none, or a record can't be read.
+/// Fails if the folder holds no store, or a record can't be read.
 pub fn show_store(folder: &Path) -> Result<String, CtlError> {
     let StoredState {
         durable,
         roster,
         backends,
-    } = open(folder)?;
-    let vote = if durable.has_vote() {
+    } = read_store(folder)?;
+    let vote_status = if durable.has_vote() {
         "has a vote"
     } else {
         "has no vote yet"
     };
     let promised = durable.promised;
     let mut lines = vec![format!(
-        "{vote}, promised ballot {}.{}",
+        "{vote_status}, promised ballot {}.{}",
         promised.round, promised.proposer
     )];
     if let Some(voters) = VoterSet::committed(&durable.committed) {
@@ -39,7 +39,7 @@
     }
     lines.push(format!("{} stores known", roster.len()));
     lines.push(format!(
-        "list of term {}, reading {}: {} backends",
+        "backend list of term {}, reading {}: {} backends",
         backends.version.term,
         backends.version.revision,
         backends.backends.len()
@@ -51,56 +51,57 @@
 }
 
 fn item_line(item: &Item, is_committed: bool) -> String {
-    let state = if item.body.is_some() { "" } else { ", dropped" };
-    let known = if is_committed {
+    let removal_note = if item.body.is_some() { "" } else { ", removed" };
+    let commit_note = if is_committed {
         ""
     } else {
         ", not known to be decided"
     };
     let number = item.proposal_number;
     format!(
-        "{:?} {} r{}, ballot {}.{}{state}{known}",
+        "{:?} {} r{}, ballot {}.{}{removal_note}{commit_note}",
         item.key.kind, item.key.name, item.version, number.round, number.proposer
     )
 }
 
-/// Checks whether a store has a vote and what it holds is a valid configuration.
+/// Checks that a store has a vote and that its committed configuration is valid.
 ///
 /// # Errors
-/// What is wrong with it.
+/// Fails if the store has no vote, the configuration is not valid, or the store can't be read.
 pub fn verify_store(folder: &Path) -> Result<String, CtlError> {
-    let durable = open(folder)?.durable;
+    let durable = read_store(folder)?.durable;
     let valid = durable.committed.validate();
     valid.map_err(|error| CtlError::file(folder, error))?;
     if !durable.has_vote() {
-        let reason = "has no vote yet: it is new, came back empty or was replaced";
+        let reason =
+            "has no vote yet: the store is new, restarted without its data or was replaced";
         return Err(CtlError::file(folder, reason));
     }
     let committed = durable.committed.items();
     let accepted = durable.accepted.items().values();
-    let unknown = accepted
+    let undecided = accepted
         .filter(|item| committed.get(&item.key) != Some(item))
         .count();
     let items = committed.len();
     Ok(format!(
-        "sound: {items} items, {unknown} not known to be decided"
+        "sound: {items} items, {undecided} not known to be decided"
     ))
 }
 
-/// The configuration that a store holds, as an operator would send it.
+/// Returns the committed configuration of a store as a call that sets it.
 ///
 /// # Errors
-/// Where it can't be read.
+/// Fails if the store can't be read.
 pub fn export_store(folder: &Path) -> Result<String, CtlError> {
-    let durable = open(folder)?.durable;
+    let durable = read_store(folder)?.durable;
     let body = String::from_utf8(durable.committed.to_json());
     let body = body.map_err(|error| CtlError::file(folder, error))?;
     Ok(format!("{{\"upserts\":{body}}}"))
 }
 
-fn open(folder: &Path) -> Result<StoredState, CtlError> {
+fn read_store(folder: &Path) -> Result<StoredState, CtlError> {
     if !folder.join(STORE_FILE).exists() {
-        let reason = format!("no store here ({STORE_FILE})");
+        let reason = format!("no store found ({STORE_FILE})");
         return Err(CtlError::file(folder, reason));
     }
     Disk::open(folder)
--- a/crates/ctl/tests/files.rs
+++ b/crates/ctl/tests/files.rs
@@ -1,4 +1,5 @@
-//! Files with faults are told by file, item and field; logs of all machines are joined.
+//! Tests that invalid files are reported by file, item and field, that stores are read from disk, and that the logs of all
+//! machines are merged.
 
 use std::path::PathBuf;
 
@@ -10,14 +11,14 @@
     check_calls, check_settings, explain::explain, export_store, show_store, verify_store,
 };
 
-struct Folder(PathBuf);
+struct TempFolder(PathBuf);
 
-impl Folder {
+impl TempFolder {
     fn new(name: &str) -> Self {
-        let dir =
+        let folder =
             std::env::temp_dir().join(format!("damsonbeam-ctl-{name}-{}", std::process::id()));
-        std::fs::create_dir_all(&dir).expect("a folder");
-        Folder(dir)
+        std::fs::create_dir_all(&folder).expect("a folder");
+        TempFolder(folder)
     }
 
     fn file(&self, name: &str, text: &str) -> PathBuf {
@@ -27,24 +28,28 @@
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempFolder {
     fn drop(&mut self) {
         std::fs::remove_dir_all(&self.0).ok();
     }
 }
 
-/// An error without the folder, which differs by run.
-fn told<T: std::fmt::Debug>(result: Result<T, damsonbeam_ctl::CtlError>, dir: &Folder) -> String {
-    let e = result.expect_err("a fault").to_string();
-    e.replace(&format!("{}/", dir.0.display()), "")
-        .replace(&dir.0.display().to_string(), "DIR")
+/// Returns the error text without the path of the temporary folder, which differs between runs.
+fn error_text<T: std::fmt::Debug>(
+    result: Result<T, damsonbeam_ctl::CtlError>,
+    folder: &TempFolder,
+) -> String {
+    let error = result.expect_err("a fault").to_string();
+    error
+        .replace(&format!("{}/", folder.0.display()), "")
+        .replace(&folder.0.display().to_string(), "DIR")
 }
 
 const SERVICE: &str = r#"{"name":"s","health_path":"/health","max_connections":120,"cold_rate_s":20.0,"config_version":"r1"}"#;
 
-fn route(name: &str, prefix: &str, more: &str) -> String {
+fn route(name: &str, prefix: &str, extra_fields: &str) -> String {
     format!(
-        r#"{{"name":"{name}","host_name":"a.example","path_prefix":"{prefix}","route_type":"mutating","timeout_ms":3000,"target_latency_ms":500,"target_service":"s","max_attempts":2,"config_version":"r1"{more}}}"#
+        r#"{{"name":"{name}","host_name":"a.example","path_prefix":"{prefix}","route_type":"mutating","timeout_ms":3000,"target_latency_ms":500,"target_service":"s","max_attempts":2,"config_version":"r1"{extra_fields}}}"#
     )
 }
 
@@ -56,14 +61,14 @@
 }
 
 #[test]
-fn operators_calls_are_checked_as_the_store_would() {
-    let dir = Folder::new("calls");
-    let good = dir.file("one.json", &call(&[route("r-1", "/x/", "")]));
+fn check_calls_names_file_item_and_field_of_an_invalid_call() {
+    let folder = TempFolder::new("calls");
+    let valid = folder.file("one.json", &call(&[route("r-1", "/x/", "")]));
     assert_eq!(
-        check_calls(std::slice::from_ref(&good)),
+        check_calls(std::slice::from_ref(&valid)),
         Ok("valid: 1 routes, 0 tenants, 1 services".into())
     );
-    let bad = [
+    let invalid = [
         (
             "cut.json",
             call(&[route("r-2", "/y/", "")])[..90].to_string(),
@@ -94,8 +99,13 @@
             call(&[route("r-2", "/y/", "").replace("\"r1\"", "7")]),
         ),
     ];
-    let errors: Vec<String> = bad
-        .map(|(name, text)| told(check_calls(&[good.clone(), dir.file(name, &text)]), &dir))
+    let errors: Vec<String> = invalid
+        .map(|(name, text)| {
+            error_text(
+                check_calls(&[valid.clone(), folder.file(name, &text)]),
+                &folder,
+            )
+        })
         .into_iter()
         .collect();
     insta::assert_snapshot!(errors.join("\n"), @r"
@@ -107,32 +117,35 @@
     aim.json: r-2: target_latency_ms: is a minute or more above timeout_ms
     version.json: r-2: config_version: not `r` and a number
     ");
-    // 20,000 routes are read and checked like any.
+    // A file with 20,000 routes is accepted too.
     let many: Vec<String> = (0..20_000)
-        .map(|n| route(&format!("m{n}"), &format!("/{n}/"), ""))
+        .map(|number| route(&format!("m{number}"), &format!("/{number}/"), ""))
         .collect();
-    assert!(check_calls(&[dir.file("many.json", &call(&many))]).is_ok());
+    assert!(check_calls(&[folder.file("many.json", &call(&many))]).is_ok());
 }
 
 #[test]
-fn a_settings_file_is_refused_with_the_field() {
-    let dir = Folder::new("settings");
-    let good = r#"{"node_name":"edge-1","ip_address":"10.1.0.33","zone":"a","region":"x","zones":{"a":"x"},"serves":["edge"],"listen_addresses":{"front":"10.1.0.33:80"},"internal_port_range":[7740,7755],"seed_nodes":["10.1.0.35:8688"],"timing_bounds":["drain_ms=4000","revocation_global=false"],"cloud_api":{"address":"10.200.0.51:8682","rate_per_s":50.0}}"#;
-    let path = dir.file("good.json", good);
+fn check_settings_names_the_invalid_field() {
+    let folder = TempFolder::new("settings");
+    let valid = r#"{"node_name":"edge-1","ip_address":"10.1.0.33","zone":"a","region":"x","zones":{"a":"x"},"serves":["edge"],"listen_addresses":{"front":"10.1.0.33:80"},"internal_port_range":[7740,7755],"seed_nodes":["10.1.0.35:8688"],"timing_bounds":["drain_ms=4000","revocation_global=false"],"cloud_api":{"address":"10.200.0.51:8682","rate_per_s":50.0}}"#;
+    let path = folder.file("good.json", valid);
     let line = check_settings(&path)
         .expect("whole")
-        .replace(&format!("{}/", dir.0.display()), "");
+        .replace(&format!("{}/", folder.0.display()), "");
     assert_eq!(line, "good.json: edge-1 in a, 1 seeds");
-    let bad = [
-        ("ports.json", good.replace("[7740,7755]", "[7740]")),
-        ("seed.json", good.replace("10.1.0.35:8688", "core-1")),
-        ("bound.json", good.replace("drain_ms=4000", "drain_ms=soon")),
-        ("rate.json", good.replace("50.0", "0")),
-        ("node.json", good.replace("node_name", "name")),
-        ("cut.json", good[..200].to_string()),
+    let invalid = [
+        ("ports.json", valid.replace("[7740,7755]", "[7740]")),
+        ("seed.json", valid.replace("10.1.0.35:8688", "core-1")),
+        (
+            "bound.json",
+            valid.replace("drain_ms=4000", "drain_ms=soon"),
+        ),
+        ("rate.json", valid.replace("50.0", "0")),
+        ("node.json", valid.replace("node_name", "name")),
+        ("cut.json", valid[..200].to_string()),
     ];
-    let errors: Vec<String> = bad
-        .map(|(name, text)| told(check_settings(&dir.file(name, &text)), &dir))
+    let errors: Vec<String> = invalid
+        .map(|(name, text)| error_text(check_settings(&folder.file(name, &text)), &folder))
         .into_iter()
         .collect();
     insta::assert_snapshot!(errors.join("\n"), @r"
@@ -146,22 +159,22 @@
 }
 
 #[test]
-fn a_store_is_shown_verified_and_exported() {
-    let dir = Folder::new("store");
+fn stopped_store_is_shown_verified_and_exported() {
+    let folder = TempFolder::new("store");
     assert_eq!(
-        told(show_store(&dir.0), &dir),
-        "DIR: no store here (items.redb)"
+        error_text(show_store(&folder.0), &folder),
+        "DIR: no store found (items.redb)"
     );
     let mut items = ConfigChange::from_json(call(&[route("r-1", "/x/", "")]).into_bytes())
         .expect("reads")
         .items;
-    items.iter_mut().for_each(|i| {
-        i.proposal_number = ProposalNumber {
+    items.iter_mut().for_each(|item| {
+        item.proposal_number = ProposalNumber {
             round: 3,
             proposer: 7,
         }
     });
-    let store = Disk::open(&dir.0).expect("opens");
+    let store = Disk::open(&folder.0).expect("opens");
     store
         .persist(&[
             DurableWrite::Accepted(items.clone()),
@@ -169,7 +182,7 @@
         ])
         .expect("kept");
     drop(store);
-    assert!(told(verify_store(&dir.0), &dir).contains("has no vote yet"));
+    assert!(error_text(verify_store(&folder.0), &folder).contains("has no vote yet"));
     let voters = vec![
         VoterSet::founding(&[[10, 0, 0, 1], [10, 0, 0, 2]]).to_item(ProposalNumber::default()),
     ];
@@ -178,24 +191,24 @@
         DurableWrite::Committed(voters),
         DurableWrite::DiskId(0),
     ];
-    Disk::open(&dir.0)
+    Disk::open(&folder.0)
         .expect("opens")
         .persist(&writes)
         .expect("kept");
     assert_eq!(
-        verify_store(&dir.0),
+        verify_store(&folder.0),
         Ok("sound: 3 items, 0 not known to be decided".into())
     );
-    insta::assert_snapshot!(show_store(&dir.0).expect("shown"), @r"
+    insta::assert_snapshot!(show_store(&folder.0).expect("shown"), @r"
     has a vote, promised ballot 0.0
     voters of epoch 1: 10.0.0.1, 10.0.0.2
     0 stores known
-    list of term 0, reading 0: 0 backends
+    backend list of term 0, reading 0: 0 backends
     Route r-1 r1, ballot 3.7
     Service s r1, ballot 3.7
     Voters voters r1, ballot 0.0
     ");
-    let exported = dir.file("exported.json", &export_store(&dir.0).expect("exported"));
+    let exported = folder.file("exported.json", &export_store(&folder.0).expect("exported"));
     assert_eq!(
         check_calls(&[exported]),
         Ok("valid: 1 routes, 0 tenants, 1 services".into())
@@ -203,21 +216,21 @@
 }
 
 #[test]
-fn one_things_account_is_joined_over_all_machines() {
-    let dir = Folder::new("logs");
-    dir.file(
+fn explain_merges_log_lines_of_all_machines_by_time() {
+    let folder = TempFolder::new("logs");
+    folder.file(
         "core-a-1.log",
         "2026-12-02T01:00:02Z INFO damsonbeam_registry: main.rs:10 members: 10.0.0.2 is Suspect.\n\
          2026-12-02T01:00:03Z INFO damsonbeam_registry: main.rs:10 members: 10.0.0.21 is Suspect.\nno line of ours\n",
     );
-    dir.file(
+    folder.file(
         "core-b-1.log",
         "2026-12-02T01:00:01Z INFO damsonbeam_config_store: main.rs:10 store: 10.0.0.2 lost.\n",
     );
-    let lines = explain("10.0.0.2", &dir.0).expect("read");
+    let lines = explain("10.0.0.2", &folder.0).expect("read");
     let lines: Vec<String> = lines
         .into_iter()
-        .map(|l| format!("{} {}", l.machine, l.text))
+        .map(|line| format!("{} {}", line.machine, line.text))
         .collect();
     assert_eq!(
         lines,
