--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -1,5 +1,6 @@
-//! Hosts many instances of the decision module behind the simulator's wire: a batch of events in,
-//! one line of actions out. It translates and decides nothing.
+//! Runs many instances of the decision module for the simulator. Each input line is a batch of events; each output line
+//! holds the resulting actions. The adapter only translates between the simulator's format and the module's types; all
+//! decisions are made by the module.
 
 mod translate;
 mod wire;
@@ -14,7 +15,7 @@
 use translate::{GatewayEvent, Lists, TranslateError};
 use wire::{Batch, Reply, WireEvent};
 
-/// Why a line can't be answered.
+/// The reason why an input line can't be processed.
 #[derive(Debug, thiserror::Error)]
 enum LineError {
     #[error("not a batch: {0}")]
@@ -31,7 +32,7 @@
     Io(#[from] io::Error),
 }
 
-/// Why the adapter ends.
+/// The error with which the adapter exits.
 #[derive(Debug, thiserror::Error)]
 #[error("line {number}: {error}")]
 struct RunError {
@@ -39,7 +40,7 @@
     error: LineError,
 }
 
-/// All instances of this process, and the lists that the wire numbers for all of them.
+/// The module instances by gateway id, and the backend lists shared by all of them.
 #[derive(Default)]
 struct Host {
     instances: BTreeMap<u32, Rules>,
@@ -47,8 +48,8 @@
 }
 
 impl Host {
-    /// Answers a batch of events.
-    fn answer(&mut self, line: &str) -> Result<Reply, LineError> {
+    /// Processes a line with a batch of events; returns the actions of all instances.
+    fn process_line(&mut self, line: &str) -> Result<Reply, LineError> {
         let batch: Batch = serde_json::from_str(line)?;
         let now = Duration::from_nanos(batch.clock_ns);
         let mut reply = Reply::default();
@@ -88,13 +89,13 @@
                 Ok(())
             }
             other => match translate::event(other, &self.lists)? {
-                Some(event) => self.decide(event, now, reply),
+                Some(event) => self.dispatch(event, now, reply),
                 None => Ok(()),
             },
         }
     }
 
-    fn decide(
+    fn dispatch(
         &mut self,
         event: GatewayEvent,
         now: Duration,
@@ -110,28 +111,28 @@
     }
 }
 
-/// Answers lines until the input ends.
+/// Processes input lines until the end of the input.
 fn run() -> Result<(), RunError> {
     let mut input = io::stdin().lock();
     let mut output = io::stdout().lock();
     let mut host = Host::default();
     let mut line = String::new();
-    let mut answer = Vec::new();
+    let mut buffer = Vec::new();
     for number in 1u64.. {
-        let failed = |error: LineError| RunError { number, error };
+        let line_error = |error: LineError| RunError { number, error };
         line.clear();
         let read = input.read_line(&mut line);
-        if read.map_err(|error| failed(error.into()))? == 0 {
+        if read.map_err(|error| line_error(error.into()))? == 0 {
             break;
         }
-        let reply = host.answer(&line).map_err(failed)?;
-        answer.clear();
-        write_answer(&reply, &mut answer, &mut output).map_err(failed)?;
+        let reply = host.process_line(&line).map_err(line_error)?;
+        buffer.clear();
+        write_reply(&reply, &mut buffer, &mut output).map_err(line_error)?;
     }
     Ok(())
 }
 
-fn write_answer(
+fn write_reply(
     reply: &Reply,
     buffer: &mut Vec<u8>,
     output: &mut impl Write,
--- a/crates/adapter/src/translate.rs
+++ b/crates/adapter/src/translate.rs
@@ -1,4 +1,4 @@
-//! The simulator's words translated to the module's, and back.
+//! Translates the simulator's events to those of the module, and the module's actions to those of the simulator.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,13 +11,13 @@
 
 use crate::wire::{Disposition, Form, Row, WireAction, WireEvent};
 
-/// Stands for all gateways where one could be named.
+/// Target of a `signal` action that goes to all gateways.
 const ALL_GATEWAYS: i64 = -1;
 
-/// The lists of backends that the wire numbers.
+/// Backend lists by the page number under which the simulator registered them.
 pub(crate) type Lists = BTreeMap<u32, Arc<[BackendEntry]>>;
 
-/// Why an event can't be translated.
+/// The reason why an event can't be translated.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum TranslateError {
     #[error("roster-change lacks `page`")]
@@ -25,10 +25,10 @@
     #[error("roster-change names unknown page {0}")]
     UnknownPage(u32),
     #[error("peer-data's `raw`: {0}")]
-    NoHex(#[from] hex::FromHexError),
+    InvalidHex(#[from] hex::FromHexError),
 }
 
-/// An event, and the gateway that it happened to.
+/// An event with the id of the gateway that receives it.
 pub(crate) struct GatewayEvent {
     pub(crate) gateway_id: u32,
     pub(crate) event: Event,
@@ -38,7 +38,7 @@
     u64::try_from(time.as_nanos()).unwrap_or(u64::MAX)
 }
 
-/// A backend in a list.
+/// Translates one row of a backend list.
 pub(crate) fn entry(row: &Row) -> BackendEntry {
     BackendEntry {
         backend_id: BackendId(row.backend),
@@ -46,7 +46,7 @@
             "U" => Health::Up,
             "L" => Health::Draining,
             "D" => Health::Gone,
-            // An unlisted state is no promise that it takes work.
+            // A backend in an unknown state may not accept requests, so it counts as draining.
             _ => Health::Draining,
         },
         since: Duration::from_nanos(row.online_since_ns),
@@ -66,12 +66,12 @@
         Disposition::ResetByPeer => Outcome::Reset,
         Disposition::Canceled => Outcome::Canceled,
         Disposition::Ignored => Outcome::Ignored,
-        // An outcome of a kind not yet known may have run.
+        // An attempt with an unknown outcome may have been executed, so it counts as failed.
         Disposition::Failed | Disposition::Unknown => Outcome::Failed,
     }
 }
 
-/// A list of backends; `None` for a form that this build does not know.
+/// Translates a change of the backend list; returns `None` for an unknown form.
 fn backend_list(
     form: Form,
     page: Option<u32>,
@@ -94,10 +94,10 @@
     Ok(Some(Event::BackendList { form, entries }))
 }
 
-/// The gateway concerned and what happened to it; `None` for what this build does not know.
+/// Translates an event; returns `None` for an unknown event and for events that the adapter handles itself.
 #[expect(
     clippy::too_many_lines,
-    reason = "an arm for each event, which only renames fields"
+    reason = "one arm per event that only renames fields"
 )]
 pub(crate) fn event(
     event: WireEvent,
@@ -167,7 +167,7 @@
             cost,
             server_stats,
         } => {
-            // 0 stands for none; the percentage is one less.
+            // `seen_use` is the percentage plus 1; 0 means that no value was reported.
             let used_percent = seen_use.checked_sub(1);
             let event = Event::AttemptEnded {
                 invocation_id: InvocationId(msg_id),
@@ -239,10 +239,10 @@
     Ok(Some(GatewayEvent { gateway_id, event }))
 }
 
-/// What a gateway is to do.
+/// Translates an action of the given gateway.
 #[expect(
     clippy::too_many_lines,
-    reason = "an arm for each action, which only renames fields"
+    reason = "one arm per action that only renames fields"
 )]
 pub(crate) fn action(gateway_id: u32, action: Action) -> WireAction {
     match action {
@@ -303,7 +303,7 @@
         },
         Action::WatchBackendList { on } => WireAction::Observe { gateway_id, on },
         Action::FetchBackendList => WireAction::Resolve { gateway_id },
-        // The wire has no word for a hand-over, and so no event that asks for one.
+        // The simulator has no hand-over action and no event that starts a hand-over.
         Action::HandOver(_) => WireAction::Remark {
             gateway_id,
             what: "hand-over".into(),
--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -1,26 +1,27 @@
-//! The simulator's wire, as it stands in a line of JSON. Names of fields and variants are the simulator's.
+//! The simulator's message format, one JSON object per line. The names of fields and variants are defined by the
+//! simulator.
 
 use damsonbeam_settings::Facts;
 use serde::{Deserialize, Serialize};
 
-/// A line in.
+/// An input line: a batch of events.
 #[derive(Deserialize)]
 pub(crate) struct Batch {
-    /// The time of all that happened.
+    /// Time of all events in the batch, in nanoseconds.
     #[serde(rename = "clock-ns")]
     pub clock_ns: u64,
-    /// What happened, in order.
+    /// Events in the order in which they happened.
     pub happened: Vec<WireEvent>,
 }
 
-/// A line out.
+/// An output line: the actions that result from one batch.
 #[derive(Serialize, Default)]
 pub(crate) struct Reply {
-    /// What is to be done, in order.
+    /// Actions in the order in which they are to be performed.
     pub output: Vec<WireAction>,
 }
 
-/// What happened, as the simulator words it.
+/// An event of the simulator.
 #[derive(Deserialize)]
 #[serde(tag = "t", rename_all = "kebab-case", rename_all_fields = "kebab-case")]
 pub(crate) enum WireEvent {
@@ -122,7 +123,7 @@
     1.0
 }
 
-/// How a list of backends is to be taken.
+/// How a backend list changes the previous one.
 #[derive(Deserialize, Clone, Copy)]
 #[serde(rename_all = "kebab-case")]
 pub(crate) enum Form {
@@ -134,7 +135,7 @@
     Unknown,
 }
 
-/// How an attempt or a call ended.
+/// The outcome of an attempt, a health check or a counter call.
 #[derive(Deserialize, Clone, Copy)]
 pub(crate) enum Disposition {
     Ok,
@@ -149,7 +150,7 @@
     Unknown,
 }
 
-/// A backend in a list.
+/// One row of a backend list.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub(crate) struct Row {
@@ -167,7 +168,7 @@
     pub backend: u32,
 }
 
-/// What is to be done, as the simulator words it.
+/// An action that the simulator performs for a gateway.
 #[derive(Serialize)]
 #[serde(tag = "t", rename_all = "kebab-case", rename_all_fields = "kebab-case")]
 pub(crate) enum WireAction {
--- a/crates/adapter/tests/bad_input.rs
+++ b/crates/adapter/tests/bad_input.rs
@@ -1,9 +1,9 @@
-//! The adapter as a program: what it answers, and how it ends on what is not a batch.
+//! Runs the adapter as a process: valid batches get replies, and an invalid line ends the process with an error.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-fn run(input: &str) -> Output {
+fn run_adapter(input: &str) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_damsonbeam-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
@@ -19,18 +19,22 @@
     child.wait_with_output().expect("it ends")
 }
 
-fn fails(input: &str, says: &[&str]) {
-    let out = run(input);
-    let text = String::from_utf8(out.stderr).expect("text");
-    assert!(!out.status.success(), "{input}");
-    assert_eq!(text.trim_end().lines().count(), 1, "one line: {text}");
-    for word in says {
+fn assert_fails_with(input: &str, expected_words: &[&str]) {
+    let output = run_adapter(input);
+    let text = String::from_utf8(output.stderr).expect("text");
+    assert!(!output.status.success(), "{input}");
+    assert_eq!(
+        text.trim_end().lines().count(),
+        1,
+        "one line is expected: {text}"
+    );
+    for word in expected_words {
         assert!(text.contains(word), "{text} lacks {word}");
     }
 }
 
-const EMPTY: &str = "{\"clock-ns\":5,\"happened\":[]}\n";
-const BEGIN: &str = concat!(
+const EMPTY_BATCH: &str = "{\"clock-ns\":5,\"happened\":[]}\n";
+const BEGIN_BATCH: &str = concat!(
     r#"{"clock-ns":5,"happened":[{"t":"begin","gateway-id":0,"rng-seed":1,"facts":{"siblings":1,"tick-ns":2000000,"#,
     r#""unheard-of":[1],"request-classes":[{"slo-ns":1000000000,"deadline-ns":3000000000,"#,
     r#""idempotency":"retryable"}],"ceilings":{"try-limit":3}}},"#,
@@ -42,31 +46,41 @@
 );
 
 #[test]
-fn answers_each_line_and_ends_well_with_its_input() {
-    let out = run(&format!("{EMPTY}{BEGIN}"));
-    assert!(out.status.success());
-    let text = String::from_utf8(out.stdout).expect("text");
+fn each_line_gets_a_reply_and_end_of_input_exits_successfully() {
+    let output = run_adapter(&format!("{EMPTY_BATCH}{BEGIN_BATCH}"));
+    assert!(output.status.success());
+    let text = String::from_utf8(output.stdout).expect("text");
     let lines: Vec<&str> = text.lines().collect();
     assert_eq!(lines[0], "{\"output\":[]}");
     assert!(
         lines[1].contains(r#""t":"place","gateway-id":0,"msg-id":9,"backend":7"#),
         "{text}"
     );
-    assert_eq!(lines.len(), 2, "nothing but replies");
+    assert_eq!(
+        lines.len(),
+        2,
+        "one reply per input line and no other output"
+    );
 }
 
 #[test]
-fn names_the_line_and_what_is_wrong() {
-    fails("hello\n", &["line 1"]);
-    fails(&format!("{EMPTY}[]\n"), &["line 2"]);
-    let request =
+fn invalid_line_exits_with_its_number_and_the_reason() {
+    assert_fails_with("hello\n", &["line 1"]);
+    assert_fails_with(&format!("{EMPTY_BATCH}[]\n"), &["line 2"]);
+    let incomplete_request =
         r#"{"clock-ns":5,"happened":[{"t":"request","gateway-id":0,"valid-until-ns":9,"cls":0}]}"#;
-    fails(&format!("{BEGIN}{request}\n"), &["line 2", "msg-id"]);
-    let stranger = r#"{"clock-ns":5,"happened":[{"t":"left","gateway-id":4,"msg-id":1}]}"#;
-    fails(
-        &format!("{EMPTY}{stranger}\n"),
+    assert_fails_with(
+        &format!("{BEGIN_BATCH}{incomplete_request}\n"),
+        &["line 2", "msg-id"],
+    );
+    let unknown_instance = r#"{"clock-ns":5,"happened":[{"t":"left","gateway-id":4,"msg-id":1}]}"#;
+    assert_fails_with(
+        &format!("{EMPTY_BATCH}{unknown_instance}\n"),
         &["line 2", "unknown instance 4"],
     );
-    let page = r#"{"clock-ns":5,"happened":[{"t":"roster-change","gateway-id":0,"revision":2,"page":3,"form":"update"}]}"#;
-    fails(&format!("{BEGIN}{page}\n"), &["line 2", "page 3"]);
+    let unknown_page = r#"{"clock-ns":5,"happened":[{"t":"roster-change","gateway-id":0,"revision":2,"page":3,"form":"update"}]}"#;
+    assert_fails_with(
+        &format!("{BEGIN_BATCH}{unknown_page}\n"),
+        &["line 2", "page 3"],
+    );
 }
