--- a/crates/migrate/src/command.rs
+++ b/crates/migrate/src/command.rs
@@ -1,56 +1,57 @@
-//! `damsonbeam migrate OLD --shape SHAPE --out NEW [--dry-run] [--force]`: the file side of [`migrate`].
+//! The command `damsonbeam migrate OLD --shape SHAPE --out NEW [--dry-run] [--force]`, which reads and writes the files
+//! for [`migrate`].
 
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-use crate::{File, MigrateError, migrate};
+use crate::{ConfigFile, MigrateError, migrate};
 
-/// Writes a gateway's configuration anew for a deployment of another shape, and lists what it could not
-/// carry over. Exit 0: done; 1: the input is faulty; 2: usage.
+/// Converts a gateway's configuration to a deployment of another shape, and lists the settings that it could
+/// not carry over. Exit codes: 0 success, 1 invalid input, 2 usage error.
 #[derive(clap::Args, Debug)]
 pub struct Args {
-    /// The gateway's present file
+    /// The gateway's current configuration file
     pub old: PathBuf,
-    /// A file of the same form with the new site's settings
+    /// A configuration file with the settings of the new deployment
     #[arg(long)]
     pub shape: PathBuf,
-    /// Where the new file goes
+    /// Path of the new configuration file
     #[arg(long)]
     pub out: PathBuf,
-    /// Say the same and change nothing
+    /// Print the same notes without writing the file
     #[arg(long)]
     pub dry_run: bool,
-    /// Write over a file that is there
+    /// Overwrite an existing file
     #[arg(long)]
     pub force: bool,
 }
 
-/// Why the command failed; each names the file.
+/// The reason why the command failed; each message names the file.
 #[derive(Debug, thiserror::Error)]
 pub enum CommandError {
     /// A file can't be read or written.
     #[error("{path}: {source}")]
     Io {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// Why not.
+        /// The I/O error.
         source: io::Error,
     },
-    /// What stands in a file can't be used.
+    /// The contents of a file are not valid.
     #[error("{path}: {problem}")]
     Input {
-        /// The file, or the two that don't go together.
+        /// Path of the file, or both paths if the combined result is not valid.
         path: String,
-        /// What is wrong.
+        /// Why the contents were rejected.
         problem: String,
     },
-    /// The new file is there already.
-    #[error("{0}: is there already; --force writes over it")]
+    /// The new file already exists.
+    #[error("{0}: already exists; --force overwrites it")]
     Exists(String),
 }
 
-/// Writes a file whole or not at all.
-fn write(path: &Path, text: &str, force: bool) -> io::Result<()> {
+/// Writes a file atomically. Without `force`, an existing file is an error.
+fn write_atomically(path: &Path, text: &str, force: bool) -> io::Result<()> {
     let folder = path
         .parent()
         .filter(|folder| !folder.as_os_str().is_empty())
@@ -66,7 +67,7 @@
     Ok(())
 }
 
-fn read(path: &Path) -> Result<String, CommandError> {
+fn read_file(path: &Path) -> Result<String, CommandError> {
     std::fs::read_to_string(path).map_err(|source| io_error(path, source))
 }
 
@@ -78,14 +79,14 @@
 }
 
 impl Args {
-    /// An error with the file's name as the command line has it.
+    /// Converts an error; the path is that given on the command line.
     fn input_error(&self, error: MigrateError) -> CommandError {
         let old = self.old.display();
         let shape = self.shape.display();
         let path = match error.file {
-            File::Old => old.to_string(),
-            File::Shape => shape.to_string(),
-            File::New => format!("{old} with {shape}"),
+            ConfigFile::Old => old.to_string(),
+            ConfigFile::Shape => shape.to_string(),
+            ConfigFile::New => format!("{old} with {shape}"),
         };
         CommandError::Input {
             path,
@@ -94,30 +95,30 @@
     }
 }
 
-/// Carries the command out.
+/// Runs the command and prints the notes.
 ///
 /// # Errors
-/// What goes wrong, as one line that names the file.
+/// Fails if a file can't be read or written, is not valid, or already exists; the message names the file.
 pub fn run(args: &Args) -> Result<(), CommandError> {
-    let old = read(&args.old)?;
-    let shape = read(&args.shape)?;
+    let old = read_file(&args.old)?;
+    let shape = read_file(&args.shape)?;
     let migrated = migrate(&old, &shape).map_err(|error| args.input_error(error))?;
     let out = args.out.display();
     if !args.force && args.out.exists() {
         return Err(CommandError::Exists(out.to_string()));
     }
     if !args.dry_run {
-        write(&args.out, &migrated.text, args.force)
+        write_atomically(&args.out, &migrated.text, args.force)
             .map_err(|source| io_error(&args.out, source))?;
     }
     for note in &migrated.notes {
         println!("{note}");
     }
-    let what = if args.dry_run {
+    let status = if args.dry_run {
         "not written, dry run"
     } else {
         "written"
     };
-    println!("{out}: {what}");
+    println!("{out}: {status}");
     Ok(())
 }
--- a/crates/migrate/src/lib.rs
+++ b/crates/migrate/src/lib.rs
@@ -1,4 +1,4 @@
-//! A gateway's configuration, carried over to a deployment of another shape. No I/O.
+//! Converts a gateway's configuration to a deployment of another shape. The conversion itself does no I/O.
 #![warn(clippy::too_many_lines, unreachable_pub)]
 
 pub mod command;
@@ -11,8 +11,8 @@
 
 use self::differences::Differences;
 
-/// The process's own keys, in whatever shape its deployment is.
-const OWN_KEYS: [&str; 9] = [
+/// Keys that belong to the process and are kept from the old file, whatever the shape of the deployment.
+const PROCESS_KEYS: [&str; 9] = [
     "name",
     "listen",
     "discovery",
@@ -24,48 +24,48 @@
     "peers",
 ];
 
-/// The new configuration and what an operator has to know of it.
+/// The result of a migration.
 #[derive(Debug, PartialEq)]
 pub struct Migrated {
-    /// The new configuration.
+    /// The new configuration file.
     pub text: String,
-    /// What an operator has to know of it, a line each.
+    /// Notes for the operator, one line each.
     pub notes: Vec<String>,
 }
 
-/// Which of the files something is wrong with.
+/// The file to which an error refers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum File {
-    /// The gateway's present file.
+pub enum ConfigFile {
+    /// The gateway's current configuration.
     Old,
-    /// The file of the new shape.
+    /// The configuration with the settings of the new deployment.
     Shape,
-    /// The file that would come out.
+    /// The resulting configuration.
     New,
 }
 
-impl fmt::Display for File {
+impl fmt::Display for ConfigFile {
     fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
         formatter.write_str(match self {
-            File::Old => "OLD",
-            File::Shape => "SHAPE",
-            File::New => "NEW",
+            ConfigFile::Old => "OLD",
+            ConfigFile::Shape => "SHAPE",
+            ConfigFile::New => "NEW",
         })
     }
 }
 
-/// Why a configuration can't be carried over.
+/// The reason why a configuration can't be migrated.
 #[derive(Debug, PartialEq, thiserror::Error)]
 #[error("{file}: {problem}")]
 pub struct MigrateError {
-    /// The file.
-    pub file: File,
-    /// What is wrong with it.
+    /// The file that is not valid.
+    pub file: ConfigFile,
+    /// Why the file was rejected.
     pub problem: String,
 }
 
 impl MigrateError {
-    fn new(file: File, problem: impl fmt::Display) -> Self {
+    fn new(file: ConfigFile, problem: impl fmt::Display) -> Self {
         MigrateError {
             file,
             problem: problem.to_string(),
@@ -75,7 +75,7 @@
 
 type Object = Map<String, Value>;
 
-fn object(file: File, text: &str) -> Result<Object, MigrateError> {
+fn parse_object(file: ConfigFile, text: &str) -> Result<Object, MigrateError> {
     match serde_json::from_str(text) {
         Ok(Value::Object(object)) => Ok(object),
         Ok(_) => Err(MigrateError::new(file, "not an object")),
@@ -83,13 +83,14 @@
     }
 }
 
-fn settings(file: File, object: &Object) -> Result<Object, MigrateError> {
+fn settings_object(file: ConfigFile, object: &Object) -> Result<Object, MigrateError> {
     let found = object.get("settings").and_then(Value::as_object).cloned();
     found.ok_or_else(|| MigrateError::new(file, "settings: missing, or not an object"))
 }
 
-/// The gateway's own check. What a file leaves to the environment is checked where it starts.
-fn check(file: File, text: &str) -> Result<Config, MigrateError> {
+/// Parses a configuration as the gateway does at its start. Environment variables get placeholder values here; the gateway
+/// checks the real values when it starts.
+fn parse_config(file: ConfigFile, text: &str) -> Result<Config, MigrateError> {
     let environment = |key: &str| {
         let value = if key == "NODE_NAME" {
             "-"
@@ -104,49 +105,48 @@
     })
 }
 
-/// Carries a configuration over: `old` is a gateway's present file, `shape` one of the same form with the new site's
-/// settings.
+/// Converts `old`, a gateway's current configuration, to the settings of `shape`, a configuration of the new deployment.
 ///
 /// # Errors
-/// Where one of the files can't be used, or what would come out.
+/// Fails if one of the two configurations or the result is not valid.
 pub fn migrate(old: &str, shape: &str) -> Result<Migrated, MigrateError> {
-    let old_object = object(File::Old, old)?;
-    let shape_object = object(File::Shape, shape)?;
-    let old_config = check(File::Old, old)?;
-    let old_settings = settings(File::Old, &old_object)?;
-    let mut new_settings = settings(File::Shape, &shape_object)?;
+    let old_object = parse_object(ConfigFile::Old, old)?;
+    let shape_object = parse_object(ConfigFile::Shape, shape)?;
+    let old_config = parse_config(ConfigFile::Old, old)?;
+    let old_settings = settings_object(ConfigFile::Old, &old_object)?;
+    let mut new_settings = settings_object(ConfigFile::Shape, &shape_object)?;
     let mut notes = Vec::new();
-    carry_own_place(&old_config, &mut new_settings, &mut notes);
-    let mut new_object = own_keys(&old_object, &shape_object, &mut notes);
+    copy_index_and_zone(&old_config, &mut new_settings, &mut notes);
+    let mut new_object = process_keys(&old_object, &shape_object, &mut notes);
     let is_same_shape = old_settings == new_settings;
-    carry_other_keys(&old_object, is_same_shape, &mut new_object, &mut notes);
+    copy_other_keys(&old_object, is_same_shape, &mut new_object, &mut notes);
     let old_settings = Value::Object(old_settings);
     let new_settings = Value::Object(new_settings);
-    Differences { notes: &mut notes }.note(&old_settings, &new_settings);
+    Differences { notes: &mut notes }.add_notes(&old_settings, &new_settings);
     new_object.insert("settings".into(), new_settings);
     let text = if new_object == old_object {
         old.to_string()
     } else {
         let text = serde_json::to_string_pretty(&new_object);
-        text.map_err(|error| MigrateError::new(File::New, error))? + "\n"
+        text.map_err(|error| MigrateError::new(ConfigFile::New, error))? + "\n"
     };
-    let config = check(File::New, &text)?;
+    let config = parse_config(ConfigFile::New, &text)?;
     notes.extend(config.notes.iter().map(|note| format!("mind: {note}")));
     Ok(Migrated { text, notes })
 }
 
-/// Which of the gateways it is, and where it stands, no shape can tell.
-fn carry_own_place(old: &Config, settings: &mut Object, notes: &mut Vec<String>) {
-    let own = old.facts.self_index;
+/// Copies the index and the zone of the gateway from the old configuration, since a shape is the same for all gateways.
+fn copy_index_and_zone(old: &Config, settings: &mut Object, notes: &mut Vec<String>) {
+    let self_index = old.facts.self_index;
     let siblings = settings
         .get("siblings")
         .and_then(Value::as_u64)
         .unwrap_or(0);
-    if u64::from(own) < siblings {
-        settings.insert("self-index".into(), own.into());
+    if u64::from(self_index) < siblings {
+        settings.insert("self-index".into(), self_index.into());
     } else {
         notes.push(format!(
-            "not carried over: settings.self-index: {own} of {siblings}; give each gateway its own"
+            "not carried over: settings.self-index: {self_index} of {siblings}; set a different index for each gateway"
         ));
     }
     let zone = old.facts.dcs.get(old.facts.locality as usize);
@@ -156,15 +156,16 @@
         Some(position) => {
             settings.insert("locality".into(), position.into());
         }
-        None => notes
-            .push("not carried over: settings.locality: no zone of that name; see to it".into()),
+        None => notes.push(
+            "not carried over: settings.locality: no zone of that name; set it by hand".into(),
+        ),
     }
 }
 
-/// The process's own keys are the old file's; only a counter may come from the shape.
-fn own_keys(old: &Object, shape: &Object, notes: &mut Vec<String>) -> Object {
+/// Returns an object with the process keys of the old file; a missing `counter` is taken from the shape.
+fn process_keys(old: &Object, shape: &Object, notes: &mut Vec<String>) -> Object {
     let mut new = Object::new();
-    for key in OWN_KEYS {
+    for key in PROCESS_KEYS {
         if let Some(value) = old.get(key) {
             new.insert(key.into(), value.clone());
         } else if let Some(value) = shape.get(key).filter(|_| key == "counter") {
@@ -177,8 +178,8 @@
     new
 }
 
-/// All other keys stay where the shape does.
-fn carry_other_keys(old: &Object, is_same_shape: bool, new: &mut Object, notes: &mut Vec<String>) {
+/// Copies all other keys if the settings are unchanged, and notes them as not carried over otherwise.
+fn copy_other_keys(old: &Object, is_same_shape: bool, new: &mut Object, notes: &mut Vec<String>) {
     for (key, value) in old.iter().filter(|(key, _)| *key != "settings") {
         if new.contains_key(key) {
             continue;
@@ -186,7 +187,7 @@
         if is_same_shape {
             new.insert(key.clone(), value.clone());
         } else if key == "known" {
-            notes.push("not carried over: known: its backends are the old deployment's".into());
+            notes.push("not carried over: known: its backends belong to the old deployment".into());
         } else {
             notes.push(format!(
                 "not carried over: {key}: the gateway has no such key"
