--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -17,10 +17,10 @@
 enum Command {
     /// Checks a settings file as the programs do at their start
     #[bpaf(command("check-settings"))]
-    Settings(#[bpaf(positional("FILE"))] PathBuf),
+    CheckSettings(#[bpaf(positional("FILE"))] PathBuf),
     /// Checks configuration calls as the store does, in the order in which they are to be sent
     #[bpaf(command("check-calls"))]
-    Calls(#[bpaf(positional("FILE"), some("at least one file is required"))] Vec<PathBuf>),
+    CheckCalls(#[bpaf(positional("FILE"), some("at least one file is required"))] Vec<PathBuf>),
     /// Shows the state of a running system as seen by the registry at this control address
     #[bpaf(command("state"))]
     State(#[bpaf(positional("ADDRESS"))] SocketAddr),
@@ -66,13 +66,13 @@
     ),
     /// Shows the items of a store with their versions and ballots; the store process must be stopped
     #[bpaf(command("store-show"))]
-    Show(#[bpaf(positional("FOLDER"))] PathBuf),
+    StoreShow(#[bpaf(positional("FOLDER"))] PathBuf),
     /// Checks whether the data of a store is valid; the store process must be stopped
     #[bpaf(command("store-verify"))]
-    Verify(#[bpaf(positional("FOLDER"))] PathBuf),
+    StoreVerify(#[bpaf(positional("FOLDER"))] PathBuf),
     /// Prints the configuration in a store as a call that sets it; the store process must be stopped
     #[bpaf(command("store-export"))]
-    Export(#[bpaf(positional("FOLDER"))] PathBuf),
+    StoreExport(#[bpaf(positional("FOLDER"))] PathBuf),
     /// Prints the log lines of all machines that mention a request, item, machine or backend, ordered by time
     #[bpaf(command("explain"))]
     Explain {
@@ -87,8 +87,8 @@
 /// Runs the command and returns the text to print.
 fn run(command: Command) -> Result<String, CtlError> {
     match command {
-        Command::Settings(path) => check_settings(&path),
-        Command::Calls(paths) => check_calls(&paths),
+        Command::CheckSettings(path) => check_settings(&path),
+        Command::CheckCalls(paths) => check_calls(&paths),
         Command::State(address) => state(address),
         Command::Loads(address) => loads(address),
         Command::MirrorSet(address, path) => mirror::set(address, &path),
@@ -96,9 +96,9 @@
         Command::MirrorStop(address, name, version) => mirror::stop(address, &name, &version),
         Command::MirrorReport(proxies) => mirror::report(&proxies),
         Command::Account { request, proxies } => account(&proxies, request.as_deref()),
-        Command::Show(folder) => show_store(&folder),
-        Command::Verify(folder) => verify_store(&folder),
-        Command::Export(folder) => export_store(&folder),
+        Command::StoreShow(folder) => show_store(&folder),
+        Command::StoreVerify(folder) => verify_store(&folder),
+        Command::StoreExport(folder) => export_store(&folder),
         Command::Explain { subject, logs } => {
             let lines = explain::explain(&subject, &logs)?;
             if lines.is_empty() {
--- a/crates/ctl/src/mirror.rs
+++ b/crates/ctl/src/mirror.rs
@@ -81,7 +81,7 @@
     real_ms_sum: f64,
     /// Sum of the latencies of the trial responses in the compared pairs, in milliseconds.
     trial_ms_sum: f64,
-    /// Callers by name, with whether any proxy reports the caller as broken.
+    /// Callers by their hashes, with whether any proxy failed to mirror one of the requests it had to mirror for the caller.
     callers: BTreeMap<String, bool>,
 }
 
@@ -141,17 +141,23 @@
         }
     }
 
-    /// Adds a caller, given as the array `[name, requests, is_broken]`.
+    /// Adds a caller, given as the array `[hash, requests, is_incomplete]`.
     fn add_caller(&mut self, caller: &Value) {
         let field = |position: usize| caller.as_array().and_then(|fields| fields.get(position));
         let name = field(0).and_then(|name| name.as_str()).unwrap_or_default();
-        let is_broken = field(2).and_then(|broken| broken.as_bool()).unwrap_or(true);
-        *self.callers.entry(name.to_string()).or_default() |= is_broken;
+        let is_incomplete = field(2)
+            .and_then(|incomplete| incomplete.as_bool())
+            .unwrap_or(true);
+        *self.callers.entry(name.to_string()).or_default() |= is_incomplete;
     }
 
     fn format_line(&self, rule: &RuleVersion) -> String {
         let callers = self.callers.len();
-        let broken = self.callers.values().filter(|broken| **broken).count();
+        let incomplete = self
+            .callers
+            .values()
+            .filter(|incomplete| **incomplete)
+            .count();
         let counts: Vec<String> = self
             .counts
             .iter()
@@ -169,10 +175,10 @@
         };
         let pairs = (self.counts["compared"] as f64).max(1.0);
         format!(
-            "{} r{}: {callers} callers, {} whole, {broken} broken; {}; dropped: {dropped}; mean latency in ms: real {:.1}, trial {:.1}",
+            "{} r{}: {callers} callers, {} complete, {incomplete} incomplete; {}; dropped: {dropped}; mean latency in ms: real {:.1}, trial {:.1}",
             rule.name,
             rule.version,
-            callers - broken,
+            callers - incomplete,
             counts.join(", "),
             self.real_ms_sum / pairs,
             self.trial_ms_sum / pairs
--- a/crates/ctl/tests/files.rs
+++ b/crates/ctl/tests/files.rs
@@ -39,7 +39,7 @@
     result: Result<T, damsonbeam_ctl::CtlError>,
     folder: &TempFolder,
 ) -> String {
-    let error = result.expect_err("a fault").to_string();
+    let error = result.expect_err("an error").to_string();
     error
         .replace(&format!("{}/", folder.0.display()), "")
         .replace(&folder.0.display().to_string(), "DIR")
@@ -130,7 +130,7 @@
     let valid = r#"{"node_name":"edge-1","ip_address":"10.1.0.33","zone":"a","region":"x","zones":{"a":"x"},"serves":["edge"],"listen_addresses":{"front":"10.1.0.33:80"},"internal_port_range":[7740,7755],"seed_nodes":["10.1.0.35:8688"],"timing_bounds":["drain_ms=4000","revocation_global=false"],"cloud_api":{"address":"10.200.0.51:8682","rate_per_s":50.0}}"#;
     let path = folder.file("good.json", valid);
     let line = check_settings(&path)
-        .expect("whole")
+        .expect("valid settings")
         .replace(&format!("{}/", folder.0.display()), "");
     assert_eq!(line, "good.json: edge-1 in a, 1 seeds");
     let invalid = [
--- a/crates/ctl/tests/system/catch_up.rs
+++ b/crates/ctl/tests/system/catch_up.rs
@@ -4,8 +4,8 @@
 
 use crate::cluster::{Backend, Cluster};
 use crate::operator::{Outcome, remove_route, set_route, try_change};
-use crate::orders::core_only;
-use crate::{API_KEY_HEADER, get, route, serves, two_regions};
+use crate::orders::core_only_plan;
+use crate::{API_KEY_HEADER, get, route, serves, two_regions_plan};
 
 const MISSED_CHANGES: u32 = 300;
 /// Limit for a restarted machine to catch up with the others. Catching up took 1.1 s on a busy machine.
@@ -13,7 +13,7 @@
 
 #[test]
 fn machine_that_missed_300_changes_catches_up_within_ten_seconds() {
-    let mut cluster = Cluster::new(core_only(&["a", "b", "c"]), &[]);
+    let mut cluster = Cluster::new(core_only_plan(&["a", "b", "c"]), &[]);
     cluster.start_configured();
     cluster.wait_until_in_sync();
     cluster.kill_machine(0);
@@ -25,19 +25,19 @@
             _ => set_route(&name, &format!("/many-{n}/"), version),
         };
         if try_change(cluster.control_address(1 + n as usize % 2), &body) != Outcome::Acknowledged {
-            cluster.change_anywhere(&body);
+            cluster.change_at_any_machine(&body);
         }
     }
-    let known = cluster.digest(1);
-    let back = Instant::now();
+    let expected_digest = cluster.digest(1);
+    let restarted_at = Instant::now();
     cluster.start_machine(0);
     cluster.wait_until("the restarted machine has caught up", |c| {
         c.digest(0).is_some() && c.digest(0) == c.digest(1)
     });
-    let took = back.elapsed();
+    let took = restarted_at.elapsed();
     assert!(took < CATCH_UP_LIMIT, "{took:?}");
     println!("caught up {took:?} after the start, {MISSED_CHANGES} changes missed");
-    assert_eq!(cluster.digest(0), known);
+    assert_eq!(cluster.digest(0), expected_digest);
     // The restarted machine answers reads and accepts changes.
     let text = cluster.read_at(0);
     assert!(
@@ -45,7 +45,7 @@
         "{text}"
     );
     cluster.change_at(0, &set_route("r-after", "/after/", 1000));
-    cluster.all_read(&["\"/after/\"".into()]);
+    cluster.assert_all_read(&["\"/after/\"".into()]);
 }
 
 /// Number of routes in one change, more than a registry sends to proxies unasked.
@@ -57,7 +57,7 @@
         Backend::start("i-1", "s", "a"),
         Backend::start("i-2", "s", "b"),
     ];
-    let mut cluster = Cluster::new(two_regions(), &backends);
+    let mut cluster = Cluster::new(two_regions_plan(), &backends);
     cluster.start_configured();
     let proxy_addresses = cluster.proxy_addresses();
     cluster.wait_until("all proxies serve", |_| {
@@ -70,7 +70,7 @@
         r#"{{"upserts":{{"route_list":[{}]}}}}"#,
         routes.collect::<Vec<_>>().join(",")
     );
-    cluster.change_anywhere(&body);
+    cluster.change_at_any_machine(&body);
     let paths = [0, ROUTE_COUNT / 2, ROUTE_COUNT - 1].map(|n| format!("/many-{n}/1"));
     cluster.wait_until("all proxies know the new routes", |_| {
         proxy_addresses
--- a/crates/ctl/tests/system/cluster.rs
+++ b/crates/ctl/tests/system/cluster.rs
@@ -45,6 +45,7 @@
     Message::read(&mut socket).unwrap_or_default()
 }
 
+/// Sends a request with a request line of method and path, and a body.
 pub fn call(address: SocketAddr, request_line: &str, body: &str) -> Message {
     send_request(
         address,
@@ -55,6 +56,7 @@
     )
 }
 
+/// Starts a server that answers each request with the result of `respond`; returns its address.
 fn serve(respond: impl Fn(Message) -> String + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let (address, respond) = (listener.local_addr().expect("bound"), Arc::new(respond));
@@ -73,19 +75,19 @@
     address
 }
 
-/// A simulated backend of a service that keeps the requests it received.
+/// A simulated backend of a service that keeps the requests it executed.
 pub struct Backend {
     pub id: String,
     pub service: String,
     pub zone: String,
     pub address: SocketAddr,
-    pub received: Arc<Mutex<Vec<Message>>>,
+    pub executed: Arc<Mutex<Vec<Message>>>,
 }
 
 impl Backend {
     pub fn start(id: &str, service: &str, zone: &str) -> Self {
-        let received = Arc::<Mutex<Vec<Message>>>::default();
-        let (kept_requests, own_id) = (received.clone(), id.to_string());
+        let executed = Arc::<Mutex<Vec<Message>>>::default();
+        let (executed_requests, own_id) = (executed.clone(), id.to_string());
         let address = serve(move |request| {
             let name = request
                 .header("x-request-id")
@@ -97,7 +99,10 @@
             {
                 return answer("421 Other\r\nX-Not-Executed: 1", "");
             }
-            kept_requests.lock().expect("whole").push(request);
+            executed_requests
+                .lock()
+                .expect("not poisoned")
+                .push(request);
             answer(
                 &format!("200 OK\r\nX-Response-Seal: s\r\nX-Request-Id: {name}"),
                 &own_id,
@@ -108,7 +113,7 @@
             service: service.into(),
             zone: zone.into(),
             address,
-            received,
+            executed,
         }
     }
 }
@@ -123,6 +128,7 @@
     pub proxy_args: &'static [&'static str],
 }
 
+/// A cluster of machines with the simulated platform. Dropping it kills all programs and deletes their files.
 pub struct Cluster {
     pub machines: Vec<Machine>,
     folder: PathBuf,
@@ -133,6 +139,7 @@
     log_lines: (Sender<String>, Receiver<String>),
 }
 
+/// A machine with its own loopback address. A core machine runs a registry and a store, any other machine a proxy.
 pub struct Machine {
     pub name: String,
     pub ip: Ipv4Addr,
@@ -170,21 +177,21 @@
 impl Cluster {
     pub fn new(plan: Plan, backends: &[Backend]) -> Self {
         static NEXT_CLUSTER: AtomicU32 = AtomicU32::new(0);
-        let (n, process) = (
+        let (index, process) = (
             NEXT_CLUSTER.fetch_add(1, Ordering::SeqCst),
             std::process::id(),
         );
         let (a, b) = (
             (100 + process % 140) as u8,
-            ((process / 140 * 8 + n) % 250) as u8,
+            ((process / 140 * 8 + index) % 250) as u8,
         );
         let instances = Arc::<Mutex<Vec<String>>>::default();
         let served_instances = instances.clone();
         let cloud_api = serve(move |_| {
-            let all = served_instances.lock().expect("whole").join(",");
+            let entries = served_instances.lock().expect("not poisoned").join(",");
             answer(
                 "200 OK",
-                &format!("{{\"instances\":[{all}],\"next_page_token\":null}}"),
+                &format!("{{\"instances\":[{entries}],\"next_page_token\":null}}"),
             )
         });
         let mut machines = Vec::new();
@@ -208,7 +215,7 @@
                 });
             }
         }
-        let folder = std::env::temp_dir().join(format!("damsonbeam-cluster-{process}-{n}"));
+        let folder = std::env::temp_dir().join(format!("damsonbeam-cluster-{process}-{index}"));
         let log_lines = channel();
         let cluster = Cluster {
             machines,
@@ -235,7 +242,7 @@
                 s.id, s.service, s.address, s.zone
             )
         };
-        *self.instances.lock().expect("whole") = backends.iter().map(entry).collect();
+        *self.instances.lock().expect("not poisoned") = backends.iter().map(entry).collect();
     }
 
     fn settings(&self, machine: &Machine, program: &str, initial_start: bool) -> String {
@@ -290,7 +297,7 @@
             r#"{{"node_name":"{}","role":"r","machine_class":"c","serves":[],"ip_address":"{}","zone":"{}","region":"{}",
 "zones":{{{}}},"listen_addresses":{{{listens}}},"internal_port_range":[7740,7755],"seed_nodes":[{seeds}],
 "initial_start":{initial_start},"loss_counted":{},"limits":{{"cpu_share":1.0,"cpu_cores":1,"memory_mb":256,"file_descriptors":1024,"bandwidth_mbps":1000.0,"disk_mb":256}},
-"data_directory":{data_directory},"active_contracts":["base"],"fault_tolerance":{{"machines":1,"zones":1,"regions":0}},"timing_bounds":[{timing_bounds}],"cloud_api":{cloud_api},"a_field_of_tomorrow":1}}"#,
+"data_directory":{data_directory},"active_contracts":["base"],"fault_tolerance":{{"machines":1,"zones":1,"regions":0}},"timing_bounds":[{timing_bounds}],"cloud_api":{cloud_api},"unknown_future_field":1}}"#,
             machine.name,
             machine.ip,
             machine.zone,
@@ -302,19 +309,19 @@
 
     /// Starts the programs that are not running on the selected machines.
     pub fn start(&mut self, initial_start: bool, is_selected: impl Fn(&Machine) -> bool) {
-        for n in 0..self.machines.len() {
-            if !is_selected(&self.machines[n]) {
+        for index in 0..self.machines.len() {
+            if !is_selected(&self.machines[index]) {
                 continue;
             }
-            for program in self.machines[n].programs() {
-                if self.machines[n].processes.contains_key(program) {
+            for program in self.machines[index].programs() {
+                if self.machines[index].processes.contains_key(program) {
                     continue;
                 }
-                let text = self.settings(&self.machines[n], program, initial_start);
+                let text = self.settings(&self.machines[index], program, initial_start);
                 std::fs::create_dir_all(&self.folder).expect("a folder");
                 let file = self
                     .folder
-                    .join(format!("{}-{program}.json", self.machines[n].name));
+                    .join(format!("{}-{program}.json", self.machines[index].name));
                 std::fs::write(&file, text).expect("written");
                 // SIGXFSZ is ignored, so that a write beyond the file size limit fails as on a full disk and does not kill the program.
                 let mut command = Command::new("sh");
@@ -337,7 +344,7 @@
                         .map_while(Result::ok)
                         .all(|l| to.send(l).is_ok())
                 });
-                self.machines[n].processes.insert(program, child);
+                self.machines[index].processes.insert(program, child);
             }
         }
     }
@@ -502,8 +509,9 @@
 
     /// Returns the indices of the core machines whose programs were started and not stopped, including suspended machines.
     pub fn running_core_machines(&self) -> Vec<usize> {
-        let is_running =
-            |n: &usize| self.machines[*n].is_core && !self.machines[*n].processes.is_empty();
+        let is_running = |index: &usize| {
+            self.machines[*index].is_core && !self.machines[*index].processes.is_empty()
+        };
         (0..self.machines.len()).filter(is_running).collect()
     }
 
@@ -529,14 +537,18 @@
     /// Sends an operator's call to the running core machines in turn until one gives a response other than 503; returns that
     /// response.
     pub fn call_any_core(&mut self, request_line: &str, body: &str) -> Message {
-        let all: Vec<SocketAddr> = self
+        let core_addresses: Vec<SocketAddr> = self
             .running_core_machines()
             .into_iter()
-            .map(|n| self.control_address(n))
+            .map(|index| self.control_address(index))
             .collect();
         let (mut answer, mut tries) = (Message::default(), 0);
         self.wait_until(request_line, |_| {
-            answer = call(all[tries % all.len()], request_line, body);
+            answer = call(
+                core_addresses[tries % core_addresses.len()],
+                request_line,
+                body,
+            );
             tries += 1;
             !matches!(answer.status(), 0 | 503)
         });
--- a/crates/ctl/tests/system/contents.rs
+++ b/crates/ctl/tests/system/contents.rs
@@ -4,11 +4,11 @@
 
 use crate::cluster::Cluster;
 use crate::operator::{Outcome, read_configuration, set_route, try_change};
-use crate::orders::core_only;
+use crate::orders::core_only_plan;
 
 #[test]
 fn conflicting_changes_with_one_version_are_never_both_acknowledged() {
-    let mut cluster = Cluster::new(core_only(&["a", "b", "c"]), &[]);
+    let mut cluster = Cluster::new(core_only_plan(&["a", "b", "c"]), &[]);
     cluster.start_configured();
     for version in 2..12 {
         let content = |operator: usize| format!("/v{version}-of-{operator}/");
--- a/crates/ctl/tests/system/disks.rs
+++ b/crates/ctl/tests/system/disks.rs
@@ -5,20 +5,20 @@
 
 use crate::cluster::{Cluster, STORE};
 use crate::operator::{Outcome, remove_route, set_route, try_change};
-use crate::orders::core_only;
+use crate::orders::core_only_plan;
 
 #[test]
 fn store_with_a_full_disk_does_not_vote_until_space_is_free() {
-    let mut cluster = Cluster::new(core_only(&["a", "b", "c"]), &[]);
+    let mut cluster = Cluster::new(core_only_plan(&["a", "b", "c"]), &[]);
     cluster.start_configured();
     cluster.wait_until_in_sync();
     cluster.set_disk_full(0, true);
     cluster.change_at(1, &set_route("r-2", "/two/", 2));
     cluster.change_at(2, &set_route("r-3", "/three/", 3));
-    let full = cluster.control_address(0);
+    let full_disk_address = cluster.control_address(0);
     let deadline = Instant::now() + Duration::from_secs(2);
     while Instant::now() < deadline {
-        let outcome = try_change(full, &set_route("r-4", "/four/", 4));
+        let outcome = try_change(full_disk_address, &set_route("r-4", "/four/", 4));
         assert_eq!(
             outcome,
             Outcome::Unclear,
@@ -29,13 +29,13 @@
     assert!(cluster.is_running(0, STORE), "the store exited");
     // A store that can't write promises and accepts nothing, so it forms no majority with the one other running store.
     cluster.kill_machine(2);
-    let (deadline, remaining) = (
+    let (deadline, remaining_address) = (
         Instant::now() + Duration::from_secs(2),
         cluster.control_address(1),
     );
     while Instant::now() < deadline {
         assert_eq!(
-            try_change(remaining, &set_route("r-5", "/five/", 5)),
+            try_change(remaining_address, &set_route("r-5", "/five/", 5)),
             Outcome::Unclear,
             "a store with a full disk took part in a majority"
         );
@@ -48,7 +48,7 @@
     // The changes that the store acknowledged are on its disk and are there after a restart.
     cluster.kill_machine(0);
     cluster.start_machine(0);
-    cluster.all_read(&[
+    cluster.assert_all_read(&[
         "\"/two/\"".into(),
         "\"/three/\"".into(),
         "\"/four/\"".into(),
@@ -59,7 +59,7 @@
 /// the process instead.
 #[test]
 fn stalled_store_is_bypassed_and_catches_up_after_resuming() {
-    let mut cluster = Cluster::new(core_only(&["a", "b", "c"]), &[]);
+    let mut cluster = Cluster::new(core_only_plan(&["a", "b", "c"]), &[]);
     cluster.start_configured();
     // The other machines forward changes to the first one.
     cluster.signal_program(0, STORE, "-STOP");
@@ -73,7 +73,7 @@
     cluster.signal_program(0, STORE, "-CONT");
     cluster.change_at(0, &set_route("r-4", "/four/", 4));
     cluster.wait_until_in_sync();
-    cluster.all_read(&["\"/three/\"".into(), "\"/four/\"".into()]);
+    cluster.assert_all_read(&["\"/three/\"".into(), "\"/four/\"".into()]);
     assert!(
         !cluster.read_at(0).contains("\"/two/\""),
         "the removed route came back"
@@ -82,9 +82,9 @@
 
 #[test]
 fn invalid_store_file_is_rejected_and_left_unchanged() {
-    let mut cluster = Cluster::new(core_only(&["a", "b", "c"]), &[]);
+    let mut cluster = Cluster::new(core_only_plan(&["a", "b", "c"]), &[]);
     cluster.start_configured();
-    cluster.change_anywhere(&set_route("r-2", "/two/", 2));
+    cluster.change_at_any_machine(&set_route("r-2", "/two/", 2));
     cluster.kill_machine(0);
     let folder = cluster.store_folder(0);
     let file = folder.join("items.redb");
@@ -113,7 +113,7 @@
     std::fs::remove_file(&file).expect("removed");
     cluster.start_machine(0);
     cluster.wait_until_caught_up(Instant::now());
-    cluster.all_read(&["\"/two/\"".into(), "\"/three/\"".into()]);
+    cluster.assert_all_read(&["\"/two/\"".into(), "\"/three/\"".into()]);
     // The restored store forms a majority with one other.
     cluster.kill_machine(1);
     cluster.change_at(2, &set_route("r-4", "/four/", 4));
--- a/crates/ctl/tests/system/isolation.rs
+++ b/crates/ctl/tests/system/isolation.rs
@@ -6,7 +6,7 @@
 
 use crate::cluster::{Backend, Cluster, Plan};
 use crate::operator::{Outcome, evacuate, read_configuration, set_route, try_change};
-use crate::orders::core_only;
+use crate::orders::core_only_plan;
 use crate::{API_KEY_HEADER, TIMING_BOUNDS, get, serves};
 
 /// How long an isolated machine is sent calls: longer than its start takes and than an operator's call waits.
@@ -22,7 +22,7 @@
 /// Sends changes, reads and evacuations to the given machines for [`OBSERVATION_TIME`]; asserts that none is acknowledged,
 /// rejected or answered.
 pub fn assert_no_call_is_answered(machines: &[SocketAddr], version: u32) {
-    let ask_one = |address: SocketAddr| {
+    let observe = |address: SocketAddr| {
         let deadline = Instant::now() + OBSERVATION_TIME;
         let mut round = 0;
         while Instant::now() < deadline {
@@ -49,13 +49,13 @@
     thread::scope(|scope| {
         machines
             .iter()
-            .for_each(|address| drop(scope.spawn(move || ask_one(*address))))
+            .for_each(|address| drop(scope.spawn(move || observe(*address))))
     });
 }
 
 #[test]
 fn machines_without_a_majority_answer_no_operator_call() {
-    let mut cluster = Cluster::new(core_only(&["a", "b", "c"]), &[]);
+    let mut cluster = Cluster::new(core_only_plan(&["a", "b", "c"]), &[]);
     cluster.start_configured();
     cluster.wait_until_in_sync();
     // While all others are suspended, a machine unknown to the others and one restarted with an empty disk run with
@@ -79,8 +79,8 @@
     cluster.suspend(&[0, 1]);
     assert_no_call_is_answered(&[cluster.control_address(2)], 5);
     cluster.resume(&[0, 1]);
-    cluster.change_anywhere(&set_route("r-3", "/three/", 3));
-    cluster.all_read(&["\"/two/\"".into(), "\"/three/\"".into()]);
+    cluster.change_at_any_machine(&set_route("r-3", "/three/", 3));
+    cluster.assert_all_read(&["\"/two/\"".into(), "\"/three/\"".into()]);
 }
 
 /// The machine to which changes are forwarded is suspended while the others accept changes. After it resumes, it must not
@@ -106,9 +106,9 @@
         .filter(|n| !cluster.machines[*n].is_core)
         .collect();
     let [first_core, ..] = cluster.running_core_machines()[..] else {
-        panic!("no core")
+        panic!("expected a core machine")
     };
-    cluster.wait_until("all serve", |_| {
+    cluster.wait_until("all proxies serve", |_| {
         proxy_addresses.iter().all(|proxy| serves(*proxy, "/x/"))
     });
     cluster.suspend(&[first_core]);
--- a/crates/ctl/tests/system/main.rs
+++ b/crates/ctl/tests/system/main.rs
@@ -36,6 +36,7 @@
     )
 }
 
+/// Returns the body of a change that sets the given routes and tenants, the services `s` and `t`, and the limits.
 fn initial_configuration(routes: &[String], tenants: &str) -> String {
     let service = |name: &str| {
         format!(
@@ -53,8 +54,8 @@
 const TENANT_JSON: &str = r#"{"name":"house","api_keys":["k1"],"priority":1,"rate_per_s":0,"burst":0,"serving_regions":[],"config_version":"r1"}"#;
 
 fn get(address: SocketAddr, path: &str, extra: &str) -> Message {
-    static IDS: AtomicUsize = AtomicUsize::new(1);
-    let id = IDS.fetch_add(1, Ordering::SeqCst);
+    static NEXT_ID: AtomicUsize = AtomicUsize::new(1);
+    let id = NEXT_ID.fetch_add(1, Ordering::SeqCst);
     let head = format!(
         "GET {path} HTTP/1.1\r\nHost: a.example\r\nX-Request-Id: q{id}\r\nX-Deadline-Ms: 3000\r\n"
     );
@@ -63,7 +64,7 @@
 
 const API_KEY_HEADER: &str = "Authorization: Bearer k1\r\n";
 
-fn two_regions() -> Plan {
+fn two_regions_plan() -> Plan {
     let zones = vec![
         ("a", "east", 1, 1),
         ("b", "west", 1, 1),
@@ -77,6 +78,7 @@
     }
 }
 
+/// Returns whether a request with a valid API key gets status 200.
 fn serves(address: SocketAddr, path: &str) -> bool {
     get(address, path, API_KEY_HEADER).status() == 200
 }
@@ -88,7 +90,7 @@
         Backend::start("i-2", "s", "b"),
         Backend::start("i-3", "t", "a"),
     ];
-    let mut cluster = Cluster::new(two_regions(), &backends);
+    let mut cluster = Cluster::new(two_regions_plan(), &backends);
     cluster.start(true, |_| true);
     let body = initial_configuration(&[route("r-1", "/x/", "s", 1, "")], TENANT_JSON);
     assert_eq!(
@@ -112,25 +114,25 @@
         (sent.status(), sent.header("x-response-seal")),
         (200, Some("s"))
     );
-    let received: Vec<Message> = backends
+    let executed: Vec<Message> = backends
         .iter()
-        .flat_map(|s| s.received.lock().expect("whole").clone())
+        .flat_map(|s| s.executed.lock().expect("not poisoned").clone())
         .collect();
-    let received = received
+    let executed = executed
         .iter()
         .find(|r| r.first.contains("/x/2"))
-        .expect("ran");
-    assert_eq!(received.first, "GET /x/2?q=%20 HTTP/1.1");
+        .expect("a backend executed the request");
+    assert_eq!(executed.first, "GET /x/2?q=%20 HTTP/1.1");
     assert_eq!(
         (
-            received.header("x-tenant-name"),
-            received.header("authorization")
+            executed.header("x-tenant-name"),
+            executed.header("authorization")
         ),
         (Some("house"), None)
     );
-    assert_eq!(received.header("x-of-the-client"), Some("1"));
+    assert_eq!(executed.header("x-of-the-client"), Some("1"));
     assert!(
-        received
+        executed
             .header("x-target-instance")
             .is_some_and(|i| i == "i-1" || i == "i-2")
     );
@@ -195,18 +197,18 @@
     );
 
     // A call with an invalid item is rejected as a whole with the reason; none of its items takes effect.
-    let bad = initial_configuration(
+    let invalid = initial_configuration(
         &[
             route("r-5", "/five/", "s", 1, ""),
             route("r-6", "/six/", "nowhere", 1, ""),
         ],
         TENANT_JSON,
     );
-    let refused = cluster.call_any_core("PATCH /-/configuration", &bad);
-    assert_eq!(refused.status(), 400);
+    let rejected = cluster.call_any_core("PATCH /-/configuration", &invalid);
+    assert_eq!(rejected.status(), 400);
     assert!(
-        String::from_utf8_lossy(&refused.body).contains("r-6"),
-        "{refused:?}"
+        String::from_utf8_lossy(&rejected.body).contains("r-6"),
+        "{rejected:?}"
     );
     assert_eq!(status("/five/", API_KEY_HEADER), 404);
 
@@ -224,16 +226,16 @@
             text.contains(&format!("\"coordinator\":{{\"ip\":\"{}\"", machine.ip))
         })
         .expect("a registry is the coordinator");
-    let lost = cluster.machines[coordinator].name.clone();
-    cluster.kill(|machine| machine.name == lost);
+    let killed_name = cluster.machines[coordinator].name.clone();
+    cluster.kill(|machine| machine.name == killed_name);
     cluster.set_instances(&backends, &["i-1"]);
-    let next = format!(
+    let change = format!(
         r#"{{"upserts":{{"route_list":[{}]}},"removals":{{"route_list":[{{"name":"r-1","config_version":"r2"}}]}}}}"#,
         route("r-2", "/z/", "s", 2, "")
     );
     assert_eq!(
         cluster
-            .call_any_core("PATCH /-/configuration", &next)
+            .call_any_core("PATCH /-/configuration", &change)
             .status(),
         200
     );
@@ -243,42 +245,43 @@
         })
     });
     let only_second = |_: &Cluster| {
-        let before = backends[0].received.lock().expect("whole").len();
+        let before = backends[0].executed.lock().expect("not poisoned").len();
         (0..20).all(|_| proxy_addresses.iter().all(|proxy| serves(*proxy, "/z/")))
-            && backends[0].received.lock().expect("whole").len() == before
+            && backends[0].executed.lock().expect("not poisoned").len() == before
     };
     cluster.wait_until("no more requests go to the draining backend", only_second);
 
     // All machines are killed and restarted: acknowledged changes are kept, also on the machine that missed them.
     cluster.kill(|_| true);
     cluster.start(false, |_| true);
-    let all = cluster.call_any_core("GET /-/configuration", "");
-    let text = String::from_utf8_lossy(&all.body).into_owned();
+    let response = cluster.call_any_core("GET /-/configuration", "");
+    let text = String::from_utf8_lossy(&response.body).into_owned();
     assert!(
         text.contains("\"r-2\"") && !text.contains("\"r-1\"") && text.contains("\"house\""),
         "{text}"
     );
-    cluster.wait_until("all serve again", |_| {
+    cluster.wait_until("all proxies serve again", |_| {
         proxy_addresses.iter().all(|proxy| serves(*proxy, "/z/"))
     });
     // Each region has one proxy, and its clients get only that proxy: neither proxy was lost since these registries started.
-    for (place, proxy) in [("region=east&zone=a", 0), ("region=west&zone=b", 1)] {
-        let lookup = format!("GET /-/lookup?name=a.example&{place}");
+    for (location, proxy) in [("region=east&zone=a", 0), ("region=west&zone=b", 1)] {
+        let lookup = format!("GET /-/lookup?name=a.example&{location}");
         cluster.wait_until("the directory lists both proxies again", |s| {
             s.machines
                 .iter()
                 .filter(|machine| machine.is_core)
                 .all(|machine| {
-                    let answer = cluster::call(machine.address(DIRECTORY_PORT), &lookup, "");
-                    let named = String::from_utf8_lossy(&answer.body).into_owned();
-                    let is_named =
-                        |number: usize| named.contains(&proxy_addresses[number].to_string());
-                    is_named(proxy) && !is_named(1 - proxy)
+                    let response = cluster::call(machine.address(DIRECTORY_PORT), &lookup, "");
+                    let listed = String::from_utf8_lossy(&response.body).into_owned();
+                    let is_listed =
+                        |number: usize| listed.contains(&proxy_addresses[number].to_string());
+                    is_listed(proxy) && !is_listed(1 - proxy)
                 })
         });
     }
 
-    // A zone is evacuated and restored. A terminated proxy reports that it is not ready, then exits by itself.
+    // A zone is evacuated and the evacuation is revoked. Then a proxy is terminated: it must leave the directory, for which
+    // it reports that it is not ready, and then exit by itself.
     assert_eq!(
         cluster.call_any_core("POST /-/evacuations/b", "").status(),
         200
@@ -289,13 +292,13 @@
             .status(),
         404
     );
-    let before = backends[1].received.lock().expect("whole").len();
+    let before = backends[1].executed.lock().expect("not poisoned").len();
     cluster.wait_until("no requests go to the evacuated zone", |_| {
         proxy_addresses
             .iter()
             .all(|proxy| get(*proxy, "/z/", API_KEY_HEADER).status() != 200)
     });
-    let after = backends[1].received.lock().expect("whole").len();
+    let after = backends[1].executed.lock().expect("not poisoned").len();
     assert_eq!(
         proxy_addresses
             .iter()
@@ -304,7 +307,7 @@
         0
     );
     assert_eq!(
-        backends[1].received.lock().expect("whole").len(),
+        backends[1].executed.lock().expect("not poisoned").len(),
         after,
         "{before} before"
     );
@@ -314,17 +317,17 @@
             .status(),
         200
     );
-    let leaving = cluster
+    let terminated_proxy = cluster
         .machines
         .iter()
         .position(|machine| !machine.is_core)
-        .expect("an edge machine");
-    cluster.signal(leaving, "-TERM");
-    let gone = cluster.machines[leaving].address(READINESS_PORT);
+        .expect("a proxy machine");
+    cluster.signal(terminated_proxy, "-TERM");
+    let readiness_address = cluster.machines[terminated_proxy].address(READINESS_PORT);
     cluster.wait_until("the proxy reports that it is not ready", |_| {
-        cluster::call(gone, "GET /-/readiness", "").status() != 200
+        cluster::call(readiness_address, "GET /-/readiness", "").status() != 200
     });
-    assert_eq!(cluster.wait_for_exit_codes(leaving), [Some(0)]);
+    assert_eq!(cluster.wait_for_exit_codes(terminated_proxy), [Some(0)]);
 }
 
 /// Topologies other than those of the known deployments start, accept a configuration and serve requests.
@@ -352,7 +355,7 @@
                 "drain_ms=1000",
                 "retry_budget_ratio=0",
                 "quota_window_s=1",
-                "a_bound_of_tomorrow=true",
+                "unknown_future_bound=true",
             ],
             has_cloud_api: true,
             proxy_args: &[],
@@ -394,6 +397,7 @@
     .status()
 }
 
+/// Returns the body of a change that sets the mirror rule `m` with one trial instance.
 fn mirror_rule_change(version: u32, share: f64, address: SocketAddr, extra: &str) -> String {
     format!(
         r#"{{"upserts":{{"copy_list":[{{"name":"m","service":"s","trial_service":"trial","share":{share},"config_version":"r{version}","instances":[{{"id":"x-1","address":"{address}","region":"east"}}]{extra}}}]}}}}"#
@@ -411,7 +415,7 @@
         Backend::start("i-3", "t", "a"),
     ];
     let trial = Backend::start("x-1", "trial", "a");
-    let mut cluster = Cluster::new(two_regions(), &backends);
+    let mut cluster = Cluster::new(two_regions_plan(), &backends);
     cluster.start(true, |_| true);
     let tenant = |n| {
         format!(
@@ -436,27 +440,27 @@
         (r#","kinds":["mutating"]"#, "a second time"),
         (r#","from_ms":5,"until_ms":4"#, "until_ms"),
     ] {
-        let refused = cluster.call_any_core(
+        let rejected = cluster.call_any_core(
             "PATCH /-/copies",
             &mirror_rule_change(1, 0.5, trial.address, wrong),
         );
-        assert_eq!(refused.status(), 400);
+        assert_eq!(rejected.status(), 400);
         assert!(
-            String::from_utf8_lossy(&refused.body).contains(expected_text),
-            "{refused:?}"
+            String::from_utf8_lossy(&rejected.body).contains(expected_text),
+            "{rejected:?}"
         );
     }
 
-    // Sends rounds of requests of all tenants through both proxies until `enough` accepts the sets of mirrored callers.
+    // Sends rounds of requests of all tenants through both proxies until `is_complete` accepts the sets of mirrored callers.
     let (mut sent, mut round) = (0, 0);
-    let mut copied =
+    let mut mirrored =
         |cluster: &mut Cluster,
-         what: &str,
-         enough: &dyn Fn(&[std::collections::BTreeSet<String>; 2]) -> bool| {
+         description: &str,
+         is_complete: &dyn Fn(&[std::collections::BTreeSet<String>; 2]) -> bool| {
             let mut sets: [std::collections::BTreeSet<String>; 2] = Default::default();
-            cluster.wait_until(what, |_| {
+            cluster.wait_until(description, |_| {
                 round += 1;
-                trial.received.lock().expect("whole").clear();
+                trial.executed.lock().expect("not poisoned").clear();
                 for (number, proxy) in proxy_addresses.iter().enumerate() {
                     for tenant in 0..TENANTS {
                         assert_eq!(
@@ -466,7 +470,7 @@
                         sent += 1;
                     }
                 }
-                for copy in trial.received.lock().expect("whole").iter() {
+                for copy in trial.executed.lock().expect("not poisoned").iter() {
                     assert!(
                         copy.header("x-request-id")
                             .is_some_and(|i| i.starts_with("copy-")),
@@ -477,11 +481,13 @@
                             && copy.header("x-copy-rule").is_some(),
                         "{copy:?}"
                     );
-                    let copy_of = copy.header("x-copy-of").expect("whose copy");
+                    let copy_of = copy
+                        .header("x-copy-of")
+                        .expect("the id of the mirrored request");
                     let name = copy.header("x-tenant-name").expect("a tenant").to_string();
                     sets[usize::from(copy_of.starts_with("e1"))].insert(name);
                 }
-                enough(&sets)
+                is_complete(&sets)
             });
             sets
         };
@@ -494,17 +500,24 @@
             .status(),
         200
     );
-    let same = |s: &[std::collections::BTreeSet<String>; 2]| !s[0].is_empty() && s[0] == s[1];
-    let [half, _] = copied(&mut cluster, "both copy the same callers", &same);
-    assert!((4..=20).contains(&half.len()), "{half:?}");
+    let is_equal = |s: &[std::collections::BTreeSet<String>; 2]| !s[0].is_empty() && s[0] == s[1];
+    let [initial_callers, _] = mirrored(
+        &mut cluster,
+        "both proxies mirror the same callers",
+        &is_equal,
+    );
+    assert!(
+        (4..=20).contains(&initial_callers.len()),
+        "{initial_callers:?}"
+    );
     let shown = cluster.call_any_core("GET /-/copies", "");
     assert!(
         String::from_utf8_lossy(&shown.body).contains("\"trial_service\":\"trial\""),
         "{shown:?}"
     );
-    let all = cluster.call_any_core("GET /-/configuration", "");
+    let response = cluster.call_any_core("GET /-/configuration", "");
     assert!(
-        !String::from_utf8_lossy(&all.body).contains("trial"),
+        !String::from_utf8_lossy(&response.body).contains("trial"),
         "mirror rules are not part of the configuration"
     );
 
@@ -518,16 +531,17 @@
             .status(),
         200
     );
-    let grown =
-        |s: &[std::collections::BTreeSet<String>; 2]| s[0].len() > half.len() && s[0] == s[1];
-    let [grown_callers, _] = copied(&mut cluster, "the share has grown", &grown);
+    let has_grown = |s: &[std::collections::BTreeSet<String>; 2]| {
+        s[0].len() > initial_callers.len() && s[0] == s[1]
+    };
+    let [grown_callers, _] = mirrored(&mut cluster, "more callers are mirrored", &has_grown);
     assert!(
-        grown_callers.is_superset(&half),
-        "{half:?} {grown_callers:?}"
+        grown_callers.is_superset(&initial_callers),
+        "{initial_callers:?} {grown_callers:?}"
     );
     // Neither a trial service that is down nor a trial instance with the address of a real backend affects real requests.
-    let dead = SocketAddr::from(([127, 0, 0, 1], 1));
-    for (version, address) in [(3, dead), (4, backends[0].address)] {
+    let unreachable = SocketAddr::from(([127, 0, 0, 1], 1));
+    for (version, address) in [(3, unreachable), (4, backends[0].address)] {
         assert_eq!(
             cluster
                 .call_any_core(
@@ -559,7 +573,7 @@
             .to_string()
     };
     assert!(
-        report_line("m r1:").contains(&format!("{} callers", half.len())),
+        report_line("m r1:").contains(&format!("{} callers", initial_callers.len())),
         "{report}"
     );
     assert!(
@@ -580,7 +594,7 @@
     );
     let real: Vec<Message> = backends
         .iter()
-        .flat_map(|s| s.received.lock().expect("whole").clone())
+        .flat_map(|s| s.executed.lock().expect("not poisoned").clone())
         .collect();
     let ids: Vec<&str> = real
         .iter()
@@ -593,7 +607,7 @@
     let real_requests = ids.iter().filter(|i| i.starts_with('e')).count();
     assert_eq!(
         real_requests, sent,
-        "each real request ran once, copied or not"
+        "each real request must run once, mirrored or not"
     );
     assert!(real.iter().all(|r| r.header("x-copy-rule").is_none()));
 }
@@ -608,8 +622,8 @@
         Backend::start("i-2", "s", "b"),
     ];
     let trial = Backend::start("x-1", "trial", "a");
-    let hangs = start_hanging_backend();
-    let mut cluster = Cluster::new(two_regions(), &backends);
+    let hanging_backend = start_hanging_backend();
+    let mut cluster = Cluster::new(two_regions_plan(), &backends);
     cluster.start(true, |_| true);
     let tenant = |n| {
         format!(
@@ -630,12 +644,12 @@
             .iter()
             .all(|proxy| get_as_tenant(*proxy, "up", 0) == 200)
     });
-    let dead = SocketAddr::from(([127, 0, 0, 1], 1));
+    let unreachable = SocketAddr::from(([127, 0, 0, 1], 1));
     let scenarios = [
         ("none", 0.0, trial.address),
         ("all", 1.0, trial.address),
-        ("hangs", 1.0, hangs),
-        ("dead", 1.0, dead),
+        ("hangs", 1.0, hanging_backend),
+        ("dead", 1.0, unreachable),
     ];
     let mut times: [Vec<f64>; 4] = Default::default();
     let mut version = 0;
--- a/crates/ctl/tests/system/minority.rs
+++ b/crates/ctl/tests/system/minority.rs
@@ -3,7 +3,7 @@
 use crate::cluster::Cluster;
 use crate::isolation::{assert_no_call_is_answered, unreachable_seeds};
 use crate::operator::set_route;
-use crate::orders::core_only;
+use crate::orders::core_only_plan;
 
 /// Returns the number of registries that the given machine considers alive, including itself.
 fn registries(cluster: &Cluster, machine: usize) -> Option<usize> {
@@ -16,7 +16,7 @@
 /// the voters are six.
 #[test]
 fn two_of_six_machines_answer_no_operator_call() {
-    let mut cluster = Cluster::new(core_only(&["a", "b", "c", "d", "e", "f"]), &[]);
+    let mut cluster = Cluster::new(core_only_plan(&["a", "b", "c", "d", "e", "f"]), &[]);
     cluster.start_configured();
     cluster.wait_until_in_sync();
     cluster.kill_machine(4);
@@ -30,7 +30,7 @@
     cluster.start_machine(4);
     assert_no_call_is_answered(&[cluster.control_address(4), other], 5);
     cluster.resume(&[0, 1, 2, 3]);
-    cluster.change_anywhere(&set_route("r-2", "/two/", 6));
+    cluster.change_at_any_machine(&set_route("r-2", "/two/", 6));
     cluster.wait_until_in_sync();
-    cluster.all_read(&["\"/two/\"".into()]);
+    cluster.assert_all_read(&["\"/two/\"".into()]);
 }
--- a/crates/ctl/tests/system/operator.rs
+++ b/crates/ctl/tests/system/operator.rs
@@ -11,24 +11,24 @@
 use crate::{TENANT_JSON, initial_configuration, route};
 
 /// Time after which a machine that joined, or one that left permanently, no longer counts as lost (`catch_up_s`).
-const CATCH_UP: Duration = Duration::from_secs(4);
+const CATCH_UP_TIME: Duration = Duration::from_secs(4);
 
-const PATCH: &str = "PATCH /-/configuration";
+const PATCH_CONFIGURATION: &str = "PATCH /-/configuration";
 
 /// The outcome of one attempt of an operator's call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     Acknowledged,
-    Refused(u16),
+    Rejected(u16),
     /// No response, or a status that leaves open whether the call was applied.
     Unclear,
 }
 
 impl From<Message> for Outcome {
-    fn from(answer: Message) -> Self {
-        match answer.status() {
+    fn from(response: Message) -> Self {
+        match response.status() {
             200..300 => Outcome::Acknowledged,
-            status @ (400..=407 | 409..=428 | 430..500) => Outcome::Refused(status),
+            status @ (400..=407 | 409..=428 | 430..500) => Outcome::Rejected(status),
             _ => Outcome::Unclear,
         }
     }
@@ -42,6 +42,7 @@
     )
 }
 
+/// Returns the body of a change that removes one route.
 pub fn remove_route(name: &str, version: u32) -> String {
     format!(
         r#"{{"upserts":{{}},"removals":{{"route_list":[{{"name":"{name}","config_version":"r{version}"}}]}}}}"#
@@ -50,9 +51,10 @@
 
 /// Sends a change once to one machine.
 pub fn try_change(address: SocketAddr, body: &str) -> Outcome {
-    call(address, PATCH, body).into()
+    call(address, PATCH_CONFIGURATION, body).into()
 }
 
+/// Sends a call that evacuates a zone, or revokes the evacuation if `on` is false, once to one machine.
 pub fn evacuate(address: SocketAddr, zone: &str, on: bool) -> Outcome {
     call(
         address,
@@ -67,14 +69,14 @@
 
 /// Returns the configuration as one machine reads it, or `None` if the status is not 200.
 pub fn read_configuration(address: SocketAddr) -> Option<String> {
-    let answer = call(address, "GET /-/configuration", "");
-    (answer.status() == 200).then(|| String::from_utf8_lossy(&answer.body).into_owned())
+    let response = call(address, "GET /-/configuration", "");
+    (response.status() == 200).then(|| String::from_utf8_lossy(&response.body).into_owned())
 }
 
 /// Sends a change and closes the connection without reading the response.
-pub fn send_and_hang_up(address: SocketAddr, body: &str) {
+pub fn send_without_reading_response(address: SocketAddr, body: &str) {
     let head = format!(
-        "{PATCH} HTTP/1.1\r\nHost: x\r\nContent-Length: {}\r\n\r\n",
+        "{PATCH_CONFIGURATION} HTTP/1.1\r\nHost: x\r\nContent-Length: {}\r\n\r\n",
         body.len()
     );
     if let Ok(mut socket) = TcpStream::connect_timeout(&address, Duration::from_secs(1)) {
@@ -88,15 +90,15 @@
         self.start(true, |_| true);
         let body = initial_configuration(&[route("r-1", "/x/", "s", 1, "")], TENANT_JSON);
         assert_eq!(
-            Outcome::from(self.call_any_core(PATCH, &body)),
+            Outcome::from(self.call_any_core(PATCH_CONFIGURATION, &body)),
             Outcome::Acknowledged
         );
     }
 
     /// Sends a change to the core machines in turn until one answers; asserts that the change is acknowledged.
-    pub fn change_anywhere(&mut self, body: &str) {
+    pub fn change_at_any_machine(&mut self, body: &str) {
         assert_eq!(
-            Outcome::from(self.call_any_core(PATCH, body)),
+            Outcome::from(self.call_any_core(PATCH_CONFIGURATION, body)),
             Outcome::Acknowledged,
             "{body}"
         );
@@ -108,7 +110,7 @@
         self.wait_until("the change is acknowledged", |_| {
             let outcome = try_change(address, body);
             assert!(
-                !matches!(outcome, Outcome::Refused(_)),
+                !matches!(outcome, Outcome::Rejected(_)),
                 "{outcome:?}: {body}"
             );
             outcome == Outcome::Acknowledged
@@ -126,13 +128,13 @@
     }
 
     /// Asserts that the configuration at each running core machine contains all given texts.
-    pub fn all_read(&mut self, prefixes: &[String]) {
+    pub fn assert_all_read(&mut self, prefixes: &[String]) {
         for machine in self.running_core_machines() {
             let text = self.read_at(machine);
             for prefix in prefixes {
                 assert!(
                     text.contains(prefix.as_str()),
-                    "{prefix} is not read at machine {machine}: {text}"
+                    "the configuration at machine {machine} lacks {prefix}: {text}"
                 );
             }
         }
@@ -151,10 +153,10 @@
         )
     }
 
-    /// Waits until all running core machines are in sync, and until [`CATCH_UP`] after `since`.
+    /// Waits until all running core machines are in sync, and until [`CATCH_UP_TIME`] after `since`.
     pub fn wait_until_caught_up(&mut self, since: Instant) {
         self.wait_until_in_sync();
-        thread::sleep((since + CATCH_UP).saturating_duration_since(Instant::now()));
+        thread::sleep((since + CATCH_UP_TIME).saturating_duration_since(Instant::now()));
     }
 
     /// Waits until the digests of all running core machines are equal.
--- a/crates/ctl/tests/system/orders.rs
+++ b/crates/ctl/tests/system/orders.rs
@@ -3,10 +3,12 @@
 use std::thread;
 
 use crate::cluster::{Cluster, Plan};
-use crate::operator::{Outcome, remove_route, send_and_hang_up, set_route, try_change};
+use crate::operator::{
+    Outcome, remove_route, send_without_reading_response, set_route, try_change,
+};
 
 /// Returns a plan with core machines only, each in its own zone.
-pub fn core_only(zones: &[&'static str]) -> Plan {
+pub fn core_only_plan(zones: &[&'static str]) -> Plan {
     let zones = zones.iter().map(|z| (*z, *z, 0, 1)).collect();
     Plan {
         zones,
@@ -18,13 +20,13 @@
 
 #[test]
 fn repeated_change_is_acknowledged_by_every_machine() {
-    let mut cluster = Cluster::new(core_only(&["a", "b", "c"]), &[]);
+    let mut cluster = Cluster::new(core_only_plan(&["a", "b", "c"]), &[]);
     cluster.start_configured();
     let body = set_route("r-2", "/two/", 2);
     let again_everywhere = |cluster: &mut Cluster| (0..3).for_each(|n| cluster.change_at(n, &body));
 
     // The response is lost; the change is repeated at another machine, and at the first one after its restart.
-    send_and_hang_up(cluster.control_address(0), &body);
+    send_without_reading_response(cluster.control_address(0), &body);
     cluster.change_at(1, &body);
     cluster.kill_machine(0);
     cluster.change_at(2, &body);
@@ -57,12 +59,12 @@
         .collect();
     for attempt in attempts {
         let outcome = attempt.join().expect("sent");
-        assert!(!matches!(outcome, Outcome::Refused(_)), "{outcome:?}");
+        assert!(!matches!(outcome, Outcome::Rejected(_)), "{outcome:?}");
     }
     for (n, body) in bodies.iter().enumerate() {
         cluster.change_at((n + 1) % 3, body);
     }
-    cluster.all_read(
+    cluster.assert_all_read(
         &(0..8)
             .map(|n| format!("\"/at-once-{n}/\""))
             .collect::<Vec<_>>(),
--- a/crates/ctl/tests/system/replacement.rs
+++ b/crates/ctl/tests/system/replacement.rs
@@ -7,7 +7,7 @@
 use crate::operator::set_route;
 use crate::{TIMING_BOUNDS, serves};
 
-fn three_zones() -> (Plan, Vec<Backend>) {
+fn three_zones_plan() -> (Plan, Vec<Backend>) {
     let zones = vec![
         ("a", "east", 1, 1),
         ("b", "west", 0, 1),
@@ -45,11 +45,11 @@
 /// Replaces the first core machine by a new one, then kills another; the remaining machines must keep the configuration
 /// and accept changes.
 fn check_loss_after_replacement(mode: StopMode) {
-    let (plan, backends) = three_zones();
+    let (plan, backends) = three_zones_plan();
     let mut cluster = Cluster::new(plan, &backends);
     cluster.start_configured();
     let proxy = cluster.proxy_addresses()[0];
-    cluster.change_anywhere(&set_route("r-2", "/two/", 2));
+    cluster.change_at_any_machine(&set_route("r-2", "/two/", 2));
     let core_machines = cluster.running_core_machines();
     let seeds: Vec<SocketAddr> = core_machines
         .iter()
@@ -59,16 +59,16 @@
     cluster.start_machine(new_machine);
     stop_machine(&mut cluster, core_machines[0], mode);
     let since = Instant::now();
-    cluster.change_anywhere(&set_route("r-3", "/three/", 3));
+    cluster.change_at_any_machine(&set_route("r-3", "/three/", 3));
     cluster.wait_until_caught_up(since);
     cluster.kill_machine(core_machines[1]);
-    cluster.change_anywhere(&set_route("r-4", "/four/", 4));
-    cluster.all_read(&[
+    cluster.change_at_any_machine(&set_route("r-4", "/four/", 4));
+    cluster.assert_all_read(&[
         "\"/two/\"".into(),
         "\"/three/\"".into(),
         "\"/four/\"".into(),
     ]);
-    cluster.wait_until("the proxy serves by the last change", |_| {
+    cluster.wait_until("the proxy applies the last change", |_| {
         serves(proxy, "/four/")
     });
 }
@@ -87,7 +87,7 @@
 /// stopped at the first replacement, one stops before the new machine starts, and one is running.
 #[test]
 fn four_replacements_with_stale_seeds_keep_the_configuration() {
-    let (plan, backends) = three_zones();
+    let (plan, backends) = three_zones_plan();
     let mut cluster = Cluster::new(plan, &backends);
     cluster.start_configured();
     let proxy = cluster.proxy_addresses()[0];
@@ -114,14 +114,14 @@
         cluster.start_machine(new_machine);
         let since = Instant::now();
         let version = round as u32 + 2;
-        cluster.change_anywhere(&set_route(
+        cluster.change_at_any_machine(&set_route(
             &format!("r-{version}"),
             &format!("/round-{round}/"),
             version,
         ));
         prefixes.push(format!("\"/round-{round}/\""));
         cluster.wait_until_caught_up(since);
-        cluster.all_read(&prefixes);
+        cluster.assert_all_read(&prefixes);
     }
     assert!(
         cluster
@@ -130,13 +130,13 @@
             .all(|n| !initial_machines.contains(n)),
         "an initial machine is left"
     );
-    // The replaced cluster tolerates the loss of a machine as the initial one does.
+    // The cluster of replaced machines tolerates the loss of a machine as the initial one does.
     let last = cluster.running_core_machines()[0];
     cluster.kill_machine(last);
-    cluster.change_anywhere(&set_route("r-last", "/last/", 9));
+    cluster.change_at_any_machine(&set_route("r-last", "/last/", 9));
     prefixes.push("\"/last/\"".into());
-    cluster.all_read(&prefixes);
-    cluster.wait_until("the proxy serves by the last change", |_| {
+    cluster.assert_all_read(&prefixes);
+    cluster.wait_until("the proxy applies the last change", |_| {
         serves(proxy, "/last/")
     });
 }
--- a/crates/ctl/tests/system/stalled.rs
+++ b/crates/ctl/tests/system/stalled.rs
@@ -30,7 +30,7 @@
     let proxy = cluster.proxy_addresses()[0];
     cluster.wait_until("the proxy serves", |_| serves(proxy, "/x/"));
     let [first_core, second_core, third_core] = cluster.running_core_machines()[..] else {
-        panic!("three core machines")
+        panic!("expected three core machines")
     };
     cluster.signal_program(first_core, STORE, "-STOP");
     assert_eq!(
@@ -39,7 +39,7 @@
     );
     for (machine, on) in [(second_core, true), (third_core, false)] {
         let address = cluster.control_address(machine);
-        cluster.wait_until("the evacuation is ordered", |_| {
+        cluster.wait_until("the evacuation or its revocation is acknowledged", |_| {
             evacuate(address, "a", on) == Outcome::Acknowledged
         });
     }
