--- a/crates/adapter/tests/recorded.rs
+++ b/crates/adapter/tests/recorded.rs
@@ -1,6 +1,6 @@
 //! The adapter's output for a recorded input must not change by a single byte. The recording covers three gateways with
-//! quotas, caps and hard limits, a counter that fails temporarily, and backends that refuse requests, slow down, drain and
-//! warm up.
+//! quotas, caps and hard limits, a counter that fails temporarily, and backends that refuse requests, slow down, drain
+//! and warm up.
 
 use std::io::Write;
 use std::process::{Command, Stdio};
--- a/crates/ctl/src/live.rs
+++ b/crates/ctl/src/live.rs
@@ -17,8 +17,8 @@
     get(address, "/-/state")
 }
 
-/// Returns as JSON what a proxy knows of the load of each backend: its own requests, the load that other proxies reported,
-/// the number and age of these reports, and the share of the backend's weight that the proxy still uses.
+/// Returns as JSON what a proxy knows of the load of each backend: its own requests, the load that other proxies
+/// reported, the number and age of these reports, and the share of the backend's weight that the proxy still uses.
 ///
 /// # Errors
 /// Fails if the process does not answer with status 200.
--- a/crates/ctl/src/mirror.rs
+++ b/crates/ctl/src/mirror.rs
@@ -1,4 +1,5 @@
-//! Sets, shows and removes the mirror rules of a running system, and sums up what proxies report about mirrored requests.
+//! Sets, shows and removes the mirror rules of a running system, and sums up what proxies report about mirrored
+//! requests.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -81,7 +82,8 @@
     real_ms_sum: f64,
     /// Sum of the latencies of the trial responses in the compared pairs, in milliseconds.
     trial_ms_sum: f64,
-    /// Callers by their hashes, with whether any proxy failed to mirror one of the requests it had to mirror for the caller.
+    /// Callers by their hashes, with whether any proxy failed to mirror one of the requests it had to mirror for the
+    /// caller.
     callers: BTreeMap<String, bool>,
 }
 
--- a/crates/ctl/tests/files.rs
+++ b/crates/ctl/tests/files.rs
@@ -1,5 +1,5 @@
-//! Tests that invalid files are reported by file, item and field, that stores are read from disk, and that the logs of all
-//! machines are merged.
+//! Tests that invalid files are reported by file, item and field, that stores are read from disk, and that the logs of
+//! all machines are merged.
 
 use std::path::PathBuf;
 
--- a/crates/ctl/tests/system/cluster.rs
+++ b/crates/ctl/tests/system/cluster.rs
@@ -1,5 +1,5 @@
-//! A test cluster on loopback: each machine has its own IP address and runs the real programs as processes. The platform,
-//! the backends, the operator and the clients are simulated by the test.
+//! A test cluster on loopback: each machine has its own IP address and runs the real programs as processes. The
+//! platform, the backends, the operator and the clients are simulated by the test.
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Write};
@@ -17,7 +17,8 @@
 /// Limit for each condition that a test waits for.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Returns the path of a program next to `damsonbeam-ctl`; builds the program if `cargo test` was run for this test alone.
+/// Returns the path of a program next to `damsonbeam-ctl`; builds the program if `cargo test` was run for this test
+/// alone.
 fn program_path(name: &str) -> PathBuf {
     let path = PathBuf::from(env!("CARGO_BIN_EXE_damsonbeam-ctl")).with_file_name(name);
     if !path.exists() {
@@ -323,7 +324,8 @@
                     .folder
                     .join(format!("{}-{program}.json", self.machines[index].name));
                 std::fs::write(&file, text).expect("written");
-                // SIGXFSZ is ignored, so that a write beyond the file size limit fails as on a full disk and does not kill the program.
+                // SIGXFSZ is ignored, so that a write beyond the file size limit fails as on a full disk and does not
+                // kill the program.
                 let mut command = Command::new("sh");
                 command
                     .args(["-c", "trap '' XFSZ; exec \"$0\" \"$@\""])
@@ -507,7 +509,8 @@
         self.machines[machine].address(CONTROL_PORT)
     }
 
-    /// Returns the indices of the core machines whose programs were started and not stopped, including suspended machines.
+    /// Returns the indices of the core machines whose programs were started and not stopped, including suspended
+    /// machines.
     pub fn running_core_machines(&self) -> Vec<usize> {
         let is_running = |index: &usize| {
             self.machines[*index].is_core && !self.machines[*index].processes.is_empty()
@@ -534,8 +537,8 @@
         edges.map(|machine| machine.address(port)).collect()
     }
 
-    /// Sends an operator's call to the running core machines in turn until one gives a response other than 503; returns that
-    /// response.
+    /// Sends an operator's call to the running core machines in turn until one gives a response other than 503; returns
+    /// that response.
     pub fn call_any_core(&mut self, request_line: &str, body: &str) -> Message {
         let core_addresses: Vec<SocketAddr> = self
             .running_core_machines()
--- a/crates/ctl/tests/system/contents.rs
+++ b/crates/ctl/tests/system/contents.rs
@@ -30,16 +30,16 @@
             .into_iter()
             .map(|o| o.join().expect("sent"))
             .collect();
-        let confirmed: Vec<usize> = (0..2)
+        let acknowledged: Vec<usize> = (0..2)
             .filter(|n| outcomes[*n] == Outcome::Acknowledged)
             .collect();
         assert!(
-            confirmed.len() < 2,
+            acknowledged.len() < 2,
             "both contents of version {version} are acknowledged"
         );
         for machine in 0..3 {
             let text = cluster.read_at(machine);
-            for operator in &confirmed {
+            for operator in &acknowledged {
                 assert!(
                     text.contains(&content(*operator)),
                     "{outcomes:?} of version {version}: {text}"
@@ -47,7 +47,7 @@
             }
         }
         // The other content is not accepted, whichever machine it is sent to again.
-        if let [operator] = confirmed[..] {
+        if let [operator] = acknowledged[..] {
             let other = set_route("r-2", &content(1 - operator), version);
             (0..3).for_each(|n| {
                 assert_ne!(
--- a/crates/ctl/tests/system/disks.rs
+++ b/crates/ctl/tests/system/disks.rs
@@ -22,7 +22,7 @@
         assert_eq!(
             outcome,
             Outcome::Unclear,
-            "a change must not be answered while the disk is full"
+            "a change was acknowledged or rejected while the disk was full"
         );
         thread::sleep(Duration::from_millis(50));
     }
@@ -55,8 +55,8 @@
     ]);
 }
 
-/// Simulates a disk sync that does not return. Such a sync blocks the store, which has a single thread; the test suspends
-/// the process instead.
+/// Simulates a disk sync that does not return. Such a sync blocks the store, which has a single thread; the test
+/// suspends the process instead.
 #[test]
 fn stalled_store_is_bypassed_and_catches_up_after_resuming() {
     let mut cluster = Cluster::new(core_only_plan(&["a", "b", "c"]), &[]);
--- a/crates/ctl/tests/system/isolation.rs
+++ b/crates/ctl/tests/system/isolation.rs
@@ -19,9 +19,9 @@
         .collect()
 }
 
-/// Sends changes, reads and evacuations to the given machines for [`OBSERVATION_TIME`]; asserts that none is acknowledged,
-/// rejected or answered.
-pub fn assert_no_call_is_answered(machines: &[SocketAddr], version: u32) {
+/// Sends changes, reads and evacuations to the given machines for [`OBSERVATION_TIME`]; asserts that no change
+/// or evacuation is acknowledged or rejected, and that no read succeeds.
+pub fn assert_no_call_is_decided(machines: &[SocketAddr], version: u32) {
     let observe = |address: SocketAddr| {
         let deadline = Instant::now() + OBSERVATION_TIME;
         let mut round = 0;
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn machines_without_a_majority_answer_no_operator_call() {
+fn machines_without_a_majority_neither_acknowledge_nor_reject_calls() {
     let mut cluster = Cluster::new(core_only_plan(&["a", "b", "c"]), &[]);
     cluster.start_configured();
     cluster.wait_until_in_sync();
@@ -71,20 +71,20 @@
         cluster.control_address(unknown_machine),
         cluster.control_address(2),
     ];
-    assert_no_call_is_answered(&isolated, 5);
+    assert_no_call_is_decided(&isolated, 5);
     // Once the others are resumed and find the machine, they restore its data; then they are suspended again.
     cluster.kill_machine(unknown_machine);
     cluster.resume(&[0, 1]);
     cluster.change_at(2, &set_route("r-2", "/two/", 2));
     cluster.suspend(&[0, 1]);
-    assert_no_call_is_answered(&[cluster.control_address(2)], 5);
+    assert_no_call_is_decided(&[cluster.control_address(2)], 5);
     cluster.resume(&[0, 1]);
     cluster.change_at_any_machine(&set_route("r-3", "/three/", 3));
     cluster.assert_all_read(&["\"/two/\"".into(), "\"/three/\"".into()]);
 }
 
-/// The machine to which changes are forwarded is suspended while the others accept changes. After it resumes, it must not
-/// serve the configuration from before its suspension.
+/// The machine to which changes are forwarded is suspended while the others accept changes. After it resumes, it must
+/// not serve the configuration from before its suspension.
 #[test]
 fn suspended_machine_serves_no_old_configuration_after_resuming() {
     let zones = vec![
--- a/crates/ctl/tests/system/main.rs
+++ b/crates/ctl/tests/system/main.rs
@@ -1,5 +1,5 @@
-//! System tests of the three programs together, on loopback. They cover the connections between the processes, which the
-//! tests of the individual state machines do not.
+//! System tests of the three programs together, on loopback. They cover the connections between the processes, which
+//! the tests of the individual state machines do not.
 
 mod catch_up;
 mod cluster;
@@ -212,8 +212,8 @@
     );
     assert_eq!(status("/five/", API_KEY_HEADER), 404);
 
-    // The coordinator's machine is killed: another machine reads the instance list, the remaining two still accept a change,
-    // and the proxies receive both.
+    // The coordinator's machine is killed: another machine reads the instance list, the remaining two still accept a
+    // change, and the proxies receive both.
     let coordinator = (0..cluster.machines.len())
         .find(|n| {
             let machine = &cluster.machines[*n];
@@ -263,7 +263,8 @@
     cluster.wait_until("all proxies serve again", |_| {
         proxy_addresses.iter().all(|proxy| serves(*proxy, "/z/"))
     });
-    // Each region has one proxy, and its clients get only that proxy: neither proxy was lost since these registries started.
+    // Each region has one proxy, and its clients get only that proxy: neither proxy was lost since these registries
+    // started.
     for (location, proxy) in [("region=east&zone=a", 0), ("region=west&zone=b", 1)] {
         let lookup = format!("GET /-/lookup?name=a.example&{location}");
         cluster.wait_until("the directory lists both proxies again", |s| {
@@ -280,8 +281,8 @@
         });
     }
 
-    // A zone is evacuated and the evacuation is revoked. Then a proxy is terminated: it must leave the directory, for which
-    // it reports that it is not ready, and then exit by itself.
+    // A zone is evacuated and the evacuation is revoked. Then a proxy is terminated: it must leave the directory, for
+    // which it reports that it is not ready, and then exit by itself.
     assert_eq!(
         cluster.call_any_core("POST /-/evacuations/b", "").status(),
         200
@@ -404,8 +405,8 @@
     )
 }
 
-/// Both proxies must select the same callers for mirroring. Each real request must run exactly once, no copy may reach a
-/// real backend, and copies carry neither the API key nor the original request id.
+/// Both proxies must select the same callers for mirroring. Each real request must run exactly once, no copy may reach
+/// a real backend, and copies carry neither the API key nor the original request id.
 #[test]
 fn proxies_mirror_the_same_callers_and_real_requests_stay_unchanged() {
     const TENANTS: usize = 24;
@@ -431,7 +432,7 @@
         200
     );
     let proxy_addresses = cluster.proxy_addresses();
-    cluster.wait_until("all serve", |_| {
+    cluster.wait_until("all proxies serve", |_| {
         proxy_addresses
             .iter()
             .all(|proxy| get_as_tenant(*proxy, "up", 0) == 200)
@@ -451,7 +452,8 @@
         );
     }
 
-    // Sends rounds of requests of all tenants through both proxies until `is_complete` accepts the sets of mirrored callers.
+    // Sends rounds of requests of all tenants through both proxies until `is_complete` accepts the sets of mirrored
+    // callers.
     let (mut sent, mut round) = (0, 0);
     let mut mirrored =
         |cluster: &mut Cluster,
@@ -539,7 +541,8 @@
         grown_callers.is_superset(&initial_callers),
         "{initial_callers:?} {grown_callers:?}"
     );
-    // Neither a trial service that is down nor a trial instance with the address of a real backend affects real requests.
+    // Neither a trial service that is down nor a trial instance with the address of a real backend affects real
+    // requests.
     let unreachable = SocketAddr::from(([127, 0, 0, 1], 1));
     for (version, address) in [(3, unreachable), (4, backends[0].address)] {
         assert_eq!(
--- a/crates/ctl/tests/system/orders.rs
+++ b/crates/ctl/tests/system/orders.rs
@@ -23,7 +23,8 @@
     let mut cluster = Cluster::new(core_only_plan(&["a", "b", "c"]), &[]);
     cluster.start_configured();
     let body = set_route("r-2", "/two/", 2);
-    let again_everywhere = |cluster: &mut Cluster| (0..3).for_each(|n| cluster.change_at(n, &body));
+    let repeat_at_all_machines =
+        |cluster: &mut Cluster| (0..3).for_each(|n| cluster.change_at(n, &body));
 
     // The response is lost; the change is repeated at another machine, and at the first one after its restart.
     send_without_reading_response(cluster.control_address(0), &body);
@@ -31,16 +32,16 @@
     cluster.kill_machine(0);
     cluster.change_at(2, &body);
     cluster.start_machine(0);
-    again_everywhere(&mut cluster);
+    repeat_at_all_machines(&mut cluster);
     assert!(cluster.read_at(0).contains("\"/two/\""));
 
-    // Another route is changed; then the route is removed and its prefix goes to another route. As a new change, the
-    // repeated one would be rejected.
+    // Another route is changed; then `r-2` is removed and its prefix is given to `r-3`. If the repeated change were
+    // new, it would be rejected.
     cluster.change_at(0, &set_route("r-1", "/one/", 2));
-    again_everywhere(&mut cluster);
+    repeat_at_all_machines(&mut cluster);
     cluster.change_at(1, &remove_route("r-2", 3));
     cluster.change_at(2, &set_route("r-3", "/two/", 3));
-    again_everywhere(&mut cluster);
+    repeat_at_all_machines(&mut cluster);
     let text = cluster.read_at(1);
     assert!(
         text.contains("\"r-3\"") && !text.contains("\"r-2\""),
--- a/crates/migrate/src/differences.rs
+++ b/crates/migrate/src/differences.rs
@@ -10,7 +10,8 @@
 }
 
 impl Differences<'_> {
-    /// Notes the old settings that are missing or different in the new ones, then the new settings without an old value.
+    /// Notes the old settings that are missing or different in the new ones, then the new settings without an old
+    /// value.
     pub(crate) fn add_notes(&mut self, old: &Value, new: &Value) {
         self.note_missing_or_changed(ROOT, old, Some(new));
         self.note_added(ROOT, new, Some(old));
--- a/crates/migrate/src/lib.rs
+++ b/crates/migrate/src/lib.rs
@@ -88,8 +88,8 @@
     found.ok_or_else(|| MigrateError::new(file, "settings: missing, or not an object"))
 }
 
-/// Parses a configuration as the gateway does at its start. Environment variables get placeholder values here; the gateway
-/// checks the real values when it starts.
+/// Parses a configuration as the gateway does at its start. Environment variables get placeholder values here; the
+/// gateway checks the real values when it starts.
 fn parse_config(file: ConfigFile, text: &str) -> Result<Config, MigrateError> {
     let environment = |key: &str| {
         let value = if key == "NODE_NAME" {
@@ -105,7 +105,8 @@
     })
 }
 
-/// Converts `old`, a gateway's current configuration, to the settings of `shape`, a configuration of the new deployment.
+/// Converts `old`, a gateway's current configuration, to the settings of `shape`, a configuration of the new
+/// deployment.
 ///
 /// # Errors
 /// Fails if one of the two configurations or the result is not valid.
