--- a/crates/lab/src/counter.rs
+++ b/crates/lab/src/counter.rs
@@ -1,8 +1,9 @@
-//! A stand-in for the shared counter, from the platform's protocol: text lines, `tally NAME ADD LIFE_MS`
-//! answered `ok TOTAL`, `ping` answered `pong`. Its faults are set while it runs.
+//! A simulated shared counter, implemented from the platform's protocol of text lines: the reply to
+//! `tally NAME ADD LIFE_MS` is `ok TOTAL`, the reply to `ping` is `pong`. Faults are injected at run time.
 //!
-//! Each gateway reaches it at an address of its own, a front; each front leads to one of the stores. So a
-//! split is two fronts on two stores, a partition is one front cut, a replacement is a store emptied.
+//! Each gateway connects to its own address, called a front, and each front is assigned to one store. This models the
+//! failures of the counter: in a split, two fronts use two stores; in a partition, one front does not reply; when the
+//! counter is replaced, a store is cleared.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -13,146 +14,175 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// What a front does with a connection and its calls.
+/// How a front handles connections and calls.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Front {
-    /// Answers each call, after this long.
+pub enum FrontMode {
+    /// Replies to each call after this delay.
     Up(Duration),
-    /// Ends every connection and refuses new ones: the process is dead.
+    /// Closes every connection, as after the death of the process.
     Dead,
-    /// Takes calls and never answers: the link is cut silently.
+    /// Reads calls and never replies, as when the network drops all packets.
     Silent,
 }
 
-/// One store of counts: names, their totals and when they are forgotten.
+/// Totals by name, with the time at which each expires.
 #[derive(Default)]
 pub struct Store {
-    names: HashMap<String, (f64, Instant)>,
+    totals: HashMap<String, (f64, Instant)>,
 }
 
 impl Store {
-    /// Adds and says the total; a new name lives `life` (60 s at most), as the protocol has it.
-    pub fn tally(&mut self, name: &str, add: f64, life: Duration, now: Instant) -> f64 {
-        self.names.retain(|_, (_, until)| *until > now);
-        let life = life.clamp(Duration::from_millis(1), Duration::from_secs(60));
+    /// Adds `add` to the total of `name` and returns the new total. A name expires `lifetime` after its first call, and
+    /// later calls do not extend this time; the protocol allows 60 s at most.
+    pub fn tally(&mut self, name: &str, add: f64, lifetime: Duration, now: Instant) -> f64 {
+        self.totals.retain(|_, (_, expires_at)| *expires_at > now);
+        let lifetime = lifetime.clamp(Duration::from_millis(1), Duration::from_secs(60));
         let entry = self
-            .names
+            .totals
             .entry(name.to_string())
-            .or_insert((0.0, now + life));
+            .or_insert((0.0, now + lifetime));
         entry.0 += add;
         entry.0
     }
+
+    /// Returns the number of names, including names that have expired since the last call of [`Store::tally`].
     pub fn len(&self) -> usize {
-        self.names.len()
+        self.totals.len()
     }
+
+    /// Returns whether the store has no names.
     pub fn is_empty(&self) -> bool {
-        self.names.is_empty()
+        self.totals.is_empty()
     }
 }
 
-/// Every call that reached a store, for the record of an experiment.
+/// A `tally` call that reached a store.
 #[derive(Clone, Debug)]
-pub struct Call {
+pub struct RecordedCall {
+    /// Index of the front that received the call.
     pub front: usize,
+    /// Name of the count.
     pub name: String,
+    /// Amount added.
     pub add: f64,
+    /// Total after the call.
     pub total: f64,
 }
 
-struct Shared {
+/// State that all fronts share.
+struct CounterState {
     stores: Vec<Store>,
-    /// For each front: its store and what it does.
-    fronts: Vec<(usize, Front)>,
-    calls: Vec<Call>,
+    /// Store index and mode of each front.
+    fronts: Vec<(usize, FrontMode)>,
+    calls: Vec<RecordedCall>,
 }
 
-/// The running counter; its fronts listen on loopback until it is dropped.
+/// A running simulated counter whose fronts listen on 127.0.0.1 for as long as the Tokio runtime runs.
 pub struct Counter {
-    shared: Arc<Mutex<Shared>>,
-    pub fronts: Vec<SocketAddr>,
-    changed: watch::Sender<u64>,
+    state: Arc<Mutex<CounterState>>,
+    /// Addresses of the fronts, by index.
+    pub front_addresses: Vec<SocketAddr>,
+    mode_changes: watch::Sender<u64>,
 }
 
 impl Counter {
-    /// `fronts` addresses, all on store 0, all up with no delay.
+    /// Starts a counter with `fronts` fronts, all assigned to store 0 and replying without delay, and at least one
+    /// store.
+    ///
+    /// # Errors
+    /// Returns the error where an address cannot be bound.
     pub async fn start(fronts: usize, stores: usize) -> std::io::Result<Counter> {
-        let shared = Arc::new(Mutex::new(Shared {
+        let state = Arc::new(Mutex::new(CounterState {
             stores: (0..stores.max(1)).map(|_| Store::default()).collect(),
-            fronts: vec![(0, Front::Up(Duration::ZERO)); fronts],
+            fronts: vec![(0, FrontMode::Up(Duration::ZERO)); fronts],
             calls: Vec::new(),
         }));
-        let (changed, _) = watch::channel(0);
-        let mut addrs = Vec::new();
+        let (mode_changes, _) = watch::channel(0);
+        let mut front_addresses = Vec::new();
         for front in 0..fronts {
             let listener = TcpListener::bind("127.0.0.1:0").await?;
-            addrs.push(listener.local_addr()?);
-            tokio::spawn(accept(listener, front, shared.clone(), changed.subscribe()));
+            front_addresses.push(listener.local_addr()?);
+            tokio::spawn(accept_connections(
+                listener,
+                front,
+                state.clone(),
+                mode_changes.subscribe(),
+            ));
         }
         Ok(Counter {
-            shared,
-            fronts: addrs,
-            changed,
+            state,
+            front_addresses,
+            mode_changes,
         })
     }
 
-    fn lock(&self) -> std::sync::MutexGuard<'_, Shared> {
-        self.shared.lock().unwrap_or_else(|e| e.into_inner())
+    fn lock(&self) -> std::sync::MutexGuard<'_, CounterState> {
+        self.state.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    /// Sets what a front does; connections open on it follow at once.
-    pub fn set(&self, front: usize, does: Front) {
-        self.lock().fronts[front].1 = does;
-        self.changed.send_modify(|n| *n += 1);
+    /// Sets the mode of a front, also for its open connections.
+    pub fn set_mode(&self, front: usize, mode: FrontMode) {
+        self.lock().fronts[front].1 = mode;
+        self.mode_changes.send_modify(|n| *n += 1);
     }
 
-    /// Leads a front to another store.
-    pub fn route(&self, front: usize, store: usize) {
+    /// Assigns a front to another store.
+    pub fn set_store(&self, front: usize, store: usize) {
         self.lock().fronts[front].0 = store;
-        self.changed.send_modify(|n| *n += 1);
+        self.mode_changes.send_modify(|n| *n += 1);
     }
 
-    /// A replacement that starts empty: all counts of the store are gone.
-    pub fn empty(&self, store: usize) {
+    /// Removes all counts of a store, as when the counter is replaced by a new process.
+    pub fn clear_store(&self, store: usize) {
         self.lock().stores[store] = Store::default();
     }
 
+    /// Returns the index of the store to which a front is assigned.
     pub fn store_of(&self, front: usize) -> usize {
         self.lock().fronts[front].0
     }
 
-    pub fn calls(&self) -> Vec<Call> {
+    /// Returns a copy of all recorded calls.
+    pub fn calls(&self) -> Vec<RecordedCall> {
         self.lock().calls.clone()
     }
 
-    pub fn names(&self, store: usize) -> usize {
+    /// Returns the number of names in a store.
+    pub fn name_count(&self, store: usize) -> usize {
         self.lock().stores[store].len()
     }
 }
 
-async fn accept(
+async fn accept_connections(
     listener: TcpListener,
     front: usize,
-    shared: Arc<Mutex<Shared>>,
-    changed: watch::Receiver<u64>,
+    state: Arc<Mutex<CounterState>>,
+    mode_changes: watch::Receiver<u64>,
 ) {
     loop {
         let Ok((socket, _)) = listener.accept().await else {
             continue;
         };
-        let does = shared.lock().unwrap_or_else(|e| e.into_inner()).fronts[front].1;
-        if does == Front::Dead {
-            drop(socket); // As good as refused: the connection ends before any call.
+        let mode = state.lock().unwrap_or_else(|e| e.into_inner()).fronts[front].1;
+        if mode == FrontMode::Dead {
+            // The connection closes before any call, which clients handle like a refused connection.
+            drop(socket);
             continue;
         }
-        tokio::spawn(serve(socket, front, shared.clone(), changed.clone()));
+        tokio::spawn(serve_connection(
+            socket,
+            front,
+            state.clone(),
+            mode_changes.clone(),
+        ));
     }
 }
 
-async fn serve(
+async fn serve_connection(
     socket: TcpStream,
     front: usize,
-    shared: Arc<Mutex<Shared>>,
-    mut changed: watch::Receiver<u64>,
+    state: Arc<Mutex<CounterState>>,
+    mut mode_changes: watch::Receiver<u64>,
 ) {
     socket.set_nodelay(true).ok();
     let (read, mut write) = socket.into_split();
@@ -160,44 +190,45 @@
     loop {
         let line = tokio::select! {
             line = lines.next_line() => line,
-            _ = changed.changed() => {
-                let does = shared.lock().unwrap_or_else(|e| e.into_inner()).fronts[front].1;
-                if does == Front::Dead { return } else { continue }
+            _ = mode_changes.changed() => {
+                let mode = state.lock().unwrap_or_else(|e| e.into_inner()).fronts[front].1;
+                if mode == FrontMode::Dead { return } else { continue }
             }
         };
         let Ok(Some(line)) = line else { return };
-        let (store, does) = shared.lock().unwrap_or_else(|e| e.into_inner()).fronts[front];
-        let delay = match does {
-            Front::Dead => return,
-            Front::Silent => continue,
-            Front::Up(delay) => delay,
+        let (store, mode) = state.lock().unwrap_or_else(|e| e.into_inner()).fronts[front];
+        let delay = match mode {
+            FrontMode::Dead => return,
+            FrontMode::Silent => continue,
+            FrontMode::Up(delay) => delay,
         };
         if !delay.is_zero() {
             tokio::time::sleep(delay).await;
         }
-        let answer = answer(&line, front, store, &shared);
-        if write.write_all(answer.as_bytes()).await.is_err() {
+        let reply = execute(&line, front, store, &state);
+        if write.write_all(reply.as_bytes()).await.is_err() {
             return;
         }
     }
 }
 
-fn answer(line: &str, front: usize, store: usize, shared: &Mutex<Shared>) -> String {
+/// Executes a protocol line that `front` received and returns the reply line.
+fn execute(line: &str, front: usize, store: usize, state: &Mutex<CounterState>) -> String {
     let words: Vec<&str> = line.split_whitespace().collect();
     match words.as_slice() {
         ["ping"] => "pong\r\n".into(),
-        ["tally", name, add, life] if name.len() <= 64 => {
-            let (Ok(add), Ok(life)) = (add.parse::<f64>(), life.parse::<u64>()) else {
+        ["tally", name, add, lifetime] if name.len() <= 64 => {
+            let (Ok(add), Ok(lifetime)) = (add.parse::<f64>(), lifetime.parse::<u64>()) else {
                 return "error\r\n".into();
             };
-            let mut s = shared.lock().unwrap_or_else(|e| e.into_inner());
-            let total = s.stores[store].tally(
+            let mut state = state.lock().unwrap_or_else(|e| e.into_inner());
+            let total = state.stores[store].tally(
                 name,
                 add,
-                Duration::from_millis(life.max(1)),
+                Duration::from_millis(lifetime.max(1)),
                 Instant::now(),
             );
-            s.calls.push(Call {
+            state.calls.push(RecordedCall {
                 front,
                 name: name.to_string(),
                 add,
--- a/crates/lab/src/discovery.rs
+++ b/crates/lab/src/discovery.rs
@@ -1,5 +1,6 @@
-//! A stand-in for discovery, from the platform's protocol: `GET /discovery/hosts` gives the whole list, a
-//! watch (`?from=REVISION&hold_ms=MS`) waits for a newer one and gives it whole.
+//! A simulated discovery service, implemented from the platform's protocol: `GET /discovery/hosts` returns the complete
+//! list of backends. A watch (`?from=REVISION&hold_ms=MS`) waits for a newer revision and also returns the complete
+//! list.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -18,26 +19,34 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-/// A backend as the list has it.
+/// An entry of the list of backends.
 #[derive(Clone, Debug, Serialize)]
 pub struct Member {
+    /// Identifier of the backend.
     pub id: String,
+    /// Address of the backend.
     pub host_port: SocketAddr,
+    /// Data center of the backend.
     pub locality: String,
+    /// Machine type of the backend.
     pub flavor: String,
+    /// Cell of the backend.
     pub cell: u32,
     /// `active`, `leaving` or `left`.
     pub phase: String,
+    /// Relative capacity.
     pub size: f64,
+    /// Start time in milliseconds.
     pub up_since_ms: u64,
 }
 
 impl Member {
-    pub fn active(id: &str, at: SocketAddr) -> Member {
+    /// Returns an active member of size 1 in locality `a`, cell 0 and of flavor `m`.
+    pub fn active(id: &str, address: SocketAddr) -> Member {
         let (locality, flavor, phase) = ("a".into(), "m".into(), "active".into());
         Member {
             id: id.into(),
-            host_port: at,
+            host_port: address,
             locality,
             flavor,
             cell: 0,
@@ -55,33 +64,42 @@
     members: Vec<Member>,
 }
 
+/// A running simulated discovery service.
 pub struct Discovery {
-    pub at: SocketAddr,
-    list: watch::Sender<Page>,
-    calls: Arc<AtomicUsize>,
+    /// Address on which the service listens.
+    pub address: SocketAddr,
+    page_sender: watch::Sender<Page>,
+    request_count: Arc<AtomicUsize>,
 }
 
 impl Discovery {
+    /// Starts the service on a free port of 127.0.0.1 with `members` as revision 1.
+    ///
+    /// # Errors
+    /// Returns the error where the address cannot be bound.
     pub async fn start(members: Vec<Member>) -> std::io::Result<Discovery> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
-        let at = listener.local_addr()?;
-        let (list, _) = watch::channel(Page {
+        let address = listener.local_addr()?;
+        let (page_sender, _) = watch::channel(Page {
             revision: 1,
             complete: true,
             members,
         });
-        let (pages, calls) = (Arc::new(list.subscribe()), Arc::<AtomicUsize>::default());
-        let counted = calls.clone();
+        let (pages, request_count) = (
+            Arc::new(page_sender.subscribe()),
+            Arc::<AtomicUsize>::default(),
+        );
+        let counter = request_count.clone();
         tokio::spawn(async move {
             loop {
                 let Ok((socket, _)) = listener.accept().await else {
                     continue;
                 };
-                let (pages, counted) = (pages.clone(), counted.clone());
+                let (pages, counter) = (pages.clone(), counter.clone());
                 tokio::spawn(async move {
                     let service = service_fn(move |r| {
-                        counted.fetch_add(1, Ordering::Relaxed);
-                        hosts(r, (*pages).clone())
+                        counter.fetch_add(1, Ordering::Relaxed);
+                        respond(r, (*pages).clone())
                     });
                     http1::Builder::new()
                         .serve_connection(TokioIo::new(socket), service)
@@ -90,37 +108,45 @@
                 });
             }
         });
-        Ok(Discovery { at, list, calls })
+        Ok(Discovery {
+            address,
+            page_sender,
+            request_count,
+        })
     }
 
-    /// Lists and watches asked for so far.
-    pub fn calls(&self) -> usize {
-        self.calls.load(Ordering::Relaxed)
+    /// Returns the number of requests so far, lists and watches together.
+    pub fn request_count(&self) -> usize {
+        self.request_count.load(Ordering::Relaxed)
     }
 
-    /// Changes the list; watches that wait are answered at once.
-    pub fn change(&self, change: impl FnOnce(&mut Vec<Member>)) {
-        self.list.send_modify(|page| {
+    /// Changes the list and increments its revision; pending watches return immediately.
+    pub fn update(&self, change: impl FnOnce(&mut Vec<Member>)) {
+        self.page_sender.send_modify(|page| {
             change(&mut page.members);
             page.revision += 1;
         });
     }
 }
 
-async fn hosts(
+/// Handles a list or watch request.
+async fn respond(
     request: Request<Incoming>,
     mut pages: watch::Receiver<Page>,
 ) -> Result<Response<Full<Bytes>>, Infallible> {
     let query = request.uri().query().unwrap_or("");
-    let number = |key: &str| {
-        query
-            .split('&')
-            .find_map(|kv| kv.strip_prefix(key)?.strip_prefix('=')?.parse::<u64>().ok())
+    let query_number = |key: &str| {
+        query.split('&').find_map(|pair| {
+            pair.strip_prefix(key)?
+                .strip_prefix('=')?
+                .parse::<u64>()
+                .ok()
+        })
     };
-    if let Some(from) = number("from") {
-        let hold = Duration::from_millis(number("hold_ms").unwrap_or(20_000).min(60_000));
-        let newer = pages.wait_for(|p| p.revision > from);
-        tokio::time::timeout(hold, newer).await.ok();
+    if let Some(from) = query_number("from") {
+        let timeout = Duration::from_millis(query_number("hold_ms").unwrap_or(20_000).min(60_000));
+        let newer_page = pages.wait_for(|p| p.revision > from);
+        tokio::time::timeout(timeout, newer_page).await.ok();
     }
     let page = pages.borrow().clone();
     let body = serde_json::to_string(&page).unwrap_or_default();
--- a/crates/lab/src/plain.rs
+++ b/crates/lab/src/plain.rs
@@ -1,18 +1,22 @@
-//! Requests and answers read and written by hand, blocking: for clients and servers of tests, which must see every
-//! byte as it is and not as a library would have it.
+//! A minimal blocking HTTP/1.1 reader and writer for the clients and servers of tests. Unlike an HTTP library, it does
+//! not normalize what was received.
 
 use std::io::{BufRead, BufReader, Read};
 use std::net::TcpStream;
 
-/// A request or an answer, as read from a socket.
+/// An HTTP request or response.
 #[derive(Clone, Debug, Default)]
 pub struct Message {
+    /// Request line or status line.
     pub first: String,
+    /// Header names and values, in the order received.
     pub headers: Vec<(String, String)>,
+    /// Body, without chunked encoding.
     pub body: Vec<u8>,
 }
 
 impl Message {
+    /// Returns the value of the first header with this name, ignoring case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers
             .iter()
@@ -20,6 +24,7 @@
             .map(|h| h.1.as_str())
     }
 
+    /// Returns the status code, or 0 where the first line has none.
     pub fn status(&self) -> u16 {
         self.first
             .split(' ')
@@ -28,12 +33,13 @@
             .unwrap_or(0)
     }
 
-    /// The next one's head; none where the connection ended before its end.
-    pub fn head(from: &mut BufReader<TcpStream>) -> Option<Message> {
+    /// Reads the first line and the headers of the next message. Returns `None` where the connection ends before the
+    /// head is complete or a header line has no colon.
+    pub fn head(reader: &mut BufReader<TcpStream>) -> Option<Message> {
         let mut message = Message::default();
         loop {
             let mut line = String::new();
-            if from.read_line(&mut line).ok()? == 0 {
+            if reader.read_line(&mut line).ok()? == 0 {
                 return None;
             }
             let line = line.trim_end();
@@ -49,24 +55,25 @@
         Some(message)
     }
 
-    /// The next one; none where the connection ended, whole or not.
-    pub fn read(from: &mut BufReader<TcpStream>) -> Option<Message> {
-        let mut message = Message::head(from)?;
+    /// Reads the next message. Returns `None` where the connection ends before the message is complete, or the message
+    /// is malformed.
+    pub fn read(reader: &mut BufReader<TcpStream>) -> Option<Message> {
+        let mut message = Message::head(reader)?;
         let chunked = message.header("transfer-encoding").is_some();
         let mut length = message
             .header("content-length")
-            .map_or(Some(0), |l| l.parse().ok())?;
+            .map_or(Some(0), |value| value.parse().ok())?;
         loop {
             if chunked {
                 let mut line = String::new();
-                from.read_line(&mut line).ok()?;
+                reader.read_line(&mut line).ok()?;
                 length = usize::from_str_radix(line.trim(), 16).ok()?;
             }
-            let before = message.body.len();
-            message.body.resize(before + length, 0);
-            from.read_exact(&mut message.body[before..]).ok()?;
+            let body_len = message.body.len();
+            message.body.resize(body_len + length, 0);
+            reader.read_exact(&mut message.body[body_len..]).ok()?;
             if chunked {
-                from.read_exact(&mut [0; 2]).ok()?;
+                reader.read_exact(&mut [0; 2]).ok()?;
             }
             if !chunked || length == 0 {
                 return Some(message);
@@ -75,6 +82,7 @@
     }
 }
 
+/// Returns a response with the status code, reason phrase and headers of `head`, a `Content-Length` and `body`.
 pub fn answer(head: &str, body: &str) -> String {
     format!(
         "HTTP/1.1 {head}\r\nContent-Length: {}\r\n\r\n{body}",
--- a/crates/lab/src/programs.rs
+++ b/crates/lab/src/programs.rs
@@ -1,21 +1,23 @@
-//! What holds of all programs of the system, played against each as a process.
+//! Tests that apply to every program of the system, run against each program as a process.
 
 use std::path::Path;
 use std::process::Command;
 
-/// A settings file that can't be taken ends the program with 1 and one line that names the file and the field.
+/// Asserts that the program exits with status 1 after an invalid or missing settings file. For an invalid file it must
+/// print exactly one line, which names the file and the invalid field; for a missing file the output names
+/// `DAMSONBEAM_CONFIG` and the path.
 ///
 /// # Panics
-/// Where it does not.
+/// Panics where an assertion fails or the program or the file cannot be used.
 pub fn says_what_is_wrong_with_its_settings(program: &Path, part: &str) {
-    let says = |settings: &str| {
-        let done = Command::new(program)
-            .env("DAMSONBEAM_CONFIG", settings)
+    let run_with_settings = |settings_path: &str| {
+        let output = Command::new(program)
+            .env("DAMSONBEAM_CONFIG", settings_path)
             .output()
-            .expect("runs");
+            .expect("the program starts");
         (
-            done.status.code(),
-            String::from_utf8_lossy(&done.stderr).into_owned(),
+            output.status.code(),
+            String::from_utf8_lossy(&output.stderr).into_owned(),
         )
     };
     let file = std::env::temp_dir().join(format!("damsonbeam-{part}-{}.json", std::process::id()));
@@ -24,18 +26,20 @@
         (r#"{"node_name":7}"#, "listen_addresses"),
         ("{", "not JSON"),
     ] {
-        std::fs::write(&file, text).expect("written");
-        let (code, said) = says(&path);
-        assert_eq!((code, said.lines().count()), (Some(1), 1), "{said}");
+        std::fs::write(&file, text).expect("the settings file is written");
+        let (code, stderr) = run_with_settings(&path);
+        assert_eq!((code, stderr.lines().count()), (Some(1), 1), "{stderr}");
         assert!(
-            said.contains(&format!("{part}: ")) && said.contains(&path) && said.contains(field),
-            "{said}"
+            stderr.contains(&format!("{part}: "))
+                && stderr.contains(&path)
+                && stderr.contains(field),
+            "{stderr}"
         );
     }
-    std::fs::remove_file(&file).expect("there");
-    let (code, said) = says("/nowhere/settings.json");
+    std::fs::remove_file(&file).expect("the settings file is removed");
+    let (code, stderr) = run_with_settings("/nowhere/settings.json");
     assert!(
-        code == Some(1) && said.contains("DAMSONBEAM_CONFIG=/nowhere/settings.json"),
-        "{said}"
+        code == Some(1) && stderr.contains("DAMSONBEAM_CONFIG=/nowhere/settings.json"),
+        "{stderr}"
     );
 }
--- a/crates/lab/tests/counter.rs
+++ b/crates/lab/tests/counter.rs
@@ -1,16 +1,16 @@
-//! The counts of the stand-in for the counter.
+//! Tests for the store of the simulated counter.
 
 use std::time::{Duration, Instant};
 
 use damsonbeam_lab::counter::Store;
 
 #[test]
-fn a_name_is_forgotten_after_its_life_and_totals_add_up() {
-    let (mut s, now) = (Store::default(), Instant::now());
-    assert_eq!(s.tally("a", 2.0, Duration::from_secs(1), now), 2.0);
-    assert_eq!(s.tally("a", -0.5, Duration::from_secs(9), now), 1.5);
+fn totals_accumulate_until_the_name_expires() {
+    let (mut store, now) = (Store::default(), Instant::now());
+    assert_eq!(store.tally("a", 2.0, Duration::from_secs(1), now), 2.0);
+    assert_eq!(store.tally("a", -0.5, Duration::from_secs(9), now), 1.5);
     assert_eq!(
-        s.tally(
+        store.tally(
             "a",
             1.0,
             Duration::from_secs(1),
--- a/crates/lab/tests/script.rs
+++ b/crates/lab/tests/script.rs
@@ -1,11 +1,11 @@
-//! Fault scripts, good and bad.
+//! Tests for the parser of fault scripts.
 
 use std::time::Duration;
 
 use damsonbeam_lab::script::{Fault, parse};
 
 #[test]
-fn a_good_script_is_read_in_order_with_its_lines() {
+fn valid_script_yields_steps_in_order_with_line_numbers() {
     let text = "[[step]]\nat = \"2s\"\ndo = \"counter-kill\"\n\n[[step]]\nat = \"4500ms\"\ndo = \"counter-revive\"\nempty = true\n";
     let steps = parse("s.toml", text, 3, 2, 4).unwrap();
     assert_eq!(steps.len(), 2);
@@ -21,11 +21,11 @@
 }
 
 #[test]
-fn bad_scripts_are_refused_with_file_line_and_reason() {
+fn invalid_scripts_are_rejected_with_file_line_and_reason() {
     let cases = [
         (
             "[[step]]\nat = \"1s\"\ndo = \"counter-explode\"\n",
-            "s.toml:1: do: `counter-explode` is no step",
+            "s.toml:1: do: `counter-explode` is not a step",
         ),
         (
             "[[step]]\nat = \"5s\"\ndo = \"counter-kill\"\n[[step]]\nat = \"1s\"\ndo = \"counter-heal\"\n",
@@ -37,11 +37,11 @@
         ),
         (
             "[[step]]\nat = \"10\"\ndo = \"counter-kill\"\n",
-            "s.toml:1: at: `10` is no time with its unit",
+            "s.toml:1: at: `10` is not a duration with a unit",
         ),
         (
             "[[step]]\nat = \"1s\"\ndo = \"counter-cut\"\nfront = 7\n",
-            "s.toml:1: front: 7 is not below the 3 fronts",
+            "s.toml:1: front: 7 is out of range; there are 3 fronts",
         ),
         (
             "[[step]]\nat = \"1s\"\ndo = \"gateway-kill\"\n",
@@ -49,19 +49,19 @@
         ),
         (
             "[[step]]\nat = \"1s\"\ndo = \"gateway-upgrade\"\ngateway = 3\n",
-            "s.toml:1: gateway: 3 is not below the 3 gateways",
+            "s.toml:1: gateway: 3 is out of range; there are 3 gateways",
         ),
         (
             "[[step]]\nat = \"1s\"\ndo = \"gateway-reload\"\nfactor = -1.0\n",
-            "s.toml:1: factor: -1 is no factor of a quota",
+            "s.toml:1: factor: -1 is not a positive finite number",
         ),
         (
             "[[step]]\nat = \"1s\"\ndo = \"counter-kill\"\ncolour = 1\n",
             "unknown field `colour`",
         ),
     ];
-    for (text, says) in cases {
-        let said = parse("s.toml", text, 3, 2, 4).unwrap_err();
-        assert!(said.contains(says), "{says} in {said}");
+    for (text, expected) in cases {
+        let error = parse("s.toml", text, 3, 2, 4).unwrap_err();
+        assert!(error.contains(expected), "{expected} not in {error}");
     }
 }
--- a/crates/load/src/clients.rs
+++ b/crates/load/src/clients.rs
@@ -1,5 +1,5 @@
-//! Clients like real ones: each with its own bounded pool of connections and a queue before it, or with a
-//! connection an invocation; and how a try ends, told apart by what came of its answer.
+//! Simulated clients, each with its own bounded connection pool and a queue for invocations that wait for a connection,
+//! or with a new connection for each invocation. The result of each try depends on how much of the answer arrived.
 
 use std::collections::HashMap;
 use std::io;
@@ -19,26 +19,31 @@
 use tokio::net::TcpStream;
 use tokio::sync::Semaphore;
 
-use crate::profile::Kind;
+use crate::profile::ClientOptions;
 
-/// How an invocation ended for its client.
+/// Final result of a try or an invocation, as the client observes it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Answer {
+    /// A complete answer with status 200.
     Succeeded,
+    /// A complete answer with status 429 or 503.
     Throttled,
-    /// A whole answer of another status: 5xx for the most part.
+    /// A complete answer with any other status, mostly 5xx.
     Errored,
-    /// Its connection ended before the first byte of an answer, within its head, or within its body.
+    /// The connection closed before the first byte of the answer.
     BrokenBefore,
+    /// The connection closed within the head of the answer.
     BrokenHead,
+    /// The connection closed within the body of the answer.
     BrokenBody,
-    /// Nothing whole came within the client's patience.
-    None,
-    /// No connection came up, or none came free in time: the gateway never had the invocation.
-    NotTaken,
+    /// No complete answer arrived before the client timeout (`patience`).
+    TimedOut,
+    /// No connection could be opened, or none became free in time; the gateway never received the invocation.
+    NotSent,
 }
 
 impl Answer {
+    /// All values, in the order of the table columns.
     pub const ALL: [Answer; 8] = [
         Answer::Succeeded,
         Answer::Throttled,
@@ -46,10 +51,11 @@
         Answer::BrokenBefore,
         Answer::BrokenHead,
         Answer::BrokenBody,
-        Answer::None,
-        Answer::NotTaken,
+        Answer::TimedOut,
+        Answer::NotSent,
     ];
 
+    /// Returns the column name in tables.
     pub fn name(self) -> &'static str {
         match self {
             Answer::Succeeded => "succeeded",
@@ -58,12 +64,12 @@
             Answer::BrokenBefore => "broken_before",
             Answer::BrokenHead => "broken_head",
             Answer::BrokenBody => "broken_body",
-            Answer::None => "none",
-            Answer::NotTaken => "not_taken",
+            Answer::TimedOut => "none",
+            Answer::NotSent => "not_taken",
         }
     }
 
-    /// Whether it is an answer at all: a connection that broke gave none.
+    /// Returns whether a complete answer arrived, with any status.
     pub fn is_whole(self) -> bool {
         matches!(
             self,
@@ -71,19 +77,19 @@
         )
     }
 
-    /// Whether the gateway may have had it and gave no whole answer.
+    /// Returns whether the gateway may have received the invocation and no complete answer arrived.
     pub fn is_lost(self) -> bool {
-        !self.is_whole() && self != Answer::NotTaken
+        !self.is_whole() && self != Answer::NotSent
     }
 }
 
-/// A socket that counts what it reads: a broken answer is told by how far it came.
-struct Counted {
+/// A TCP stream that counts the bytes read, to determine where a broken answer ended.
+struct CountingStream {
     socket: TcpStream,
-    read: Arc<AtomicU64>,
+    bytes_read: Arc<AtomicU64>,
 }
 
-impl AsyncRead for Counted {
+impl AsyncRead for CountingStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context,
@@ -91,13 +97,13 @@
     ) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
         ready!(Pin::new(&mut self.socket).poll_read(cx, buf))?;
-        self.read
+        self.bytes_read
             .fetch_add((buf.filled().len() - before) as u64, Ordering::Relaxed);
         Poll::Ready(Ok(()))
     }
 }
 
-impl AsyncWrite for Counted {
+impl AsyncWrite for CountingStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context,
@@ -115,119 +121,135 @@
     }
 }
 
-/// A connection that is open, and what it has read.
-struct Line {
-    send: SendRequest<Empty<Bytes>>,
-    read: Arc<AtomicU64>,
+/// An open connection and the number of bytes read from it.
+struct Connection {
+    sender: SendRequest<Empty<Bytes>>,
+    bytes_read: Arc<AtomicU64>,
 }
 
-impl Line {
-    async fn open(at: SocketAddr) -> Option<Line> {
-        let socket = TcpStream::connect(at).await.ok()?;
+impl Connection {
+    async fn open(address: SocketAddr) -> Option<Connection> {
+        let socket = TcpStream::connect(address).await.ok()?;
         socket.set_nodelay(true).ok();
-        let read = Arc::<AtomicU64>::default();
-        let counted = Counted {
+        let bytes_read = Arc::<AtomicU64>::default();
+        let stream = CountingStream {
             socket,
-            read: read.clone(),
+            bytes_read: bytes_read.clone(),
         };
-        let (send, connection) = handshake(TokioIo::new(counted)).await.ok()?;
-        tokio::spawn(connection);
-        Some(Line { send, read })
+        let (sender, driver) = handshake(TokioIo::new(stream)).await.ok()?;
+        tokio::spawn(driver);
+        Some(Connection { sender, bytes_read })
     }
 }
 
-/// What a try came to.
-pub struct Tried {
+/// The result of one try.
+pub struct TryResult {
+    /// The answer, or how it failed.
     pub answer: Answer,
-    /// When the gateway says to return.
+    /// Delay in the `Retry-After` header of the answer.
     pub retry_after: Option<Duration>,
 }
 
-/// One client: its pool by gateway, its queue, and its budget for retries.
+/// A simulated client with its idle connections by gateway, its queue and its retry budget.
 pub struct Client {
-    kind: Kind,
-    idle: Mutex<HashMap<SocketAddr, Vec<Line>>>,
-    places: Semaphore,
-    budget: Mutex<f64>,
-    pub opened: AtomicU64,
+    options: ClientOptions,
+    idle: Mutex<HashMap<SocketAddr, Vec<Connection>>>,
+    /// Limits the open connections; invocations that wait for a permit form the queue.
+    connection_permits: Semaphore,
+    retry_budget: Mutex<f64>,
+    /// Number of connections opened so far.
+    pub opened_connections: AtomicU64,
 }
 
-/// Retries saved up at most, where there is a budget.
-const SAVED: f64 = 10.0;
+/// Maximum number of retries that a retry budget accumulates.
+const MAX_SAVED_RETRIES: f64 = 10.0;
 
 impl Client {
-    pub fn new(kind: &Kind) -> Client {
+    /// Creates a client without connections and with a full retry budget.
+    pub fn new(options: &ClientOptions) -> Client {
         Client {
-            places: Semaphore::new(
-                kind.connections
+            connection_permits: Semaphore::new(
+                options
+                    .connections
                     .filter(|n| *n > 0)
                     .unwrap_or(Semaphore::MAX_PERMITS),
             ),
-            kind: kind.clone(),
+            options: options.clone(),
             idle: Mutex::default(),
-            budget: Mutex::new(SAVED),
-            opened: AtomicU64::new(0),
+            retry_budget: Mutex::new(MAX_SAVED_RETRIES),
+            opened_connections: AtomicU64::new(0),
         }
     }
 
-    /// A first try pays into the budget; a retry draws one from it, if one is there.
-    pub fn pays(&self) {
-        let mut budget = self.budget.lock().unwrap_or_else(|e| e.into_inner());
-        *budget = (*budget + self.kind.budget.unwrap_or_default()).min(SAVED);
+    /// Adds the credit of a first try to the retry budget.
+    pub fn add_retry_credit(&self) {
+        let mut budget = self.retry_budget.lock().unwrap_or_else(|e| e.into_inner());
+        *budget = (*budget + self.options.budget.unwrap_or_default()).min(MAX_SAVED_RETRIES);
     }
 
-    pub fn may_retry(&self) -> bool {
-        let mut budget = self.budget.lock().unwrap_or_else(|e| e.into_inner());
-        if self.kind.budget.is_some() && *budget < 1.0 {
+    /// Takes one retry from the budget and returns whether the client may retry; returns true where there is no budget.
+    pub fn take_retry_credit(&self) -> bool {
+        let mut budget = self.retry_budget.lock().unwrap_or_else(|e| e.into_inner());
+        if self.options.budget.is_some() && *budget < 1.0 {
             return false;
         }
-        *budget -= if self.kind.budget.is_some() { 1.0 } else { 0.0 };
+        *budget -= if self.options.budget.is_some() {
+            1.0
+        } else {
+            0.0
+        };
         true
     }
 
-    fn kept(&self, at: SocketAddr) -> Option<Line> {
+    /// Removes an idle connection to `gateway` from the pool; discards closed connections.
+    fn take_idle(&self, gateway: SocketAddr) -> Option<Connection> {
         let mut idle = self.idle.lock().unwrap_or_else(|e| e.into_inner());
-        let lines = idle.get_mut(&at)?;
-        while let Some(line) = lines.pop() {
-            if line.send.is_ready() {
-                return Some(line);
+        let connections = idle.get_mut(&gateway)?;
+        while let Some(connection) = connections.pop() {
+            if connection.sender.is_ready() {
+                return Some(connection);
             }
         }
         None
     }
 
-    /// One try: waits for a place, asks, reads the answer to its end. A kept connection that the gateway
-    /// closed as the request was written is no answer lost: it goes out once more on a new one.
-    pub async fn ask(&self, at: SocketAddr, request: impl Fn() -> Request<Empty<Bytes>>) -> Tried {
-        let none = |answer| Tried {
+    /// Sends one try to `gateway`: waits for a connection permit, sends the request and reads the complete answer.
+    /// Where the gateway closes a reused connection before the first byte of the answer, the request is sent again on a
+    /// new connection, because an idle connection may close at any time; the answer does not count as lost.
+    pub async fn send(
+        &self,
+        gateway: SocketAddr,
+        request: impl Fn() -> Request<Empty<Bytes>>,
+    ) -> TryResult {
+        let without_delay = |answer| TryResult {
             answer,
             retry_after: None,
         };
-        let Ok(_place) = self.places.acquire().await else {
-            return none(Answer::NotTaken);
+        let Ok(_permit) = self.connection_permits.acquire().await else {
+            return without_delay(Answer::NotSent);
         };
-        let pooled = self.kind.connections != Some(0);
-        let mut kept = self.kept(at).filter(|_| pooled);
+        let pooled = self.options.connections != Some(0);
+        let mut idle_connection = self.take_idle(gateway).filter(|_| pooled);
         loop {
-            let again = kept.is_some();
-            let mut line = match kept.take() {
-                Some(line) => line,
+            let reused = idle_connection.is_some();
+            let mut connection = match idle_connection.take() {
+                Some(connection) => connection,
                 None => {
-                    self.opened.fetch_add(1, Ordering::Relaxed);
-                    match Line::open(at).await {
-                        Some(line) => line,
-                        None => return none(Answer::NotTaken),
+                    self.opened_connections.fetch_add(1, Ordering::Relaxed);
+                    match Connection::open(gateway).await {
+                        Some(connection) => connection,
+                        None => return without_delay(Answer::NotSent),
                     }
                 }
             };
-            let before = line.read.load(Ordering::Relaxed);
-            let response = match line.send.send_request(request()).await {
+            let bytes_before = connection.bytes_read.load(Ordering::Relaxed);
+            let response = match connection.sender.send_request(request()).await {
                 Ok(response) => response,
-                Err(_) if line.read.load(Ordering::Relaxed) > before => {
-                    return none(Answer::BrokenHead);
+                Err(_) if connection.bytes_read.load(Ordering::Relaxed) > bytes_before => {
+                    return without_delay(Answer::BrokenHead);
                 }
-                Err(_) if again => continue,
-                Err(_) => return none(Answer::BrokenBefore),
+                Err(_) if reused => continue,
+                Err(_) => return without_delay(Answer::BrokenBefore),
             };
             let (head, body) = response.into_parts();
             let retry_after = head
@@ -235,27 +257,27 @@
                 .get("retry-after")
                 .and_then(|v| v.to_str().ok()?.parse().ok());
             if body.collect().await.is_err() {
-                return none(Answer::BrokenBody);
+                return without_delay(Answer::BrokenBody);
             }
             let answer = match head.status.as_u16() {
                 200 => Answer::Succeeded,
                 429 | 503 => Answer::Throttled,
                 _ => Answer::Errored,
             };
-            let ends = head
+            let closes = head
                 .headers
                 .get("connection")
                 .is_some_and(|v| v.as_bytes() == b"close");
-            if pooled && !ends && line.send.ready().await.is_ok() {
+            if pooled && !closes && connection.sender.ready().await.is_ok() {
                 self.idle
                     .lock()
                     .unwrap_or_else(|e| e.into_inner())
-                    .entry(at)
+                    .entry(gateway)
                     .or_default()
-                    .push(line);
+                    .push(connection);
             }
             let retry_after = retry_after.and_then(|s| Duration::try_from_secs_f64(s).ok());
-            return Tried {
+            return TryResult {
                 answer,
                 retry_after,
             };
--- a/crates/load/src/experiment.rs
+++ b/crates/load/src/experiment.rs
@@ -1,18 +1,18 @@
-//! Experiments: the lab's stand-ins, gateways of the built program, a load profile and a fault script,
-//! run together; the report is written with what the backends and the counter saw.
+//! Experiments: run gateways of the built program against the emulator with a load profile and a fault script, and
+//! write a report that includes the numbers of requests that backends and counter received.
 //!
 //! ```toml
 //! title = "The counter killed mid-surge"
 //! gateways = 3
 //! backends = 6
-//! stores = 2            # counters that a split can lead to
-//! load = "load.toml"    # beside this file
+//! stores = 2            # counter stores, among which a split divides the gateways
+//! load = "load.toml"    # path relative to this file
 //! faults = "faults.toml"
 //! ```
 
 use std::path::{Path, PathBuf};
 
-use damsonbeam_lab::gateways::{self, Place};
+use damsonbeam_lab::gateways::{Gateway, GatewayOptions};
 use damsonbeam_lab::{Behaviour, Fault, Lab};
 use serde::Deserialize;
 use serde_json::{Value, json};
@@ -21,37 +21,45 @@
 use crate::report;
 use crate::run;
 
+/// An experiment file.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
+    /// Title of the report.
     pub title: String,
+    /// Number of gateways, 1 to 200.
     pub gateways: usize,
+    /// Number of backends, 1 or more.
     pub backends: usize,
-    #[serde(default = "one")]
+    /// Number of counter stores.
+    #[serde(default = "default_stores")]
     pub stores: usize,
+    /// Path of the load profile, relative to the experiment file.
     pub load: PathBuf,
+    /// Path of the fault script, relative to the experiment file.
     pub faults: Option<PathBuf>,
-    /// A settings object to start from, as JSON; plans come from the load profile.
+    /// Path of a JSON file with the gateway settings, relative to the experiment file. The plans always come from the
+    /// load profile.
     pub settings: Option<PathBuf>,
-    /// Gateways tell each other what they added to the counter (docs/counter-failure.md).
+    /// Whether the gateways tell each other what they added to the counter (docs/counter-failure.md).
     #[serde(default)]
     pub witness: bool,
-    /// Descriptors that each gateway may use: clients get three fifths of them, backends two.
-    #[serde(default = "sockets")]
+    /// Maximum number of file descriptors of each gateway: 3/5 for clients and 2/5 for backends.
+    #[serde(default = "default_sockets")]
     pub sockets: usize,
 }
 
-fn sockets() -> usize {
+fn default_sockets() -> usize {
     1024
 }
 
-fn one() -> usize {
+fn default_stores() -> usize {
     1
 }
 
-/// The settings that a lab's gateways get where the experiment names none: one idempotent operation with
-/// a latency objective of 1 s and an integration timeout of 7 s, a counter with a time-out of 50 ms.
-pub fn base_settings() -> Value {
+/// Returns the gateway settings for experiments without a settings file: one idempotent operation with a latency
+/// objective of 1 s and a deadline of 7 s, and a counter timeout of 50 ms.
+pub fn default_settings() -> Value {
     json!({
         "ceilings": {"cancel": true, "conn-idle-ns": 30_000_000_000u64, "connect-timeout-ns": 250_000_000,
             "max-retry-after-ns": 1_000_000_000, "retry-after": true, "try-limit": 3},
@@ -64,9 +72,9 @@
     })
 }
 
-/// The settings with the profile's plans.
-pub fn settings(base: Value, profile: &Profile) -> Value {
-    let mut settings = base;
+/// Returns the settings with their plans replaced by the plans of the load profile.
+pub fn with_plans(settings: Value, profile: &Profile) -> Value {
+    let mut settings = settings;
     let plans: Vec<Value> = profile.plans.iter().map(|p| {
         json!({"name": p.name, "quota-rate": p.rate, "store-size": p.burst, "value-factor": 1.0, "overrun-cost": 1.0})
     }).collect();
@@ -74,92 +82,105 @@
     settings
 }
 
-fn read(path: &Path) -> Result<String, String> {
+fn read_file(path: &Path) -> Result<String, String> {
     std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))
 }
 
-/// An experiment, its load, its faults and its gateways' settings.
-pub type Loaded = (Experiment, Profile, Vec<damsonbeam_lab::Step>, Value);
+/// An experiment, its load profile, its fault script and the settings of its gateways.
+pub type LoadedExperiment = (Experiment, Profile, Vec<damsonbeam_lab::Step>, Value);
 
-/// Reads an experiment and what it names, all checked before anything starts.
-pub fn load(path: &Path) -> Result<Loaded, String> {
-    let text = read(path)?;
+/// Reads and validates an experiment file and the files that it names.
+///
+/// # Errors
+/// Returns a message that names the invalid or unreadable file.
+pub fn load(path: &Path) -> Result<LoadedExperiment, String> {
+    let text = read_file(path)?;
     let file = path.display().to_string();
-    let e: Experiment = toml::from_str(&text).map_err(|e| {
+    let experiment: Experiment = toml::from_str(&text).map_err(|e| {
         let line = e
             .span()
             .map_or(1, |s| damsonbeam_lab::script::line_of(&text, s.start));
         format!("{file}:{line}: {}", e.message())
     })?;
-    if e.gateways == 0 || e.gateways > 200 || e.backends == 0 {
+    if experiment.gateways == 0 || experiment.gateways > 200 || experiment.backends == 0 {
         return Err(format!(
-            "{file}: gateways 1 to 200 and backends 1 or more, not {} and {}",
-            e.gateways, e.backends
+            "{file}: gateways must be 1 to 200 and backends at least 1, not {} and {}",
+            experiment.gateways, experiment.backends
         ));
     }
-    let beside = |p: &Path| path.parent().unwrap_or(Path::new(".")).join(p);
-    let load = beside(&e.load);
-    let profile = profile::parse(&load.display().to_string(), &read(&load)?)?;
-    let steps = match &e.faults {
+    let resolve = |p: &Path| path.parent().unwrap_or(Path::new(".")).join(p);
+    let load_path = resolve(&experiment.load);
+    let profile = profile::parse(&load_path.display().to_string(), &read_file(&load_path)?)?;
+    let steps = match &experiment.faults {
         Some(f) => {
-            let f = beside(f);
+            let path = resolve(f);
             damsonbeam_lab::script::parse(
-                &f.display().to_string(),
-                &read(&f)?,
-                e.gateways,
-                e.stores,
-                e.backends,
+                &path.display().to_string(),
+                &read_file(&path)?,
+                experiment.gateways,
+                experiment.stores,
+                experiment.backends,
             )?
         }
         None => Vec::new(),
     };
-    let base = match &e.settings {
-        Some(s) => {
-            serde_json::from_str(&read(&beside(s))?).map_err(|x| format!("{}: {x}", s.display()))?
-        }
-        None => base_settings(),
+    let base = match &experiment.settings {
+        Some(s) => serde_json::from_str(&read_file(&resolve(s))?)
+            .map_err(|e| format!("{}: {e}", s.display()))?,
+        None => default_settings(),
     };
-    let settings = settings(base, &profile);
-    Ok((e, profile, steps, settings))
+    let settings = with_plans(base, &profile);
+    Ok((experiment, profile, steps, settings))
 }
 
-/// What the gateways cost those that they share.
+/// Load of the gateways on the shared services, and their CPU time.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Costs {
-    /// Connections to backends: opened, and the most open at once.
+    /// Number of connections opened to backends.
     pub handshakes: usize,
-    pub connections: usize,
+    /// Maximum number of backend connections open at the same time.
+    pub max_open_connections: usize,
+    /// Number of calls of the counter.
     pub counter_calls: usize,
+    /// Number of requests to discovery.
     pub discovery_calls: usize,
+    /// Number of requests with a correlation id that reached backends, retries included.
     pub deliveries: usize,
-    /// Processor time of all gateways together, from start to end.
+    /// Total CPU time of the serving processes of all gateways at the end of the run.
     pub cpu: std::time::Duration,
 }
 
-/// What an experiment found beside the report.
-pub struct Found {
+/// The results of an experiment.
+pub struct ExperimentResult {
+    /// Load on the shared services.
     pub costs: Costs,
-    pub reached: run::Reached,
+    /// Statistics of the load generator.
+    pub reached: run::GeneratorStats,
+    /// Contents of `summary.md`.
     pub summary: String,
+    /// All invocations, ordered by due time.
     pub records: Vec<run::Record>,
+    /// Excess over the quota in the worst minute, by customer (see [`report::worst_minute_excess`]).
     pub worst: Vec<f64>,
+    /// Number of lost invocations (see [`run::Answer::is_lost`]).
     pub unanswered: usize,
 }
 
-/// Runs an experiment with the program at `program`, writing the report into `out`.
+/// Runs an experiment with the gateway program `program` and writes the report into the directory `out`.
 ///
 /// # Errors
-/// What is wrong with its files, or what could not be started or written.
-pub async fn run(path: &Path, program: &Path, out: &Path) -> Result<Found, String> {
+/// Returns the reason where a file is invalid, a process cannot be started, a fault cannot be applied, or the report
+/// cannot be written.
+pub async fn run(path: &Path, program: &Path, out: &Path) -> Result<ExperimentResult, String> {
     let loaded = load(path)?;
-    play(path, loaded, program, out).await
+    run_loaded(path, loaded, program, out).await
 }
 
-/// Runs an experiment for what it finds alone, as tests do: its report is not kept.
+/// Runs an experiment in a new Tokio runtime and deletes the report; used by tests.
 ///
 /// # Errors
-/// As [`run()`].
-pub fn found(path: &Path, program: &Path) -> Result<Found, String> {
+/// As [`run()`], or where the runtime cannot be created.
+pub fn found(path: &Path, program: &Path) -> Result<ExperimentResult, String> {
     let name = path.file_stem().unwrap_or_default().to_string_lossy();
     let out = std::env::temp_dir().join(format!("damsonbeam-{name}-{}", std::process::id()));
     let runtime = tokio::runtime::Builder::new_multi_thread()
@@ -172,74 +193,82 @@
     found
 }
 
-/// Runs an experiment that was read, perhaps with another number of gateways.
+/// Runs a loaded experiment, which the caller may have modified.
 ///
 /// # Errors
-/// What could not be started or written.
-pub async fn play(
+/// Returns the reason where a process cannot be started, a fault cannot be applied, or the report cannot be written.
+pub async fn run_loaded(
     path: &Path,
-    loaded: Loaded,
+    loaded: LoadedExperiment,
     program: &Path,
     out: &Path,
-) -> Result<Found, String> {
-    let (e, profile, steps, settings) = loaded;
+) -> Result<ExperimentResult, String> {
+    let (experiment, profile, steps, settings) = loaded;
     let lab = Lab::start(
-        e.gateways,
-        e.stores,
-        e.backends,
+        experiment.gateways,
+        experiment.stores,
+        experiment.backends,
         profile.seed,
         Behaviour::default(),
     )
     .await
-    .map_err(|x| format!("lab: {x}"))?;
-    let common = gateways::Common {
+    .map_err(|e| format!("lab: {e}"))?;
+    let options = GatewayOptions {
         program,
-        of: e.gateways,
-        discovery: lab.discovery.at,
+        gateway_count: experiment.gateways,
+        discovery: lab.discovery.address,
         settings: &settings,
-        witness: e.witness,
-        sockets: e.sockets,
-        inherits: steps
+        witness: experiment.witness,
+        max_descriptors: experiment.sockets,
+        inherit_listener: steps
             .iter()
             .any(|s| matches!(s.fault, Fault::GatewayUpgrade { .. })),
     };
-    let mut started = Vec::new();
-    for n in 0..e.gateways {
-        started.push(Place::start(n, lab.counter.fronts[n], &common).await?);
+    let mut gateways = Vec::new();
+    for index in 0..experiment.gateways {
+        gateways.push(Gateway::start(index, lab.counter.front_addresses[index], &options).await?);
     }
-    let addresses: Vec<_> = started.iter().map(|g| g.at).collect();
-    let ((records, reached), played) = tokio::join!(
+    let addresses: Vec<_> = gateways.iter().map(|g| g.address).collect();
+    let ((records, reached), script_result) = tokio::join!(
         run::measured(&profile, &addresses),
-        lab.play(&steps, &mut started)
+        lab.run_script(&steps, &mut gateways)
     );
-    played.map_err(|why| format!("{}: {why}", e.faults.as_deref().unwrap_or(path).display()))?;
+    script_result.map_err(|reason| {
+        format!(
+            "{}: {reason}",
+            experiment.faults.as_deref().unwrap_or(path).display()
+        )
+    })?;
     let received = lab.fleet.received();
-    let calls = lab.counter.calls().len();
-    let (handshakes, connections) = lab.fleet.connections.counts();
+    let counter_calls = lab.counter.calls().len();
+    let (handshakes, max_open_connections) = lab.fleet.connections.counts();
     let costs = Costs {
         handshakes,
-        connections,
-        counter_calls: calls,
-        discovery_calls: lab.discovery.calls(),
-        deliveries: received.iter().filter(|r| !r.id.is_empty()).count(),
-        cpu: started.iter().map(Place::cpu).sum(),
+        max_open_connections,
+        counter_calls,
+        discovery_calls: lab.discovery.request_count(),
+        deliveries: received
+            .iter()
+            .filter(|r| !r.correlation_id.is_empty())
+            .count(),
+        cpu: gateways.iter().map(Gateway::cpu_time).sum(),
     };
-    drop(started);
-    let mut summary = report::write(out, &e.title, &profile, &records)?;
-    let named: Vec<_> = steps.iter().map(|s| (s.at, s.name.clone())).collect();
-    report::write_times(out, &e.title, &profile, &records, &named)?;
+    drop(gateways);
+    let mut summary = report::write(out, &experiment.title, &profile, &records)?;
+    let named_steps: Vec<_> = steps.iter().map(|s| (s.at, s.name.clone())).collect();
+    report::write_times(out, &experiment.title, &profile, &records, &named_steps)?;
     summary.push_str(&report::reached(&reached));
     let worst: Vec<f64> = (0..profile.firms.len())
-        .map(|f| report::worst_minute(&profile, &records, f))
+        .map(|firm| report::worst_minute_excess(&profile, &records, firm))
         .collect();
     let unanswered = records.iter().filter(|r| r.answer.is_lost()).count();
     summary.push_str(&format!(
-        "\nGateways {}, backends {}, counter stores {}, witness {}; {} requests reached backends, {} calls the counter; {} steps of faults.\n",
-        e.gateways, e.backends, e.stores, if e.witness { "on" } else { "off" }, received.len(), calls, steps.len()
+        "\nGateways {}, backends {}, counter stores {}, witness {}; {} requests received by backends, {} calls received by the counter; {} fault steps.\n",
+        experiment.gateways, experiment.backends, experiment.stores, if experiment.witness { "on" } else { "off" }, received.len(), counter_calls, steps.len()
     ));
     std::fs::write(out.join("summary.md"), &summary)
-        .map_err(|x| format!("{}: {x}", out.display()))?;
-    Ok(Found {
+        .map_err(|e| format!("{}: {e}", out.display()))?;
+    Ok(ExperimentResult {
         costs,
         reached,
         summary,
--- a/crates/load/src/lib.rs
+++ b/crates/load/src/lib.rs
@@ -1,5 +1,5 @@
-//! The load and experiment tool: profiles of load, runs against gateways, reports, and experiments that
-//! start the lab, gateways and a fault script together.
+//! Load generator and experiment runner: load profiles, runs against gateways, reports, and experiments that combine
+//! the emulator, gateways, a load profile and a fault script.
 
 pub mod clients;
 pub mod experiment;
--- a/crates/load/src/run.rs
+++ b/crates/load/src/run.rs
@@ -1,10 +1,11 @@
-//! Load on gateways from a seeded source: open loop (each firm's invocations arrive by a Poisson process,
-//! whatever the answers) or closed (so many users a firm, each asking again once answered). Every
-//! invocation's one final answer, or none within the client's patience, is recorded.
+//! Generates load on gateways from a seed, either in an open loop (the invocations of each customer arrive as a Poisson
+//! process, independent of the answers) or in a closed loop (a number of users per customer, each of which sends the
+//! next invocation after the answer). The final result of every invocation is recorded, also where no answer arrives
+//! before the client timeout.
 //!
-//! An invocation's time runs from when it was due, not from when the tool got round to it or a connection
-//! came free: a wait that the gateway causes is counted to it (no coordinated omission). What the tool itself
-//! was late by is told apart ([`Reached`]), with a warning where the tool was the limit.
+//! The latency of an invocation counts from its due time and not from the time at which it was sent, so that it
+//! includes delays that the gateway causes (no coordinated omission). Delays that the load generator causes are
+//! measured separately in [`GeneratorStats`], with a warning where the generator was the bottleneck.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -24,49 +25,61 @@
 use crate::clients::Client;
 use crate::profile::{Firm, Profile};
 
+/// The record of one invocation.
 #[derive(Clone, Debug)]
 pub struct Record {
+    /// Correlation id, unique in the run.
     pub inv: String,
+    /// Index of the customer.
     pub firm: usize,
-    /// Where its last try went.
+    /// Index of the gateway that the last try used.
     pub gateway: usize,
+    /// Units of the invocation.
     pub units: u32,
-    /// When it was due, from the start of the run.
+    /// Due time, from the start of the run.
     pub sent: Duration,
-    pub took: Duration,
+    /// Time from the due time to the final result.
+    pub latency: Duration,
+    /// Final result.
     pub answer: Answer,
+    /// Number of tries.
     pub tries: u32,
 }
 
-/// How far the tool itself got.
+/// Statistics of the load generator.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Reached {
-    /// First tries a second that were due, and that were begun in time.
-    pub due: f64,
-    pub begun: f64,
-    /// How late the tool began a first try: 99 in 100, and the most.
-    pub lag: Duration,
-    pub lag_most: Duration,
-    /// Connections that all clients opened.
+pub struct GeneratorStats {
+    /// First tries per second that were due.
+    pub due_per_s: f64,
+    /// First tries per second that began within [`MAX_START_LAG`] of their due time.
+    pub begun_per_s: f64,
+    /// 99th percentile of the delay between the due time and the start of a first try.
+    pub lag_p99: Duration,
+    /// Maximum of this delay.
+    pub lag_max: Duration,
+    /// Number of connections that all clients opened.
     pub connections: u64,
 }
 
-/// A first try that began this late was held up by the tool, not by the gateway.
-const LATE: Duration = Duration::from_millis(20);
+/// Maximum delay of a first try that counts as begun in time. A longer delay is caused by the load generator and not by
+/// the gateway.
+const MAX_START_LAG: Duration = Duration::from_millis(20);
 
-impl Reached {
-    /// Set where the tool was the limit: its figures then say little about the gateway.
+impl GeneratorStats {
+    /// Returns a warning where less than 99% of the first tries began in time. The load generator was then the
+    /// bottleneck, and the results say little about the gateway.
     pub fn warning(&self) -> Option<String> {
-        (self.begun < 0.99 * self.due).then(|| {
+        (self.begun_per_s < 0.99 * self.due_per_s).then(|| {
             format!(
-                "warning: the tool was the limit: {:.0} of {:.0} a second were begun within {LATE:?} (99 in 100 within {:?})",
-                self.begun, self.due, self.lag
+                "warning: the load generator was the bottleneck: {:.0} of {:.0} first tries per second began within {MAX_START_LAG:?} (99% within {:?})",
+                self.begun_per_s, self.due_per_s, self.lag_p99
             )
         })
     }
 }
 
-struct Shared {
+/// State that the tasks of a run share. The records and delays are indexed by customer.
+struct RunState {
     profile: Profile,
     gateways: Vec<SocketAddr>,
     start: Instant,
@@ -74,203 +87,233 @@
     lags: Vec<Mutex<Histogram<u64>>>,
 }
 
-/// Runs the profile against the gateways; returns when every invocation is answered or given up, with how far
-/// the tool itself got.
-pub async fn measured(profile: &Profile, gateways: &[SocketAddr]) -> (Vec<Record>, Reached) {
-    let n = profile.firms.len();
-    let lag = || Mutex::new(Histogram::new_with_max(60_000_000, 3).expect("sound bounds"));
-    let shared = Arc::new(Shared {
+/// Runs the profile against the gateways until every invocation has its final result. Returns the records, ordered by
+/// due time, and the statistics of the load generator.
+///
+/// # Panics
+/// Panics only where the constant bounds of the histograms are invalid.
+pub async fn measured(profile: &Profile, gateways: &[SocketAddr]) -> (Vec<Record>, GeneratorStats) {
+    let firm_count = profile.firms.len();
+    let new_histogram =
+        || Mutex::new(Histogram::new_with_max(60_000_000, 3).expect("valid histogram bounds"));
+    let state = Arc::new(RunState {
         profile: profile.clone(),
         gateways: gateways.to_vec(),
         start: Instant::now(),
-        records: (0..n).map(|_| Mutex::default()).collect(),
-        lags: (0..n).map(|_| lag()).collect(),
+        records: (0..firm_count).map(|_| Mutex::default()).collect(),
+        lags: (0..firm_count).map(|_| new_histogram()).collect(),
     });
-    let (mut firms, mut all_clients) = (Vec::new(), Vec::new());
-    for f in 0..n {
-        let clients: Vec<_> = (0..profile.kind.clients.max(1))
-            .map(|_| Arc::new(Client::new(&profile.kind)))
+    let (mut firm_tasks, mut all_clients) = (Vec::new(), Vec::new());
+    for f in 0..firm_count {
+        let clients: Vec<_> = (0..profile.client_options.clients.max(1))
+            .map(|_| Arc::new(Client::new(&profile.client_options)))
             .collect();
         all_clients.extend(clients.iter().cloned());
-        let shared = shared.clone();
-        firms.push(tokio::spawn(async move {
-            match shared.profile.kind.users {
-                Some(users) => closed(shared, f, clients, users).await,
-                None => open(shared, f, clients).await,
+        let state = state.clone();
+        firm_tasks.push(tokio::spawn(async move {
+            match state.profile.client_options.users {
+                Some(users) => run_closed_loop(state, f, clients, users).await,
+                None => run_open_loop(state, f, clients).await,
             }
         }));
     }
-    for firm in firms {
-        firm.await.ok();
+    for task in firm_tasks {
+        task.await.ok();
     }
     let mut all = Vec::new();
-    let mut lags = Histogram::<u64>::new_with_max(60_000_000, 3).expect("sound bounds");
-    for (records, lag) in shared.records.iter().zip(&shared.lags) {
+    let mut lags = Histogram::<u64>::new_with_max(60_000_000, 3).expect("valid histogram bounds");
+    for (records, lag) in state.records.iter().zip(&state.lags) {
         all.append(&mut records.lock().unwrap_or_else(|e| e.into_inner()));
         lags.add(&*lag.lock().unwrap_or_else(|e| e.into_inner()))
             .ok();
     }
     all.sort_by_key(|r| r.sent);
     let seconds = profile.lasting.as_secs_f64().max(1e-9);
-    let in_time = lags.count_between(0, LATE.as_micros() as u64);
-    let reached = Reached {
-        due: lags.len() as f64 / seconds,
-        begun: in_time as f64 / seconds,
-        lag: Duration::from_micros(lags.value_at_quantile(0.99)),
-        lag_most: Duration::from_micros(lags.max()),
+    let in_time = lags.count_between(0, MAX_START_LAG.as_micros() as u64);
+    let reached = GeneratorStats {
+        due_per_s: lags.len() as f64 / seconds,
+        begun_per_s: in_time as f64 / seconds,
+        lag_p99: Duration::from_micros(lags.value_at_quantile(0.99)),
+        lag_max: Duration::from_micros(lags.max()),
         connections: all_clients
             .iter()
-            .map(|c| c.opened.load(Ordering::Relaxed))
+            .map(|c| c.opened_connections.load(Ordering::Relaxed))
             .sum(),
     };
     (all, reached)
 }
 
-fn source(profile: &Profile, f: usize) -> ChaCha8Rng {
-    ChaCha8Rng::seed_from_u64(profile.seed ^ (f as u64 + 1).wrapping_mul(0x2545_f491_4f6c_dd1d))
+/// Returns a random number generator seeded from the profile; each `stream` yields a different sequence.
+fn seeded_rng(profile: &Profile, stream: usize) -> ChaCha8Rng {
+    ChaCha8Rng::seed_from_u64(
+        profile.seed ^ (stream as u64 + 1).wrapping_mul(0x2545_f491_4f6c_dd1d),
+    )
 }
 
-async fn open(shared: Arc<Shared>, f: usize, clients: Vec<Arc<Client>>) {
-    let (profile, firm) = (&shared.profile, &shared.profile.firms[f]);
-    let (mut rng, mut at, mut count, mut calls) =
-        (source(profile, f), Duration::ZERO, 0u64, Vec::new());
+/// Runs the invocations of a customer as a Poisson process.
+async fn run_open_loop(state: Arc<RunState>, firm_index: usize, clients: Vec<Arc<Client>>) {
+    let (profile, firm) = (&state.profile, &state.profile.firms[firm_index]);
+    let (mut rng, mut at, mut count, mut invocations) = (
+        seeded_rng(profile, firm_index),
+        Duration::ZERO,
+        0u64,
+        Vec::new(),
+    );
     loop {
         let rate = profile.rate(firm, at);
-        let Some(gaps) = (rate > 0.0).then(|| Exp::new(rate).ok()).flatten() else {
-            at += Duration::from_millis(100); // No arrivals now; look again soon.
+        let Some(interarrival) = (rate > 0.0).then(|| Exp::new(rate).ok()).flatten() else {
+            at += Duration::from_millis(100); // The rate is 0; check again in 100 ms.
             if at >= profile.lasting {
                 break;
             }
             continue;
         };
-        at += Duration::from_secs_f64(gaps.sample(&mut rng));
+        at += Duration::from_secs_f64(interarrival.sample(&mut rng));
         if at >= profile.lasting {
             break;
         }
-        tokio::time::sleep_until(shared.start + at).await;
+        tokio::time::sleep_until(state.start + at).await;
         count += 1;
-        let (shared, client, seed) = (
-            shared.clone(),
+        let (state, client, seed) = (
+            state.clone(),
             clients[count as usize % clients.len()].clone(),
             rng.random(),
         );
-        calls.push(tokio::spawn(async move {
-            invoke(&shared, f, &client, count, at, seed).await
+        invocations.push(tokio::spawn(async move {
+            invoke(&state, firm_index, &client, count, at, seed).await
         }));
     }
-    for call in calls {
-        call.await.ok();
+    for invocation in invocations {
+        invocation.await.ok();
     }
 }
 
-async fn closed(shared: Arc<Shared>, f: usize, clients: Vec<Arc<Client>>, users: usize) {
-    let (mut all, count) = (Vec::new(), Arc::<AtomicU64>::default());
+/// Runs `users` users of a customer, each with one invocation at a time.
+async fn run_closed_loop(
+    state: Arc<RunState>,
+    firm_index: usize,
+    clients: Vec<Arc<Client>>,
+    users: usize,
+) {
+    let (mut user_tasks, count) = (Vec::new(), Arc::<AtomicU64>::default());
     for user in 0..users {
-        let (shared, client, count) = (
-            shared.clone(),
+        let (state, client, count) = (
+            state.clone(),
             clients[user % clients.len()].clone(),
             count.clone(),
         );
-        let mut rng = source(&shared.profile, f * 100_003 + user);
-        all.push(tokio::spawn(async move {
-            let think = shared.profile.kind.think;
+        let mut rng = seeded_rng(&state.profile, firm_index * 100_003 + user);
+        user_tasks.push(tokio::spawn(async move {
+            let think = state.profile.client_options.think;
             loop {
                 tokio::time::sleep(think.mul_f64(2.0 * rng.random::<f64>())).await;
-                let at = shared.start.elapsed();
-                if at >= shared.profile.lasting {
+                let at = state.start.elapsed();
+                if at >= state.profile.lasting {
                     return;
                 }
-                let n = 1 + count.fetch_add(1, Ordering::Relaxed);
-                invoke(&shared, f, &client, n, at, rng.random()).await;
+                let number = 1 + count.fetch_add(1, Ordering::Relaxed);
+                invoke(&state, firm_index, &client, number, at, rng.random()).await;
             }
         }));
     }
-    for user in all {
-        user.await.ok();
+    for task in user_tasks {
+        task.await.ok();
     }
 }
 
-/// One invocation with all its client's tries.
-async fn invoke(shared: &Shared, f: usize, client: &Client, count: u64, at: Duration, seed: u64) {
-    let (profile, firm) = (&shared.profile, &shared.profile.firms[f]);
+/// Runs one invocation with its retries and records the result.
+async fn invoke(
+    state: &RunState,
+    firm_index: usize,
+    client: &Client,
+    count: u64,
+    at: Duration,
+    seed: u64,
+) {
+    let (profile, firm) = (&state.profile, &state.profile.firms[firm_index]);
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let due = shared.start + at;
+    let due = state.start + at;
     let lag = due.elapsed().as_micros() as u64;
-    shared.lags[f]
+    state.lags[firm_index]
         .lock()
         .unwrap_or_else(|e| e.into_inner())
         .saturating_record(lag.max(1));
-    let inv = format!("{:08x}{:08x}", f as u32 + 1, count as u32);
-    let until = due + profile.patience;
+    let inv = format!("{:08x}{:08x}", firm_index as u32 + 1, count as u32);
+    let deadline = due + profile.patience;
     let mut tries = 0;
     let (mut gateway, mut answer);
-    client.pays();
+    client.add_retry_credit();
     loop {
         gateway =
-            (firm.id as usize + rng.random_range(0..shared.gateways.len())) % shared.gateways.len();
-        let (at, again, sent) = (shared.gateways[gateway], tries > 0, AtomicBool::new(false));
+            (firm.id as usize + rng.random_range(0..state.gateways.len())) % state.gateways.len();
+        let (address, is_retry, sent) =
+            (state.gateways[gateway], tries > 0, AtomicBool::new(false));
         tries += 1;
-        // What it waited in its client's queue its client does not wait any more.
-        let asks = || {
+        // The time in the queue of the client counts towards the timeout, so the remaining time is computed when the
+        // request is sent.
+        let build_request = || {
             sent.store(true, Ordering::Relaxed);
-            let left = until.saturating_duration_since(Instant::now());
-            request(shared, firm, at, &inv, left, again)
+            let left = deadline.saturating_duration_since(Instant::now());
+            request(state, firm, address, &inv, left, is_retry)
         };
-        let Ok(tried) = tokio::time::timeout_at(until, client.ask(at, asks)).await else {
+        let Ok(try_result) =
+            tokio::time::timeout_at(deadline, client.send(address, build_request)).await
+        else {
             answer = if sent.load(Ordering::Relaxed) {
-                Answer::None
+                Answer::TimedOut
             } else {
-                Answer::NotTaken
+                Answer::NotSent
             };
             break;
         };
-        answer = tried.answer;
-        // Full jitter on a doubled wait; the gateway's own word where the client follows it.
+        answer = try_result.answer;
+        // Exponential backoff with full jitter, but not less than `Retry-After` where the client follows it.
         let wait = profile
-            .kind
+            .client_options
             .backoff
             .mul_f64(2f64.powi(tries as i32 - 1) * rng.random::<f64>());
         let wait = wait.max(
-            tried
+            try_result
                 .retry_after
-                .filter(|_| profile.kind.follows)
+                .filter(|_| profile.client_options.follows)
                 .unwrap_or_default(),
         );
-        let over = answer == Answer::Succeeded || tries > profile.kind.retries;
-        if over || Instant::now() + wait >= until || !client.may_retry() {
+        let is_final = answer == Answer::Succeeded || tries > profile.client_options.retries;
+        if is_final || Instant::now() + wait >= deadline || !client.take_retry_credit() {
             break;
         }
         tokio::time::sleep(wait).await;
     }
     let record = Record {
         inv,
-        firm: f,
+        firm: firm_index,
         gateway,
         units: firm.units,
         sent: at,
-        took: due.elapsed(),
+        latency: due.elapsed(),
         answer,
         tries,
     };
-    shared.records[f]
+    state.records[firm_index]
         .lock()
         .unwrap_or_else(|e| e.into_inner())
         .push(record);
 }
 
+/// Builds the request of one try; `left` is the time until the client timeout.
 fn request(
-    shared: &Shared,
+    state: &RunState,
     firm: &Firm,
-    at: SocketAddr,
+    address: SocketAddr,
     inv: &str,
     left: Duration,
-    again: bool,
+    is_retry: bool,
 ) -> Request<Empty<Bytes>> {
-    let n = shared.gateways.len();
+    let n = state.gateways.len();
     let mut request = Request::get(format!("/{}", firm.operation))
-        .header("host", at.to_string())
+        .header("host", address.to_string())
         .header("x-correlation-id", inv)
-        .header("x-tariff", &shared.profile.plans[firm.plan].name)
+        .header("x-tariff", &state.profile.plans[firm.plan].name)
         .header("x-subscriber", format!("{:016x}", firm.id))
         .header("x-time-left-ms", left.as_millis().to_string())
         .header(
@@ -281,7 +324,7 @@
                 firm.id as usize % n
             ),
         );
-    if again {
+    if is_retry {
         request = request.header("x-repeat", "1");
     }
     request.body(Empty::new()).unwrap_or_default()
--- a/crates/load/src/scale.rs
+++ b/crates/load/src/scale.rs
@@ -1,6 +1,6 @@
-//! One experiment along an axis, builds side by side: growing numbers of gateways under the same load (what each
-//! number costs the backends, the counter, discovery and the gateways' own processors), or a growing load on the
-//! same gateways (what still succeeds, how fast, and what a turned-away invocation costs).
+//! Repeats an experiment with increasing values of a parameter and with several builds of the gateway. The parameter is
+//! the number of gateways under the same load, to measure the load on backends, counter and discovery and the CPU time;
+//! or the load on the same gateways, to measure goodput, latency and the cost of rejected invocations.
 
 use std::fmt::Write as _;
 use std::path::{Path, PathBuf};
@@ -9,223 +9,272 @@
 use crate::panels::{self, Line, Panel};
 use hdrhistogram::Histogram;
 
-use crate::experiment::{self, Found};
+use crate::experiment::{self, ExperimentResult};
 use crate::run::Answer;
 
-/// What grows from run to run.
+/// The parameter that changes from run to run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Axis {
     /// The number of gateways.
     Gateways,
-    /// The load, as a factor on all firms' rates.
+    /// The load, as a factor on the rates of all customers.
     Load,
 }
 
-/// A column's name and its figure for a run.
-type Column = (&'static str, fn(&Row) -> f64);
+/// Name of a column and its value for a run.
+type Column = (&'static str, fn(&RunRow) -> f64);
 
-const COSTS: [Column; 8] = [
+const COST_COLUMNS: [Column; 8] = [
     ("unanswered", |r| {
-        r.share(|a| !a.is_whole()) * r.invocations as f64
+        r.answer_share(|a| !a.is_whole()) * r.invocations as f64
     }),
-    ("connections", |r| r.found.costs.connections as f64),
-    ("handshakes", |r| r.found.costs.handshakes as f64),
-    ("list_calls", |r| r.found.costs.discovery_calls as f64),
+    ("connections", |r| {
+        r.result.costs.max_open_connections as f64
+    }),
+    ("handshakes", |r| r.result.costs.handshakes as f64),
+    ("list_calls", |r| r.result.costs.discovery_calls as f64),
     ("counter_calls_per_invocation", |r| {
-        r.each(r.found.costs.counter_calls as f64)
+        r.per_invocation(r.result.costs.counter_calls as f64)
     }),
     ("deliveries_per_invocation", |r| {
-        r.each(r.found.costs.deliveries as f64)
+        r.per_invocation(r.result.costs.deliveries as f64)
     }),
     ("cpu_us_per_invocation", |r| {
-        r.each(r.found.costs.cpu.as_secs_f64() * 1e6)
+        r.per_invocation(r.result.costs.cpu.as_secs_f64() * 1e6)
     }),
-    ("p99_ms", |r| r.took(0.99)),
+    ("p99_ms", |r| r.latency_ms(0.99)),
 ];
 
-const GOODPUT: [Column; 12] = [
-    ("begun_per_s", |r| r.found.reached.begun),
+const OVERLOAD_COLUMNS: [Column; 12] = [
+    ("begun_per_s", |r| r.result.reached.begun_per_s),
     ("goodput_per_s", |r| r.goodput),
-    ("throttled_share", |r| r.share(|a| a == Answer::Throttled)),
-    ("errored_share", |r| r.share(|a| a == Answer::Errored)),
-    ("lost_share", |r| r.share(Answer::is_lost)),
-    ("not_taken_share", |r| r.share(|a| a == Answer::NotTaken)),
-    ("p50_ms", |r| r.took(0.5)),
-    ("p99_ms", |r| r.took(0.99)),
-    ("p999_ms", |r| r.took(0.999)),
+    ("throttled_share", |r| {
+        r.answer_share(|a| a == Answer::Throttled)
+    }),
+    ("errored_share", |r| {
+        r.answer_share(|a| a == Answer::Errored)
+    }),
+    ("lost_share", |r| r.answer_share(Answer::is_lost)),
+    ("not_taken_share", |r| {
+        r.answer_share(|a| a == Answer::NotSent)
+    }),
+    ("p50_ms", |r| r.latency_ms(0.5)),
+    ("p99_ms", |r| r.latency_ms(0.99)),
+    ("p999_ms", |r| r.latency_ms(0.999)),
     ("cpu_us_per_try", |r| {
-        r.found.costs.cpu.as_secs_f64() * 1e6 / r.tries
+        r.result.costs.cpu.as_secs_f64() * 1e6 / r.tries
+    }),
+    ("connections_opened", |r| {
+        r.result.reached.connections as f64
     }),
-    ("connections_opened", |r| r.found.reached.connections as f64),
     ("tool_lag_p99_ms", |r| {
-        r.found.reached.lag.as_secs_f64() * 1e3
+        r.result.reached.lag_p99.as_secs_f64() * 1e3
     }),
 ];
 
-/// An answer that comes later than this earns nothing: the lab's objective.
-const OBJECTIVE: Duration = Duration::from_secs(1);
+/// Latency objective, as in [`experiment::default_settings`]; an answer with a higher latency does not count as
+/// goodput.
+const LATENCY_OBJECTIVE: Duration = Duration::from_secs(1);
 
-/// One run: a build at one place of the axis.
-pub struct Row {
+/// The results of one run: one build with one value of the parameter.
+pub struct RunRow {
     build: String,
-    at: f64,
+    /// Value of the parameter.
+    axis_value: f64,
     invocations: usize,
+    /// Total number of tries, at least 1.
     tries: f64,
-    /// Succeeded within the objective, a second.
+    /// Invocations per second that succeeded within the latency objective.
     goodput: f64,
-    /// Of those that succeeded.
-    times: Histogram<u64>,
-    found: Found,
+    /// Latencies of the invocations that succeeded, in microseconds.
+    latencies: Histogram<u64>,
+    result: ExperimentResult,
 }
 
-impl Row {
-    pub fn new(build: &str, at: f64, lasting: Duration, found: Found) -> Row {
-        let mut times = Histogram::new_with_max(60_000_000, 3).expect("sound bounds");
+impl RunRow {
+    /// Computes the results of a run of the length `lasting`.
+    ///
+    /// # Panics
+    /// Panics only where the constant bounds of the histogram are invalid.
+    pub fn new(
+        build: &str,
+        axis_value: f64,
+        lasting: Duration,
+        result: ExperimentResult,
+    ) -> RunRow {
+        let mut latencies = Histogram::new_with_max(60_000_000, 3).expect("valid histogram bounds");
         let succeeded = || {
-            found
+            result
                 .records
                 .iter()
                 .filter(|r| r.answer == Answer::Succeeded)
         };
-        succeeded().for_each(|r| times.saturating_record(r.took.as_micros().max(1) as u64));
-        let good = succeeded().filter(|r| r.took <= OBJECTIVE).count() as f64;
-        Row {
+        succeeded().for_each(|r| latencies.saturating_record(r.latency.as_micros().max(1) as u64));
+        let good = succeeded()
+            .filter(|r| r.latency <= LATENCY_OBJECTIVE)
+            .count() as f64;
+        RunRow {
             build: build.into(),
-            at,
-            invocations: found.records.len(),
-            tries: found
+            axis_value,
+            invocations: result.records.len(),
+            tries: result
                 .records
                 .iter()
                 .map(|r| f64::from(r.tries))
                 .sum::<f64>()
                 .max(1.0),
             goodput: good / lasting.as_secs_f64().max(1e-9),
-            times,
-            found,
+            latencies,
+            result,
         }
     }
 
-    fn each(&self, all: f64) -> f64 {
-        all / self.invocations.max(1) as f64
+    /// Returns `total` divided by the number of invocations.
+    fn per_invocation(&self, total: f64) -> f64 {
+        total / self.invocations.max(1) as f64
     }
 
-    fn share(&self, of: impl Fn(Answer) -> bool) -> f64 {
-        self.each(self.found.records.iter().filter(|r| of(r.answer)).count() as f64)
+    /// Returns the fraction of invocations whose answer satisfies `matches`.
+    fn answer_share(&self, matches: impl Fn(Answer) -> bool) -> f64 {
+        self.per_invocation(
+            self.result
+                .records
+                .iter()
+                .filter(|r| matches(r.answer))
+                .count() as f64,
+        )
     }
 
-    fn took(&self, q: f64) -> f64 {
-        self.times.value_at_quantile(q) as f64 / 1e3
+    /// Returns the latency quantile `q` of succeeded invocations, in milliseconds.
+    fn latency_ms(&self, q: f64) -> f64 {
+        self.latencies.value_at_quantile(q) as f64 / 1e3
     }
 }
 
-/// Runs every build at every place of the axis, one after the other; writes `table.csv`, `chart.svg` and
-/// `summary.md` into `out`, and returns the summary.
+/// Runs every build with every value of the parameter, one run after the other. Writes `table.csv`, `chart.svg` and
+/// `summary.md` into the directory `out` and returns the summary.
 ///
 /// # Errors
-/// What is wrong with the experiment, or what could not be started or written.
+/// Returns the reason where the experiment or a value is invalid, a process cannot be started, or a file cannot be
+/// written.
 pub async fn run(
     path: &Path,
     axis: Axis,
-    places: &[f64],
+    axis_values: &[f64],
     builds: &[(String, PathBuf)],
     out: &Path,
 ) -> Result<String, String> {
     let mut rows = Vec::new();
-    for &at in places {
+    for &axis_value in axis_values {
         for (name, program) in builds {
             let mut loaded = experiment::load(path)?;
             match axis {
-                Axis::Gateways if !(1.0..=200.0).contains(&at) || at.fract() != 0.0 => {
-                    return Err(format!("--gateways {at}: 1 to 200"));
+                Axis::Gateways
+                    if !(1.0..=200.0).contains(&axis_value) || axis_value.fract() != 0.0 =>
+                {
+                    return Err(format!(
+                        "--gateways {axis_value}: must be an integer from 1 to 200"
+                    ));
                 }
-                Axis::Gateways => loaded.0.gateways = at as usize,
-                Axis::Load if !at.is_finite() || at <= 0.0 => {
-                    return Err(format!("--factors {at}: over 0"));
+                Axis::Gateways => loaded.0.gateways = axis_value as usize,
+                Axis::Load if !axis_value.is_finite() || axis_value <= 0.0 => {
+                    return Err(format!(
+                        "--factors {axis_value}: must be a finite number greater than 0"
+                    ));
                 }
-                Axis::Load => loaded.1.firms.iter_mut().for_each(|f| f.rate *= at),
+                Axis::Load => loaded.1.firms.iter_mut().for_each(|f| f.rate *= axis_value),
             }
             let lasting = loaded.1.lasting;
-            let found =
-                experiment::play(path, loaded, program, &out.join(format!("{name}-{at}"))).await?;
-            rows.push(Row::new(name, at, lasting, found));
+            let result = experiment::run_loaded(
+                path,
+                loaded,
+                program,
+                &out.join(format!("{name}-{axis_value}")),
+            )
+            .await?;
+            rows.push(RunRow::new(name, axis_value, lasting, result));
         }
     }
     write(out, &experiment::load(path)?.0.title, axis, &rows)
 }
 
-/// The table, the chart and the summary.
+/// Writes `table.csv`, `chart.svg` and `summary.md` into the directory `out` and returns the summary.
 ///
 /// # Errors
-/// What could not be written.
-pub fn write(out: &Path, title: &str, axis: Axis, rows: &[Row]) -> Result<String, String> {
-    let err = |e: &dyn std::fmt::Display| format!("{}: {e}", out.display());
-    std::fs::create_dir_all(out).map_err(|e| err(&e))?;
-    let (along, columns) = match axis {
-        Axis::Gateways => ("gateways", &COSTS[..]),
-        Axis::Load => ("load", &GOODPUT[..]),
+/// Returns the directory and the reason where a file cannot be written.
+pub fn write(out: &Path, title: &str, axis: Axis, rows: &[RunRow]) -> Result<String, String> {
+    let with_path = |e: &dyn std::fmt::Display| format!("{}: {e}", out.display());
+    std::fs::create_dir_all(out).map_err(|e| with_path(&e))?;
+    let (axis_name, columns) = match axis {
+        Axis::Gateways => ("gateways", &COST_COLUMNS[..]),
+        Axis::Load => ("load", &OVERLOAD_COLUMNS[..]),
     };
-    let heads = ["build", along, "invocations"];
-    let names: Vec<&str> = heads
+    let leading = ["build", axis_name, "invocations"];
+    let names: Vec<&str> = leading
         .into_iter()
         .chain(columns.iter().map(|c| c.0))
         .collect();
-    let figure = |v: f64| match v {
+    let format_value = |v: f64| match v {
         whole if whole.fract() == 0.0 => format!("{whole:.0}"),
         small if small < 10.0 => format!("{small:.3}"),
         v => format!("{v:.1}"),
     };
-    let cells = |r: &Row| {
-        let heads = [r.build.clone(), r.at.to_string(), r.invocations.to_string()];
-        heads
+    let cells = |r: &RunRow| {
+        let leading = [
+            r.build.clone(),
+            r.axis_value.to_string(),
+            r.invocations.to_string(),
+        ];
+        leading
             .into_iter()
-            .chain(columns.iter().map(|(_, of)| figure(of(r))))
+            .chain(columns.iter().map(|(_, value)| format_value(value(r))))
             .collect::<Vec<_>>()
     };
-    let mut csv = csv::Writer::from_path(out.join("table.csv")).map_err(|e| err(&e))?;
-    csv.write_record(&names).map_err(|e| err(&e))?;
+    let mut csv = csv::Writer::from_path(out.join("table.csv")).map_err(|e| with_path(&e))?;
+    csv.write_record(&names).map_err(|e| with_path(&e))?;
     rows.iter()
         .try_for_each(|r| csv.write_record(cells(r)))
-        .map_err(|e| err(&e))?;
-    csv.flush().map_err(|e| err(&e))?;
-    chart(&out.join("chart.svg"), title, along, columns, rows).map_err(|e| err(&e))?;
-    let mut s =
-        format!("# {title}\n\nStand-ins and gateways on loopback, one machine for all parts.\n\n");
+        .map_err(|e| with_path(&e))?;
+    csv.flush().map_err(|e| with_path(&e))?;
+    draw_chart(&out.join("chart.svg"), title, axis_name, columns, rows)
+        .map_err(|e| with_path(&e))?;
+    let mut summary = format!(
+        "# {title}\n\nSimulated services and gateways on loopback, all on one machine.\n\n"
+    );
     writeln!(
-        s,
+        summary,
         "| {} |\n|{}",
         names.join(" | ").replace('_', " "),
         " --- |".repeat(names.len())
     )
     .ok();
     rows.iter()
-        .for_each(|r| writeln!(s, "| {} |", cells(r).join(" | ")).unwrap_or(()));
+        .for_each(|r| writeln!(summary, "| {} |", cells(r).join(" | ")).unwrap_or(()));
     for r in rows {
-        r.found
-            .reached
-            .warning()
-            .iter()
-            .for_each(|w| writeln!(s, "\n{} at {}: {w}", r.build, r.at).unwrap_or(()));
+        r.result.reached.warning().iter().for_each(|w| {
+            writeln!(summary, "\n{} at {}: {w}", r.build, r.axis_value).unwrap_or(())
+        });
     }
-    std::fs::write(out.join("summary.md"), &s).map_err(|e| err(&e))?;
-    Ok(s)
+    std::fs::write(out.join("summary.md"), &summary).map_err(|e| with_path(&e))?;
+    Ok(summary)
 }
 
-/// A small chart a column, builds in their colours.
-fn chart(
+/// Draws one panel per column, with one line per build.
+fn draw_chart(
     path: &Path,
     title: &str,
-    along: &str,
+    axis_name: &str,
     columns: &[Column],
-    rows: &[Row],
+    rows: &[RunRow],
 ) -> Result<(), Box<dyn std::error::Error>> {
     let mut builds: Vec<&str> = rows.iter().map(|r| r.build.as_str()).collect();
     builds.sort_unstable();
     builds.dedup();
-    let panel = |(name, of): &Column| {
+    let panel = |(name, value): &Column| {
         let points = |build: &str| {
             rows.iter()
                 .filter(|r| r.build == build)
-                .map(|r| (r.at, of(r)))
+                .map(|r| (r.axis_value, value(r)))
                 .collect()
         };
         let lines = builds.iter().map(|b| Line {
@@ -238,23 +287,23 @@
         }
     };
     let panels: Vec<Panel> = columns.iter().map(panel).collect();
-    panels::draw(path, title, along, &panels)
+    panels::draw(path, title, axis_name, &panels)
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
     use crate::experiment::Costs;
-    use crate::run::{Reached, Record};
+    use crate::run::{GeneratorStats, Record};
 
-    fn found(answers: &[(Answer, u64)]) -> Found {
+    fn result_with(answers: &[(Answer, u64)]) -> ExperimentResult {
         let record = |&(answer, ms): &(Answer, u64)| Record {
             inv: "1".into(),
             firm: 0,
             gateway: 0,
             units: 1,
             sent: Duration::ZERO,
-            took: Duration::from_millis(ms),
+            latency: Duration::from_millis(ms),
             answer,
             tries: 1,
         };
@@ -263,16 +312,16 @@
             deliveries: 3,
             cpu: Duration::from_micros(900),
             handshakes: 5,
-            connections: 4,
+            max_open_connections: 4,
             discovery_calls: 2,
         };
-        let reached = Reached {
-            due: 10.0,
-            begun: 5.0,
-            ..Reached::default()
+        let reached = GeneratorStats {
+            due_per_s: 10.0,
+            begun_per_s: 5.0,
+            ..GeneratorStats::default()
         };
         let records = answers.iter().map(record).collect();
-        Found {
+        ExperimentResult {
             costs,
             reached,
             records,
@@ -283,26 +332,30 @@
     }
 
     #[test]
-    fn the_tables_have_a_row_a_run_broken_answers_apart_and_a_warning_where_the_tool_was_the_limit()
-    {
+    fn tables_count_incomplete_answers_and_summary_warns_of_generator_bottleneck() {
         let answers = [
             (Answer::Succeeded, 20),
             (Answer::Succeeded, 1500),
             (Answer::BrokenBody, 20),
         ];
-        let rows = [Row::new("a", 2.0, Duration::from_secs(1), found(&answers))];
+        let rows = [RunRow::new(
+            "a",
+            2.0,
+            Duration::from_secs(1),
+            result_with(&answers),
+        )];
         let out = std::env::temp_dir().join(format!("damsonbeam-scale-{}", std::process::id()));
-        let said = write(&out, "t", Axis::Gateways, &rows).unwrap();
+        let summary = write(&out, "t", Axis::Gateways, &rows).unwrap();
         let table = std::fs::read_to_string(out.join("table.csv")).unwrap();
         assert!(table.contains("a,2,3,1,4,5,2,2,1,300,"), "{table}");
         assert!(
-            said.contains("a at 2: warning: the tool was the limit: 5 of 10 a second"),
-            "{said}"
+            summary.contains("a at 2: warning: the load generator was the bottleneck: 5 of 10 first tries per second"),
+            "{summary}"
         );
         write(&out, "t", Axis::Load, &rows).unwrap();
         let table = std::fs::read_to_string(out.join("table.csv")).unwrap();
         std::fs::remove_dir_all(&out).ok();
-        // Of the two that succeeded one came after its objective.
+        // One of the two succeeded invocations missed the latency objective.
         assert!(table.contains("a,2,3,5,1,0,0,0.333,0,"), "{table}");
     }
 }
