--- a/crates/load/src/report.rs
+++ b/crates/load/src/report.rs
@@ -128,14 +128,14 @@
         "| firm | plan | sent | succeeded units | worst minute over quota |\n| --- | --- | --- | --- | --- |"
     )
     .ok();
-    for (f, firm) in profile.firms.iter().enumerate() {
-        let firm_records = records.iter().filter(|r| r.firm == f);
+    for (firm_index, firm) in profile.firms.iter().enumerate() {
+        let firm_records = records.iter().filter(|r| r.firm == firm_index);
         let units: u32 = firm_records
             .clone()
             .filter(|r| r.answer == Answer::Succeeded)
             .map(|r| r.units)
             .sum();
-        let excess = worst_minute_excess(profile, records, f);
+        let excess = worst_minute_excess(profile, records, firm_index);
         writeln!(
             summary,
             "| {} | {} | {} | {units} | {:.1}% |",
@@ -282,12 +282,12 @@
         .x_desc("second")
         .y_desc("invocations sent in that second")
         .draw()?;
-    for (f, firm) in profile.firms.iter().enumerate() {
-        let colour = Palette99::pick(f).to_rgba();
+    for (firm_index, firm) in profile.firms.iter().enumerate() {
+        let colour = Palette99::pick(firm_index).to_rgba();
         let line = |i: usize| {
             (0..seconds)
                 .map(move |t| (t, 0.0))
-                .map(move |(t, _)| (t, rows.get(&(t, f)).map_or(0, |c| c[i]) as f64))
+                .map(move |(t, _)| (t, rows.get(&(t, firm_index)).map_or(0, |c| c[i]) as f64))
         };
         chart
             .draw_series(LineSeries::new(line(0), colour.stroke_width(2)))?
--- a/crates/load/src/run.rs
+++ b/crates/load/src/run.rs
@@ -104,7 +104,7 @@
         lags: (0..firm_count).map(|_| new_histogram()).collect(),
     });
     let (mut firm_tasks, mut all_clients) = (Vec::new(), Vec::new());
-    for f in 0..firm_count {
+    for firm_index in 0..firm_count {
         let clients: Vec<_> = (0..profile.client_options.clients.max(1))
             .map(|_| Arc::new(Client::new(&profile.client_options)))
             .collect();
@@ -112,8 +112,8 @@
         let state = state.clone();
         firm_tasks.push(tokio::spawn(async move {
             match state.profile.client_options.users {
-                Some(users) => run_closed_loop(state, f, clients, users).await,
-                None => run_open_loop(state, f, clients).await,
+                Some(users) => run_closed_loop(state, firm_index, clients, users).await,
+                None => run_open_loop(state, firm_index, clients).await,
             }
         }));
     }
@@ -309,7 +309,7 @@
     left: Duration,
     is_retry: bool,
 ) -> Request<Empty<Bytes>> {
-    let n = state.gateways.len();
+    let gateway_count = state.gateways.len();
     let mut request = Request::get(format!("/{}", firm.operation))
         .header("host", address.to_string())
         .header("x-correlation-id", inv)
@@ -319,9 +319,9 @@
         .header(
             "x-weight",
             format!(
-                "units={},spread={n},first={}",
+                "units={},spread={gateway_count},first={}",
                 firm.units,
-                firm.id as usize % n
+                firm.id as usize % gateway_count
             ),
         );
     if is_retry {
--- a/crates/load/src/scale.rs
+++ b/crates/load/src/scale.rs
@@ -215,8 +215,8 @@
         .chain(columns.iter().map(|c| c.0))
         .collect();
     let format_value = |v: f64| match v {
-        whole if whole.fract() == 0.0 => format!("{whole:.0}"),
-        small if small < 10.0 => format!("{small:.3}"),
+        v if v.fract() == 0.0 => format!("{v:.0}"),
+        v if v < 10.0 => format!("{v:.3}"),
         v => format!("{v:.1}"),
     };
     let cells = |r: &RunRow| {
