--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -104,7 +104,7 @@
         let GatewayEvent { gateway_id, event } = event;
         let rules = self.instances.get_mut(&gateway_id);
         let rules = rules.ok_or(LineError::UnknownInstance(gateway_id))?;
-        let actions = rules.on(now, event).into_iter();
+        let actions = rules.handle_event(now, event).into_iter();
         let actions = actions.map(|action| translate::action(gateway_id, action));
         reply.output.extend(actions);
         Ok(())
--- a/crates/adapter/src/translate.rs
+++ b/crates/adapter/src/translate.rs
@@ -6,7 +6,7 @@
 
 use damsonbeam::interface::{
     Action, AttemptNumber, BackendEntry, BackendId, CustomerId, Event, GatewayId, Health,
-    Invocation, InvocationId, ListForm, OperationId, Outcome, PlanId,
+    Invocation, InvocationId, ListUpdate, OperationId, Outcome, PlanId,
 };
 
 use crate::wire::{Disposition, Form, Row, WireAction, WireEvent};
@@ -45,12 +45,12 @@
         health: match row.health.as_str() {
             "U" => Health::Up,
             "L" => Health::Draining,
-            "D" => Health::Gone,
+            "D" => Health::Removed,
             // A backend in an unknown state may not accept requests, so it counts as draining.
             _ => Health::Draining,
         },
-        since: Duration::from_nanos(row.online_since_ns),
-        kind: row.family_type,
+        started_at: Duration::from_nanos(row.online_since_ns),
+        machine_type: row.family_type,
         zone: row.failure_domain,
         cell: row.unit_group,
         weight: row.capacity_hint,
@@ -78,13 +78,13 @@
     lists: &Lists,
 ) -> Result<Option<Event>, TranslateError> {
     let form = match form {
-        Form::Update => ListForm::Update,
-        Form::Replace => ListForm::Replace,
-        Form::Restored => ListForm::Restored,
-        Form::Unavailable => ListForm::Unavailable,
+        Form::Update => ListUpdate::Update,
+        Form::Replace => ListUpdate::Replace,
+        Form::Restored => ListUpdate::Restored,
+        Form::Unavailable => ListUpdate::Unavailable,
         Form::Unknown => return Ok(None),
     };
-    let entries = if form == ListForm::Unavailable {
+    let entries = if form == ListUpdate::Unavailable {
         Arc::from([])
     } else {
         let page = page.ok_or(TranslateError::MissingPage)?;
@@ -133,9 +133,9 @@
                 customer: CustomerId(account.into()),
                 units,
                 first_gateway: GatewayId(first_door),
-                spread: width,
-                write: mutates,
-                repeat,
+                gateway_count: width,
+                is_mutating: mutates,
+                is_retry: repeat,
                 body_pending: false,
             };
             (gateway_id, Event::Invocation(invocation))
@@ -175,19 +175,19 @@
                 backend_id: BackendId(backend),
                 outcome: outcome(disposition),
                 latency: Duration::from_nanos(wait_time_ns),
-                closed: done_flag,
-                used: used_percent.map(|percent| percent as f64 / 100.0),
-                true_units: (cost > 0.0).then_some(cost),
+                is_finished: done_flag,
+                metered_use: used_percent.map(|percent| percent as f64 / 100.0),
+                actual_units: (cost > 0.0).then_some(cost),
                 report: server_stats,
             };
             (gateway_id, event)
         }
         WireEvent::Left { gateway_id, msg_id } => {
             let invocation_id = InvocationId(msg_id);
-            (gateway_id, Event::ClientGone { invocation_id })
+            (gateway_id, Event::ClientDisconnected { invocation_id })
         }
         WireEvent::DeadlineHit { gateway_id, cookie } => {
-            (gateway_id, Event::Timer { token: cookie })
+            (gateway_id, Event::TimerFired { token: cookie })
         }
         WireEvent::Checked {
             gateway_id,
@@ -196,7 +196,7 @@
             disposition,
             server_stats,
         } => {
-            let event = Event::Probed {
+            let event = Event::ProbeEnded {
                 backend_id: BackendId(backend),
                 outcome: outcome(disposition),
                 latency: Duration::from_nanos(wait_time_ns),
@@ -226,7 +226,7 @@
                 name: tally_id,
                 outcome: outcome(disposition),
                 total: sum,
-                others: 0.0,
+                peer_units: 0.0,
                 latency: Duration::from_nanos(wait_time_ns),
             };
             (gateway_id, event)
@@ -282,7 +282,11 @@
             wait_ns: to_ns(after),
             cookie: token,
         },
-        Action::AddToCounter { name, add, keep } => WireAction::Count {
+        Action::AddToCounter {
+            name,
+            units: add,
+            retention: keep,
+        } => WireAction::Count {
             gateway_id,
             tally_id: name,
             step: add,
@@ -292,7 +296,7 @@
             gateway_id,
             backend: backend_id.0,
         },
-        Action::CloseIdle { backend_id } => WireAction::LetGo {
+        Action::CloseIdleConnections { backend_id } => WireAction::LetGo {
             gateway_id,
             backend: backend_id.0,
         },
--- a/crates/cli/tests/sockets/main.rs
+++ b/crates/cli/tests/sockets/main.rs
@@ -11,7 +11,7 @@
 use std::sync::mpsc::channel;
 use std::time::{Duration, Instant};
 
-use damsonbeam::interface::ListForm;
+use damsonbeam::interface::ListUpdate;
 use damsonbeam_gateway::backend_list::NameTable;
 use damsonbeam_gateway::log::Site;
 use damsonbeam_gateway::request_heads::HeadScanner;
@@ -735,7 +735,7 @@
         )
     };
     let (first, _) = apply_page(
-        ListForm::Replace,
+        ListUpdate::Replace,
         true,
         vec![member("s-0", address, "active")],
     );
@@ -743,12 +743,12 @@
         let (before, now) = (format!("s-{n}"), format!("s-{}", n + 1));
         let (backend_id, known_count) = match n % 2 {
             0 => apply_page(
-                ListForm::Replace,
+                ListUpdate::Replace,
                 true,
                 vec![member(&now, address, "active")],
             ),
             _ => apply_page(
-                ListForm::Update,
+                ListUpdate::Update,
                 false,
                 vec![
                     member(&now, address, "active"),
@@ -763,7 +763,7 @@
     }
     assert_eq!(
         apply_page(
-            ListForm::Replace,
+            ListUpdate::Replace,
             true,
             vec![member("s-0", address, "active")]
         )
--- a/crates/gateway/src/account.rs
+++ b/crates/gateway/src/account.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use damsonbeam::interface::{Action, BackendId, Event, ListForm};
+use damsonbeam::interface::{Action, BackendId, Event, ListUpdate};
 use damsonbeam_account::VERSION;
 use serde_json::{Map, Value};
 
@@ -59,7 +59,7 @@
         match event {
             Event::Invocation(i) => self.add(
                 now,
-                if i.repeat {
+                if i.is_retry {
                     "came.repeat"
                 } else {
                     "came.first"
@@ -67,11 +67,11 @@
                 1,
             ),
             Event::BackendList { form, entries } => {
-                if matches!(form, ListForm::Replace | ListForm::Restored) {
+                if matches!(form, ListUpdate::Replace | ListUpdate::Restored) {
                     self.started_at.clear();
                 }
                 self.started_at
-                    .extend(entries.iter().map(|e| (e.backend_id, e.since)));
+                    .extend(entries.iter().map(|e| (e.backend_id, e.started_at)));
                 self.add(now, "list.pages", 1);
                 self.add(now, "list.entries", entries.len() as u64);
             }
@@ -112,7 +112,7 @@
                 let name = format!("sent.{}", self.state(now, *backend_id));
                 self.add(now, &name, 1);
             }
-            Action::AddToCounter { add, .. } => {
+            Action::AddToCounter { units: add, .. } => {
                 self.add(
                     now,
                     if *add == 0.0 {
--- a/crates/gateway/src/attempts.rs
+++ b/crates/gateway/src/attempts.rs
@@ -20,7 +20,7 @@
 
 use std::rc::Rc;
 
-use damsonbeam::interface::{AttemptNumber, Outcome, Repeat};
+use damsonbeam::interface::{AttemptNumber, Outcome, RepeatMode};
 
 use crate::write_meter::WriteMeter;
 
@@ -30,10 +30,10 @@
 
 impl Repeatable {
     /// Returns the proof for an operation with this repeat mode; `None` if a request may be executed at most once.
-    pub fn by(repeat: Repeat) -> Option<Self> {
+    pub fn by(repeat: RepeatMode) -> Option<Self> {
         match repeat {
-            Repeat::Idempotent | Repeat::Tokened { .. } => Some(Repeatable(())),
-            Repeat::NonIdempotent => None,
+            RepeatMode::Idempotent | RepeatMode::Deduplicated { .. } => Some(Repeatable(())),
+            RepeatMode::NonIdempotent => None,
         }
     }
 }
--- a/crates/gateway/src/backend_list/name_table.rs
+++ b/crates/gateway/src/backend_list/name_table.rs
@@ -3,7 +3,7 @@
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
 
-use damsonbeam::interface::{BackendEntry, BackendId, Health, ListForm};
+use damsonbeam::interface::{BackendEntry, BackendId, Health, ListUpdate};
 
 use super::{DiscoveryPage, Member};
 use crate::messages::BackendListUpdate;
@@ -50,13 +50,13 @@
     }
 
     /// Converts a page to the form that the dispatcher uses, and removes the names of backends that have left.
-    pub fn to_update(&mut self, page: DiscoveryPage, form: ListForm) -> BackendListUpdate {
+    pub fn to_update(&mut self, page: DiscoveryPage, form: ListUpdate) -> BackendListUpdate {
         let addresses = page.members.iter().map(|member| member.host_port).collect();
         let members = page.members.iter();
         let entries = members.map(|member| self.entry(member)).collect();
         let has_left = |member: &&Member| member.phase == LEFT;
         // Backends are replaced continually, so names that are kept after a backend has left would fill the memory.
-        if form == ListForm::Update {
+        if form == ListUpdate::Update {
             for member in page.members.iter().filter(has_left) {
                 self.ids.remove(&member.id);
             }
@@ -78,12 +78,12 @@
             backend_id: self.backend_id(&member.id),
             health: match member.phase.as_str() {
                 ACTIVE => Health::Up,
-                LEFT => Health::Gone,
+                LEFT => Health::Removed,
                 // A backend in an unknown phase cannot be assumed to accept requests.
                 _ => Health::Draining,
             },
-            since: Duration::from_millis(member.up_since_ms),
-            kind: position(&self.machine_types, &member.flavor),
+            started_at: Duration::from_millis(member.up_since_ms),
+            machine_type: position(&self.machine_types, &member.flavor),
             zone: position(&self.zones, &member.locality),
             cell: member.cell,
             weight: member.size,
--- a/crates/gateway/src/backend_list/watcher.rs
+++ b/crates/gateway/src/backend_list/watcher.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use damsonbeam::interface::{Discovery, ListForm};
+use damsonbeam::interface::{Discovery, ListUpdate};
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{sleep, timeout};
 
@@ -135,9 +135,9 @@
     async fn handle_page(&mut self, page: DiscoveryPage) -> Result<(), ActorEnded> {
         // Only a page marked as complete replaces the list: backends absent from such a page have been removed.
         let form = if page.complete {
-            ListForm::Replace
+            ListUpdate::Replace
         } else {
-            ListForm::Update
+            ListUpdate::Update
         };
         if page.complete || !page.members.is_empty() {
             self.last_list.borrow_mut().apply(&page);
@@ -169,7 +169,7 @@
         }
         *watching = false;
         let unavailable = BackendListUpdate {
-            form: ListForm::Unavailable,
+            form: ListUpdate::Unavailable,
             entries: [].into(),
             addresses: vec![],
             names: vec![],
--- a/crates/gateway/src/backends/attempt.rs
+++ b/crates/gateway/src/backends/attempt.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use damsonbeam::interface::{AttemptNumber, InvocationId, Report};
+use damsonbeam::interface::{AttemptNumber, InvocationId, LoadReport};
 use hyper::Request;
 use hyper::header::{CONNECTION, HeaderMap};
 use tokio::sync::mpsc;
@@ -39,7 +39,12 @@
 }
 
 impl AttemptReporter {
-    async fn report_end(&self, ending: Ending, response: Option<BackendResponse>, report: Report) {
+    async fn report_end(
+        &self,
+        ending: Ending,
+        response: Option<BackendResponse>,
+        report: LoadReport,
+    ) {
         let ended = AttemptEnded {
             invocation_id: self.invocation_id,
             number: self.number,
--- a/crates/gateway/src/backends/protocol.rs
+++ b/crates/gateway/src/backends/protocol.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use damsonbeam::interface::Report;
+use damsonbeam::interface::LoadReport;
 use hyper::StatusCode;
 use hyper::header::{
     CONNECTION, CONTENT_LENGTH, HeaderMap, HeaderName, HeaderValue, TRANSFER_ENCODING,
@@ -66,7 +66,7 @@
 }
 
 /// Returns the values of a load report in the order of `names`, or an empty report if a value is missing or invalid.
-pub(super) fn load_report(headers: &HeaderMap, names: &[String]) -> Report {
+pub(super) fn load_report(headers: &HeaderMap, names: &[String]) -> LoadReport {
     let Some(text) = headers.get(&BACKEND_LOAD).filter(|_| !names.is_empty()) else {
         return vec![];
     };
--- a/crates/gateway/src/clients/invocation.rs
+++ b/crates/gateway/src/clients/invocation.rs
@@ -27,7 +27,7 @@
     pub(super) fn shutdown_response(&self) -> ClientResponse {
         let answer = Answer::Throttled {
             after: Some(ELSEWHERE),
-            reason: RejectReason::Line,
+            reason: RejectReason::QueueTooLong,
             none_executed: true,
         };
         self.protocol.encode("", None, answer)
@@ -239,7 +239,7 @@
             .remove(&self.name);
         self.clients.figures.current.dec();
         if !self.answered.get() {
-            let message = ToDispatcher::ClientGone {
+            let message = ToDispatcher::ClientDisconnected {
                 invocation_id: self.invocation_id,
             };
             send_without_waiting(&self.dispatcher, message);
--- a/crates/gateway/src/dispatcher/actions.rs
+++ b/crates/gateway/src/dispatcher/actions.rs
@@ -36,13 +36,17 @@
                 let at = self.clock.now() + after;
                 self.state.timers.insert((at, Timer::Rules(token)));
             }
-            Action::AddToCounter { name, add, keep } => self.call_counter(CounterCall {
+            Action::AddToCounter {
+                name,
+                units: add,
+                retention: keep,
+            } => self.call_counter(CounterCall {
                 name,
                 add,
                 keep,
                 at: self.clock.now(),
             }),
-            Action::CloseIdle { backend_id } => {
+            Action::CloseIdleConnections { backend_id } => {
                 if let Some(backend) = self.state.backends.get(&backend_id) {
                     backend.mailbox.try_send(ToBackend::CloseIdle).ok();
                 }
@@ -132,14 +136,14 @@
             name,
             outcome: Outcome::Full,
             total: 0.0,
-            others: 0.0,
+            peer_units: 0.0,
             latency: Duration::ZERO,
         });
     }
 
     /// Reports a probe as ignored, since the platform's protocol has no probes.
     fn skip_probe(&mut self, backend_id: BackendId) {
-        self.state.follow_up_events.push_back(Event::Probed {
+        self.state.follow_up_events.push_back(Event::ProbeEnded {
             backend_id,
             outcome: Outcome::Ignored,
             latency: Duration::ZERO,
--- a/crates/gateway/src/dispatcher/mod.rs
+++ b/crates/gateway/src/dispatcher/mod.rs
@@ -16,8 +16,8 @@
 
 use damsonbeam::Rules;
 use damsonbeam::interface::{
-    AttemptNumber, BackendId, Carry, Event, GatewayId, Health, InvocationId, ListForm, Outcome,
-    Report,
+    AttemptNumber, BackendId, Event, GatewayId, HandoverState, Health, InvocationId, ListUpdate,
+    LoadReport, Outcome,
 };
 use damsonbeam_admin::Figures;
 use tokio::sync::{mpsc, oneshot};
@@ -114,7 +114,7 @@
     /// Whether the metrics can be read, so that the gauges must be kept up to date.
     pub reports_figures: bool,
     /// Receives the state that the decision module hands over, while that is awaited.
-    pub carry: Option<oneshot::Sender<Box<Carry>>>,
+    pub carry: Option<oneshot::Sender<Box<HandoverState>>>,
 }
 
 /// The dispatcher's open requests, backends and timers.
@@ -174,14 +174,14 @@
                 .expect("the loop condition checked for a timer")
                 .1
             {
-                Timer::Rules(token) => self.handle_event(Event::Timer { token }),
+                Timer::Rules(token) => self.handle_event(Event::TimerFired { token }),
                 Timer::AttemptTimeout(invocation_id, number) => {
                     self.attempt_timed_out(invocation_id, number)
                 }
                 Timer::OverdueEnd(invocation_id) => self.overdue_timed_out(invocation_id),
                 Timer::PeerReport => self.report_to_peers(now),
                 Timer::Figures => {
-                    let (listed, avoided) = self.rules.backends();
+                    let (listed, avoided) = self.rules.backend_counts();
                     self.figures.cluster_size.set(listed as i64);
                     self.figures.cluster_unhealthy.set(avoided as i64);
                     self.state
@@ -226,13 +226,13 @@
             ToDispatcher::Settings(settings) => self.handle_event(Event::Settings(settings)),
             ToDispatcher::Yield(reply_to) => {
                 self.carry = Some(reply_to);
-                self.handle_event(Event::Yield);
+                self.handle_event(Event::HandOver);
             }
             ToDispatcher::Resume => self.handle_event(Event::Resume),
             ToDispatcher::RefuseUnsent(reply_to) => drop(reply_to.send(self.refuse_unsent())),
             ToDispatcher::AnswerAll(reply_to) => drop(reply_to.send(self.answer_all())),
             ToDispatcher::TakeOver(carry) => self.handle_event(Event::TakeOver(carry)),
-            ToDispatcher::ClientGone { invocation_id } => self.client_gone(invocation_id),
+            ToDispatcher::ClientDisconnected { invocation_id } => self.client_gone(invocation_id),
             ToDispatcher::AttemptEnded(ended) => self.handle_attempt_ended(ended),
             ToDispatcher::CounterTotal {
                 name,
@@ -253,7 +253,7 @@
             overdue.cancel();
         }
         if request.answer.take().is_some() {
-            self.handle_event(Event::ClientGone { invocation_id });
+            self.handle_event(Event::ClientDisconnected { invocation_id });
             self.forget_if_finished(invocation_id);
         }
     }
@@ -297,7 +297,7 @@
             name,
             outcome,
             total,
-            others,
+            peer_units: others,
             latency,
         });
     }
@@ -325,7 +325,7 @@
         }: BackendListUpdate,
     ) {
         let no_name: Arc<str> = "".into();
-        if matches!(form, ListForm::Replace | ListForm::Restored) {
+        if matches!(form, ListUpdate::Replace | ListUpdate::Restored) {
             let listed: BTreeSet<BackendId> =
                 entries.iter().map(|entry| entry.backend_id).collect();
             self.state
@@ -334,7 +334,7 @@
         }
         for (position, (entry, address)) in entries.iter().zip(addresses).enumerate() {
             let id = entry.backend_id;
-            if entry.health == Health::Gone {
+            if entry.health == Health::Removed {
                 self.state.backends.remove(&id);
                 continue;
             }
@@ -405,7 +405,7 @@
         number: AttemptNumber,
         attempt: &InFlightAttempt,
         outcome: Outcome,
-        report: Report,
+        report: LoadReport,
     ) -> Event {
         self.figures
             .deliveries
@@ -423,9 +423,9 @@
             backend_id: attempt.backend_id,
             outcome,
             latency,
-            closed,
-            used: None,
-            true_units: None,
+            is_finished: closed,
+            metered_use: None,
+            actual_units: None,
             report,
         }
     }
@@ -436,7 +436,7 @@
         number: AttemptNumber,
         attempt: &InFlightAttempt,
         outcome: Outcome,
-        report: Report,
+        report: LoadReport,
     ) {
         self.notify_policy(attempt, outcome);
         let event = self.outcome_event(invocation_id, number, attempt, outcome, report);
@@ -506,7 +506,7 @@
             if let Some(account) = &mut self.account {
                 account.count_event(now, &current);
             }
-            for action in self.rules.on(now, current) {
+            for action in self.rules.handle_event(now, current) {
                 if let Some(account) = &mut self.account {
                     account.count_action(now, &action);
                 }
--- a/crates/gateway/src/dispatcher/overdue.rs
+++ b/crates/gateway/src/dispatcher/overdue.rs
@@ -184,7 +184,7 @@
         self.finish_with(invocation_id, answer);
         if undecided && succeeded {
             // The decision module still waits to start another attempt.
-            self.handle_event(Event::ClientGone { invocation_id });
+            self.handle_event(Event::ClientDisconnected { invocation_id });
         }
     }
 
--- a/crates/gateway/src/dispatcher/peer_reports.rs
+++ b/crates/gateway/src/dispatcher/peer_reports.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use damsonbeam::interface::{Event, PeersAdmitted};
+use damsonbeam::interface::{Event, PeerUnits};
 
 use super::{Dispatcher, Timer};
 use crate::messages::ToPeers;
@@ -17,7 +17,7 @@
         else {
             return;
         };
-        let admitted = self.rules.admitted(now);
+        let admitted = self.rules.admitted_units(now);
         for bytes in peer_admissions.report(&admitted, DATAGRAM) {
             for gateway in to.iter() {
                 let datagram = ToPeers {
@@ -28,7 +28,7 @@
             }
         }
         let complete_until = peer_admissions.reported_until(to, now);
-        let peers_admitted = admitted.into_iter().map(|admitted| PeersAdmitted {
+        let peers_admitted = admitted.into_iter().map(|admitted| PeerUnits {
             units: peer_admissions.admitted_by_peers(&admitted.name, now),
             customer: admitted.customer,
             slot: admitted.slot,
@@ -37,6 +37,6 @@
         let peers_admitted = peers_admitted.collect();
         let next = now + peer_admissions::REPORT_INTERVAL;
         self.state.timers.insert((next, Timer::PeerReport));
-        self.handle_event(Event::PeersAdmitted(peers_admitted));
+        self.handle_event(Event::PeerUnits(peers_admitted));
     }
 }
--- a/crates/gateway/src/dispatcher/send_attempt.rs
+++ b/crates/gateway/src/dispatcher/send_attempt.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use damsonbeam::interface::{AttemptNumber, BackendId, Event, InvocationId, ListForm, Outcome};
+use damsonbeam::interface::{AttemptNumber, BackendId, Event, InvocationId, ListUpdate, Outcome};
 
 use super::{AttemptDecision, Dispatcher, InFlightAttempt, Overdue, Timer};
 use crate::attempts::{NotExecuted, SendPermit};
@@ -71,7 +71,7 @@
         } = policy.before_attempt(backend_id, now);
         if let Some(entry) = health_change {
             events.push_back(Event::BackendList {
-                form: ListForm::Update,
+                form: ListUpdate::Update,
                 entries: [entry].into(),
             });
         }
--- a/crates/gateway/src/dispatcher/shutdown.rs
+++ b/crates/gateway/src/dispatcher/shutdown.rs
@@ -45,7 +45,7 @@
     /// Answers a request without a decision of the decision module, and tells the module that the client is gone.
     fn answer_without_rules(&mut self, invocation_id: InvocationId, answer: Answer) {
         self.answer(invocation_id, answer);
-        self.handle_event(Event::ClientGone { invocation_id });
+        self.handle_event(Event::ClientDisconnected { invocation_id });
         self.forget_if_finished(invocation_id);
     }
 }
@@ -53,7 +53,7 @@
 fn refusal() -> Answer {
     Answer::Throttled {
         after: Some(ELSEWHERE),
-        reason: RejectReason::Line,
+        reason: RejectReason::QueueTooLong,
         none_executed: true,
     }
 }
--- a/crates/gateway/src/messages.rs
+++ b/crates/gateway/src/messages.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use damsonbeam::interface::{
-    AttemptNumber, BackendEntry, Carry, GatewayId, Invocation, InvocationId, ListForm, Outcome,
-    RejectReason, Report, Settings,
+    AttemptNumber, BackendEntry, GatewayId, HandoverState, Invocation, InvocationId, ListUpdate,
+    LoadReport, Outcome, RejectReason, Settings,
 };
 use hyper::header::HeaderMap;
 use hyper::{Method, StatusCode, Uri};
@@ -51,7 +51,7 @@
     /// New settings.
     Settings(Box<Settings>),
     /// A successor takes over; the dispatcher returns the state to hand over.
-    Yield(oneshot::Sender<Box<Carry>>),
+    Yield(oneshot::Sender<Box<HandoverState>>),
     /// The successor has ended; this process serves again.
     Resume,
     /// The process shuts down: the dispatcher refuses the requests that no backend has executed or may execute, and
@@ -60,9 +60,9 @@
     /// The grace period is over: the dispatcher answers every open request, with an error if it may have been executed.
     AnswerAll(oneshot::Sender<Unanswered>),
     /// The state that the predecessor handed over.
-    TakeOver(Box<Carry>),
+    TakeOver(Box<HandoverState>),
     /// A client no longer waits for its answer.
-    ClientGone {
+    ClientDisconnected {
         /// The invocation.
         invocation_id: InvocationId,
     },
@@ -175,7 +175,7 @@
     /// The response of a successful attempt, or that of a failed attempt if it may be sent to the client.
     pub response: Option<BackendResponse>,
     /// The load that the backend reported.
-    pub report: Report,
+    pub report: LoadReport,
 }
 
 /// The socket of a connection to a backend.
@@ -221,7 +221,7 @@
 /// A list of backends, or changes to it, with the backends' addresses.
 pub struct BackendListUpdate {
     /// Whether the entries replace the list or update it.
-    pub form: ListForm,
+    pub form: ListUpdate,
     /// The backends.
     pub entries: Arc<[BackendEntry]>,
     /// The address of each backend, in the order of `entries`.
--- a/crates/gateway/src/peer_admissions.rs
+++ b/crates/gateway/src/peer_admissions.rs
@@ -12,7 +12,7 @@
 use std::hash::Hasher;
 use std::time::Duration;
 
-use damsonbeam::interface::{Admitted, GatewayId};
+use damsonbeam::interface::{AdmittedUnits, GatewayId};
 use fnv::FnvHasher;
 
 /// Interval between reports.
@@ -75,7 +75,7 @@
     ///
     /// Returns at least one datagram, without entries if nothing changed, because the peers detect a silent gateway by
     /// missing reports.
-    pub fn report(&mut self, admitted: &[Admitted], max_bytes: usize) -> Vec<Vec<u8>> {
+    pub fn report(&mut self, admitted: &[AdmittedUnits], max_bytes: usize) -> Vec<Vec<u8>> {
         let mut entries = Vec::new();
         let mut names = HashSet::new();
         for admitted in admitted {
--- a/crates/gateway/src/platform_protocol.rs
+++ b/crates/gateway/src/platform_protocol.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use damsonbeam::interface::{
-    CustomerId, GatewayId, Invocation, InvocationId, OperationId, PlanId, Repeat, Settings,
+    CustomerId, GatewayId, Invocation, InvocationId, OperationId, PlanId, RepeatMode, Settings,
 };
 use damsonbeam_admin::Figures;
 use hyper::header::{HeaderMap, HeaderValue, RETRY_AFTER};
@@ -33,7 +33,7 @@
 /// An operation as needed to decode its requests.
 struct Operation {
     operation: OperationId,
-    repeat: Repeat,
+    repeat: RepeatMode,
     integration_timeout: Duration,
 }
 
@@ -139,9 +139,9 @@
             customer,
             units: weight.units,
             first_gateway: GatewayId(weight.first),
-            spread: weight.spread,
-            write: false,
-            repeat: single_header(headers, "x-repeat") == Some("1"),
+            gateway_count: weight.spread,
+            is_mutating: false,
+            is_retry: single_header(headers, "x-repeat") == Some("1"),
             body_pending: false,
         };
         let mut forwarded = headers.clone();
@@ -167,7 +167,7 @@
         }
         let name = uri.path().strip_prefix('/')?.split('/').next()?;
         let operation = self.operations.get(name)?;
-        let is_read = operation.repeat == Repeat::Idempotent;
+        let is_read = operation.repeat == RepeatMode::Idempotent;
         let is_allowed = !matches!(*method, Method::HEAD | Method::CONNECT);
         (is_allowed && is_read == (method == Method::GET)).then_some(operation)
     }
--- a/crates/gateway/src/server/running.rs
+++ b/crates/gateway/src/server/running.rs
@@ -112,7 +112,7 @@
     /// effect at the next start.
     async fn apply(&mut self, config: Config) -> Result<(), ServerError> {
         let (old, new) = (self.addresses, config.addresses);
-        self.settings = self.settings.follow(config.settings);
+        self.settings = self.settings.updated_with(config.settings);
         // The dispatcher must have the new settings before requests are decoded with them: decoded requests refer to
         // operations and plans by their positions in these settings.
         let settings = Box::new(self.settings.clone());
--- a/crates/gateway/src/server/start.rs
+++ b/crates/gateway/src/server/start.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use damsonbeam::Rules;
-use damsonbeam::interface::{GatewayId, ListForm};
+use damsonbeam::interface::{GatewayId, ListUpdate};
 use damsonbeam_admin::{Admin, Asked, Figures};
 use damsonbeam_handover::{HandoverMessage, Successor};
 use futures_util::stream::FuturesUnordered;
@@ -188,7 +188,7 @@
         let known = last_list.borrow().clone();
         let revision = known.revision;
         let mut names = NameTable::new(config.facts.dcs.clone(), config.facts.kinds.clone());
-        let restored = names.to_update(known, ListForm::Restored);
+        let restored = names.to_update(known, ListUpdate::Restored);
         send(&self.dispatcher, ToDispatcher::BackendList(restored)).await?;
         self.start(dispatcher.run());
         let (first_list, listed) = oneshot::channel();
--- a/crates/gateway/tests/attempts.rs
+++ b/crates/gateway/tests/attempts.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use damsonbeam::interface::{Outcome, Repeat};
+use damsonbeam::interface::{Outcome, RepeatMode};
 use damsonbeam_gateway::attempts::{Attempts, Ending, Refusal, Repeatable, Verdict};
 use damsonbeam_gateway::write_meter::WriteMeter;
 
@@ -45,14 +45,18 @@
         b"POST / HTTP/1.1\r\n\r\nbody",
     ] {
         for (ending, is_proof) in endings(written) {
-            let mut attempts = Attempts::new(Repeatable::by(Repeat::NonIdempotent));
+            let mut attempts = Attempts::new(Repeatable::by(RepeatMode::NonIdempotent));
             let first = attempts.next();
             assert!(attempts.permit().is_some());
             assert!(
                 attempts.permit().is_none(),
                 "the first attempt is in progress"
             );
-            assert_eq!(ending.outcome().never_ran(), is_proof, "{ending:?}");
+            assert_eq!(
+                ending.outcome().proves_not_executed(),
+                is_proof,
+                "{ending:?}"
+            );
             if let Ending::NotExecuted(proof) = ending {
                 attempts.not_executed(first, proof);
             }
@@ -64,7 +68,7 @@
 
 #[test]
 fn repeatable_request_gets_a_permit_for_each_attempt() {
-    let mut attempts = Attempts::new(Repeatable::by(Repeat::Idempotent));
+    let mut attempts = Attempts::new(Repeatable::by(RepeatMode::Idempotent));
     assert!(attempts.none_executed());
     assert!(attempts.permit().is_some() && attempts.permit().is_some());
     assert!(!attempts.none_executed());
--- a/crates/gateway/tests/peer_admissions.rs
+++ b/crates/gateway/tests/peer_admissions.rs
@@ -2,14 +2,14 @@
 
 use std::time::Duration;
 
-use damsonbeam::interface::{Admitted, CustomerId, GatewayId};
+use damsonbeam::interface::{AdmittedUnits, CustomerId, GatewayId};
 use damsonbeam_gateway::peer_admissions::{
     ENTRY_BYTES, PeerAdmissions, REPORT_INTERVAL, REPORT_LIFETIME, REPORT_REPEATS, REPORT_TAG,
     SILENCE_TIMEOUT,
 };
 
-fn admitted(name: &str, units: f64) -> Admitted {
-    Admitted {
+fn admitted(name: &str, units: f64) -> AdmittedUnits {
+    AdmittedUnits {
         customer: CustomerId("101".into()),
         slot: 7,
         name: name.into(),
--- a/crates/handover/src/lib.rs
+++ b/crates/handover/src/lib.rs
@@ -14,7 +14,7 @@
 //! predecessor accepts clients again if the successor ends, unless the predecessor was told to shut down.
 #![warn(clippy::too_many_lines, unreachable_pub)]
 
-use damsonbeam::interface::Carry;
+use damsonbeam::interface::HandoverState;
 use serde::{Deserialize, Serialize};
 
 /// Version of the messages; a process doesn't reply to a `Hello` with another version.
@@ -35,7 +35,7 @@
     /// The successor has started and is ready to accept clients.
     Prepared,
     /// The predecessor's state.
-    Carry(Box<Carry>),
+    Carry(Box<HandoverState>),
     /// The successor serves.
     Taken,
 }
--- a/crates/handover/tests/carry_format.rs
+++ b/crates/handover/tests/carry_format.rs
@@ -1,6 +1,6 @@
 //! The format of the state that is handed over must not change, since a successor may run the previous version.
 
-use damsonbeam::interface::Carry;
+use damsonbeam::interface::HandoverState;
 use serde_json::{Value, json};
 
 /// Bins of a latency histogram.
@@ -36,7 +36,7 @@
 
 #[test]
 fn state_of_the_previous_version_survives_a_round_trip() {
-    let carry: Carry =
+    let carry: HandoverState =
         serde_json::from_value(previous_version_state()).expect("all field names are known");
     assert_eq!(
         serde_json::to_value(&carry).expect("the state is valid JSON"),
--- a/crates/proxy/src/backend_pool.rs
+++ b/crates/proxy/src/backend_pool.rs
@@ -244,8 +244,8 @@
             } else {
                 Health::Up
             },
-            since: Duration::ZERO,
-            kind: 0,
+            started_at: Duration::ZERO,
+            machine_type: 0,
             zone: zone.unwrap_or(self.regions.len()) as u32,
             cell: 0,
             weight: self.weight(backend, subset),
--- a/crates/proxy/src/dispatch/mod.rs
+++ b/crates/proxy/src/dispatch/mod.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 
 use damsonbeam::Rules;
-use damsonbeam::interface::{ListForm, OperationId, Plan, PlanId, Settings};
+use damsonbeam::interface::{ListUpdate, OperationId, Plan, PlanId, Settings};
 use damsonbeam_admin::Figures;
 use damsonbeam_control::config::{Route, RouteKind};
 use damsonbeam_gateway::backends::{Backend, ConnectionPools};
@@ -257,7 +257,7 @@
         let backends = pool.backends(&dispatcher.service, &dispatcher.homes, now);
         let count = backends.len();
         let listed = BackendListUpdate {
-            form: ListForm::Replace,
+            form: ListUpdate::Replace,
             addresses: backends.iter().map(|backend| backend.address).collect(),
             names: backends
                 .iter()
@@ -317,7 +317,7 @@
                 name: tenant.name.as_str().into(),
                 rate: if is_limited { tenant.rate_per_s } else { 0.0 },
                 burst: if is_limited { burst } else { 0.0 },
-                price: 1.0,
+                unit_value: 1.0,
                 excess_cost: 1.0,
                 ..Plan::default()
             };
--- a/crates/proxy/src/dispatch/module_settings.rs
+++ b/crates/proxy/src/dispatch/module_settings.rs
@@ -2,7 +2,9 @@
 
 use std::time::Duration;
 
-use damsonbeam::interface::{Counter, InForce, Limits, Operation, Plan, PlanId, Repeat, Settings};
+use damsonbeam::interface::{
+    CounterSettings, InForce, InvocationLimits, Operation, Plan, PlanId, RepeatMode, Settings,
+};
 use damsonbeam_control::config::{Route, RouteKind};
 
 /// The module treats events within this interval as simultaneous.
@@ -17,10 +19,10 @@
 const LATE_VALUE: f64 = 0.5;
 
 /// Returns whether a request on a route of this kind may run more than once.
-pub fn repeat(kind: RouteKind) -> Repeat {
+pub fn repeat(kind: RouteKind) -> RepeatMode {
     match kind {
-        RouteKind::ReadOnly => Repeat::Idempotent,
-        RouteKind::Mutating | RouteKind::Upload => Repeat::NonIdempotent,
+        RouteKind::ReadOnly => RepeatMode::Idempotent,
+        RouteKind::Mutating | RouteKind::Upload => RepeatMode::NonIdempotent,
     }
 }
 
@@ -50,14 +52,14 @@
         operations: vec![],
         plans: (0..plans.len()).map(PlanId).collect(),
     };
-    let limits = Limits {
+    let limits = InvocationLimits {
         may_cancel: true,
         may_hedge: false,
         may_probe: false,
         may_message_peers: false,
-        retry_after: Some(MAX_RETRY_AFTER),
+        max_retry_after: Some(MAX_RETRY_AFTER),
         max_attempts,
-        open: usize::MAX,
+        max_open_invocations: usize::MAX,
         connect_timeout,
     };
     Settings {
@@ -66,9 +68,9 @@
         plans,
         in_force,
         limits,
-        counter: Some(Counter {
+        counter: Some(CounterSettings {
             timeout: COUNT_TIMEOUT,
-            price: 0.0,
+            call_cost: 0.0,
         }),
         max_units: 1.0,
         warm_up_share: 1.0,
--- a/crates/proxy/src/protocol.rs
+++ b/crates/proxy/src/protocol.rs
@@ -175,7 +175,7 @@
             customer: CustomerId(tenant_name.into()),
             units: 1.0,
             first_gateway: GatewayId(0),
-            spread: 1,
+            gateway_count: 1,
             ..Invocation::default()
         };
         let context = DecodedContext {
@@ -318,7 +318,7 @@
         }
         Answer::Throttled {
             after,
-            reason: RejectReason::Quota | RejectReason::Full,
+            reason: RejectReason::Quota | RejectReason::WindowFull,
             none_executed: true,
         } => retry_later(StatusCode::TOO_MANY_REQUESTS, after),
         Answer::Throttled {
@@ -328,7 +328,7 @@
         } => retry_later(StatusCode::SERVICE_UNAVAILABLE, after),
         Answer::Throttled {
             none_executed: false,
-            reason: RejectReason::Time,
+            reason: RejectReason::DeadlineReached,
             ..
         } => plain(StatusCode::GATEWAY_TIMEOUT),
         Answer::Throttled { .. } | Answer::Errored => plain(StatusCode::BAD_GATEWAY),
--- a/crates/proxy/tests/quota_support/mod.rs
+++ b/crates/proxy/tests/quota_support/mod.rs
@@ -47,10 +47,10 @@
             ..BackendEntry::default()
         };
         let list = Event::BackendList {
-            form: ListForm::Replace,
+            form: ListUpdate::Replace,
             entries: (0..9).map(backend).collect(),
         };
-        rules.on(now, list);
+        rules.handle_event(now, list);
         MeteredProxy {
             quota,
             rules,
@@ -66,13 +66,13 @@
             deadline: now + Duration::from_secs(3),
             customer: CustomerId(TENANT.into()),
             units: 1.0,
-            spread: 1,
+            gateway_count: 1,
             ..Invocation::default()
         };
         let mut events = VecDeque::from([Event::Invocation(invocation)]);
         let mut is_admitted = false;
         while let Some(event) = events.pop_front() {
-            for action in self.rules.on(now, event) {
+            for action in self.rules.handle_event(now, event) {
                 is_admitted |= matches!(action, Action::SendAttempt { .. });
                 events.extend(self.perform(action, now));
             }
@@ -82,13 +82,15 @@
 
     fn perform(&mut self, action: Action, now: Duration) -> Option<Event> {
         match action {
-            Action::AddToCounter { name, add, .. } => {
+            Action::AddToCounter {
+                name, units: add, ..
+            } => {
                 let total = self.quota.add(&name, add, now);
                 Some(Event::CounterTotal {
                     name,
                     outcome: Outcome::Ok,
                     total,
-                    others: 0.0,
+                    peer_units: 0.0,
                     latency: Duration::ZERO,
                 })
             }
@@ -102,9 +104,9 @@
                 backend_id,
                 outcome: Outcome::Ok,
                 latency: Duration::from_millis(1),
-                closed: true,
-                used: None,
-                true_units: None,
+                is_finished: true,
+                metered_use: None,
+                actual_units: None,
                 report: vec![],
             }),
             _ => None,
@@ -116,7 +118,7 @@
     let plan = Plan {
         rate,
         burst: rate,
-        price: 1.0,
+        unit_value: 1.0,
         excess_cost: 1.0,
         ..Plan::default()
     };
@@ -135,14 +137,14 @@
             operations: vec![OperationId(0)],
             plans: vec![PlanId(0)],
         },
-        limits: Limits {
+        limits: InvocationLimits {
             max_attempts: 1,
-            open: usize::MAX,
-            ..Limits::default()
+            max_open_invocations: usize::MAX,
+            ..InvocationLimits::default()
         },
-        counter: Some(Counter {
+        counter: Some(CounterSettings {
             timeout: Duration::from_millis(100),
-            price: 0.0,
+            call_cost: 0.0,
         }),
         max_units: 1.0,
         warm_up_share: 1.0,
--- a/crates/proxy/tests/unserved.rs
+++ b/crates/proxy/tests/unserved.rs
@@ -50,7 +50,7 @@
     log.add("q\"1", quota, false, &route_and_tenant(), at(1));
     log.add(
         "q2",
-        Cause::rejected(RejectReason::Line),
+        Cause::rejected(RejectReason::QueueTooLong),
         false,
         &route_and_tenant(),
         at(2),
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use damsonbeam::interface::{
-    Counter, Discovery, GatewayId, Group, InForce, Limits, Operation, OperationId, Plan, PlanId,
-    Repeat, Settings,
+    CounterSettings, DeduplicationGroup, Discovery, GatewayId, InForce, InvocationLimits,
+    Operation, OperationId, Plan, PlanId, RepeatMode, Settings,
 };
 use serde::Deserialize;
 
@@ -183,20 +183,20 @@
 pub fn settings(facts: &Facts) -> Result<Settings, String> {
     let operation = |class: &OperationSettings| {
         let repeat = match class.idempotency.as_str() {
-            "retryable" => Repeat::Idempotent,
+            "retryable" => RepeatMode::Idempotent,
             "dedup" => {
                 let group = match class.group.as_str() {
-                    "all" => Group::All,
-                    "zone" => Group::Zone,
-                    _ => Group::Cell,
+                    "all" => DeduplicationGroup::All,
+                    "zone" => DeduplicationGroup::Zone,
+                    _ => DeduplicationGroup::Cell,
                 };
-                Repeat::Tokened {
+                RepeatMode::Deduplicated {
                     group,
                     window: ns(class.window_ns),
                 }
             }
             // An unknown value is treated as not repeatable, the safe choice.
-            _ => Repeat::NonIdempotent,
+            _ => RepeatMode::NonIdempotent,
         };
         Operation {
             name: class.name.as_str().into(),
@@ -213,7 +213,7 @@
         rate: plan.quota_rate,
         burst: plan.store_size,
         max_in_flight: plan.max_out,
-        price: plan.value_factor,
+        unit_value: plan.value_factor,
         excess_value: plan.excess_worth,
         excess_cost: plan.overrun_cost,
         ceiling_rate: plan.cap_rate,
@@ -235,21 +235,21 @@
             operations: (0..facts.request_classes.len()).map(OperationId).collect(),
             plans: (0..facts.plans.len()).map(PlanId).collect(),
         },
-        limits: Limits {
+        limits: InvocationLimits {
             may_cancel: limits.cancel,
             may_hedge: limits.parallel_tries,
             may_probe: limits.probes,
             may_message_peers: limits.may_tell,
-            retry_after: limits.retry_after.then(|| ns(limits.max_retry_after_ns)),
+            max_retry_after: limits.retry_after.then(|| ns(limits.max_retry_after_ns)),
             max_attempts: limits.try_limit,
-            open: limits.max_open,
+            max_open_invocations: limits.max_open,
             connect_timeout: ns(limits.connect_timeout_ns),
         },
-        counter: domain.has_counter.then(|| Counter {
+        counter: domain.has_counter.then(|| CounterSettings {
             timeout: ns(domain.counter_timeout_ns),
-            price: domain.call_price,
+            call_cost: domain.call_price,
         }),
-        true_units_follow: domain.settles,
+        units_are_estimates: domain.settles,
         max_units: domain.most_units,
         meter_period: ns(domain.meter_ns),
         discovery: if facts.discovery == "subscribe" {
@@ -257,9 +257,9 @@
         } else {
             Discovery::Pushed
         },
-        ask_within: ns(rules.ask_within_ns),
+        list_request_timeout: ns(rules.ask_within_ns),
         drain_grace: ns(rules.drain_grace_ns),
-        answer_slack: ns(rules.answer_slack_ns),
+        answer_delivery_time: ns(rules.answer_slack_ns),
         warm_up_share: rules.cold_share,
         warm_up_time: ns(rules.cold_ns),
         overload_factor: rules.overload_factor,
--- a/src/interface/action.rs
+++ b/src/interface/action.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::{AttemptNumber, BackendId, Carry, GatewayId, InvocationId};
+use super::{AttemptNumber, BackendId, GatewayId, HandoverState, InvocationId};
 
 /// An action that the front end carries out at once.
 #[derive(Clone, Debug, PartialEq)]
@@ -51,9 +51,9 @@
         /// The counter name.
         name: String,
         /// Units to add; 0 only reads the total.
-        add: f64,
+        units: f64,
         /// Retention of the name by the counter.
-        keep: Duration,
+        retention: Duration,
     },
     /// Probes a backend.
     Probe {
@@ -61,7 +61,7 @@
         backend_id: BackendId,
     },
     /// Closes the idle connections to a backend.
-    CloseIdle {
+    CloseIdleConnections {
         /// The backend.
         backend_id: BackendId,
     },
@@ -85,7 +85,7 @@
         text: String,
     },
     /// Hands the state over to the successor process.
-    HandOver(Box<Carry>),
+    HandOver(Box<HandoverState>),
 }
 
 /// Reason for rejecting an invocation, for logs and metrics.
@@ -94,17 +94,17 @@
     /// The units in the window exceed the quota.
     Quota,
     /// The window is known to be full, so that the counter was not called.
-    Full,
+    WindowFull,
     /// The queue is too long, or answers take too long.
-    Line,
+    QueueTooLong,
     /// The invocation was queued until an answer in time was no longer likely.
-    Waited,
+    QueueTimeout,
     /// The client's deadline has been reached.
-    Time,
+    DeadlineReached,
     /// The budget of the plan's ceiling is used up.
     Ceiling,
     /// The attempts failed and no further one can succeed.
-    GaveUp,
+    AttemptsExhausted,
 }
 
 impl RejectReason {
@@ -112,12 +112,12 @@
     pub fn name(self) -> &'static str {
         match self {
             Self::Quota => "quota",
-            Self::Full => "full",
-            Self::Line => "line",
-            Self::Waited => "waited",
-            Self::Time => "time",
+            Self::WindowFull => "full",
+            Self::QueueTooLong => "line",
+            Self::QueueTimeout => "waited",
+            Self::DeadlineReached => "time",
             Self::Ceiling => "ceiling",
-            Self::GaveUp => "gave_up",
+            Self::AttemptsExhausted => "gave_up",
         }
     }
 }
--- a/src/interface/backend.rs
+++ b/src/interface/backend.rs
@@ -13,7 +13,7 @@
     Draining,
     /// The backend no longer exists.
     #[default]
-    Gone,
+    Removed,
 }
 
 /// An entry of the list of backends.
@@ -24,9 +24,9 @@
     /// Whether the backend accepts work.
     pub health: Health,
     /// Start time of the process; zero for a process started long ago.
-    pub since: Duration,
+    pub started_at: Duration,
     /// The type of the machine.
-    pub kind: u32,
+    pub machine_type: u32,
     /// The zone of the backend.
     pub zone: u32,
     /// The cell within the zone.
@@ -37,7 +37,7 @@
 
 /// How a list of backends is applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListForm {
+pub enum ListUpdate {
     /// Only the changed entries.
     Update,
     /// The full list.
--- a/src/interface/event.rs
+++ b/src/interface/event.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use super::{
-    AttemptNumber, BackendEntry, BackendId, Carry, GatewayId, Invocation, InvocationId, ListForm,
-    Outcome, PeersAdmitted, Report, Settings,
+    AttemptNumber, BackendEntry, BackendId, GatewayId, HandoverState, Invocation, InvocationId,
+    ListUpdate, LoadReport, Outcome, PeerUnits, Settings,
 };
 
 /// An event, as reported by the front end.
@@ -14,7 +14,7 @@
     /// A list of backends.
     BackendList {
         /// How the list is applied.
-        form: ListForm,
+        form: ListUpdate,
         /// The entries of the list.
         entries: Arc<[BackendEntry]>,
     },
@@ -44,18 +44,18 @@
         /// Time since the attempt was sent.
         latency: Duration,
         /// Whether the invocation is finished. If not, a final answer is still due.
-        closed: bool,
+        is_finished: bool,
         /// The customer's use over all gateways in the last metered period, as a fraction of its
         /// rate.
-        used: Option<f64>,
+        metered_use: Option<f64>,
         /// Actual units of the invocation, if the settings declare the units at arrival an
         /// estimate.
-        true_units: Option<f64>,
+        actual_units: Option<f64>,
         /// The load report of the backend.
-        report: Report,
+        report: LoadReport,
     },
     /// The client has disconnected.
-    ClientGone {
+    ClientDisconnected {
         /// The invocation of the client.
         invocation_id: InvocationId,
     },
@@ -71,22 +71,22 @@
         /// The invocation of the body.
         invocation_id: InvocationId,
     },
-    /// New settings, derived from the previous ones by [`Settings::follow`].
+    /// New settings, derived from the previous ones by [`Settings::updated_with`].
     Settings(Box<Settings>),
     /// A successor process takes over. [`Action::HandOver`](super::Action::HandOver) follows.
-    Yield,
+    HandOver,
     /// The successor process has ended, and this process continues.
     Resume,
     /// The state of the predecessor process. This event precedes the first
     /// invocation.
-    TakeOver(Box<Carry>),
+    TakeOver(Box<HandoverState>),
     /// The timer that an action requested has fired.
-    Timer {
+    TimerFired {
         /// The token of the action.
         token: String,
     },
     /// A probe ended.
-    Probed {
+    ProbeEnded {
         /// The backend.
         backend_id: BackendId,
         /// How the probe ended.
@@ -94,7 +94,7 @@
         /// Time since the probe was sent.
         latency: Duration,
         /// The load report of the backend.
-        report: Report,
+        report: LoadReport,
     },
     /// A message from another gateway.
     PeerMessage {
@@ -112,11 +112,11 @@
         /// The total after the units of the call were added.
         total: f64,
         /// The part of `total` that other gateways report as admitted; 0 without reports.
-        others: f64,
+        peer_units: f64,
         /// Time since the call was sent.
         latency: Duration,
     },
     /// Units that the other gateways report as admitted, under names returned by
-    /// [`crate::Rules::admitted`].
-    PeersAdmitted(Vec<PeersAdmitted>),
+    /// [`crate::Rules::admitted_units`].
+    PeerUnits(Vec<PeerUnits>),
 }
--- a/src/interface/invocation.rs
+++ b/src/interface/invocation.rs
@@ -22,11 +22,11 @@
     /// The first of the gateways that receive the customer's invocations.
     pub first_gateway: GatewayId,
     /// Number of gateways that receive the customer's invocations; 0 for all.
-    pub spread: u32,
+    pub gateway_count: u32,
     /// Whether the invocation changes data.
-    pub write: bool,
+    pub is_mutating: bool,
     /// Whether the client has tried before.
-    pub repeat: bool,
+    pub is_retry: bool,
     /// Whether the request body is still arriving. The client's deadline applies only after the
     /// event `BodyComplete`.
     pub body_pending: bool,
@@ -55,17 +55,17 @@
 
 impl Outcome {
     /// Returns whether the outcome proves that nothing was executed.
-    pub fn never_ran(self) -> bool {
+    pub fn proves_not_executed(self) -> bool {
         matches!(self, Self::Full | Self::ConnectFailed | Self::Ignored)
     }
 }
 
 /// Values of a load report, in the order configured at the front end. Empty if there is none.
-pub type Report = Vec<f64>;
+pub type LoadReport = Vec<f64>;
 
 /// Units that this gateway has admitted under one counter name.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Admitted {
+pub struct AdmittedUnits {
     /// The customer that used the units.
     pub customer: CustomerId,
     /// The slot in which the units were admitted.
@@ -78,7 +78,7 @@
 
 /// Units that all other gateways have admitted under one counter name.
 #[derive(Clone, Debug, PartialEq)]
-pub struct PeersAdmitted {
+pub struct PeerUnits {
     /// The customer that used the units.
     pub customer: CustomerId,
     /// The slot in which the units were admitted.
--- a/src/interface/mod.rs
+++ b/src/interface/mod.rs
@@ -10,13 +10,14 @@
 mod settings;
 
 pub use self::action::{Action, RejectReason};
-pub use self::backend::{BackendEntry, Health, ListForm};
+pub use self::backend::{BackendEntry, Health, ListUpdate};
 pub use self::event::Event;
 pub use self::ids::{
     AttemptNumber, BackendId, CustomerId, GatewayId, InvocationId, OperationId, PlanId,
 };
-pub use self::invocation::{Admitted, Invocation, Outcome, PeersAdmitted, Report};
+pub use self::invocation::{AdmittedUnits, Invocation, LoadReport, Outcome, PeerUnits};
 pub use self::settings::{
-    Counter, Discovery, Group, InForce, Limits, Operation, Plan, Repeat, Settings,
+    CounterSettings, DeduplicationGroup, Discovery, InForce, InvocationLimits, Operation, Plan,
+    RepeatMode, Settings,
 };
-pub use crate::rules::handover::Carry;
+pub use crate::rules::handover::HandoverState;
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -7,13 +7,13 @@
 
 /// Whether an operation may run more than once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Repeat {
+pub enum RepeatMode {
     /// Repeated runs have the same effect as one.
     Idempotent,
     /// Repeats are dropped within `group`, for `window` after the first attempt that may have run.
-    Tokened {
+    Deduplicated {
         /// The backends that recognize each other's runs.
-        group: Group,
+        group: DeduplicationGroup,
         /// How long a run is remembered.
         window: Duration,
     },
@@ -24,7 +24,7 @@
 
 /// The backends that share their memory of repeats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DeduplicationGroup {
     /// All backends.
     All,
     /// The backends of one zone.
@@ -39,7 +39,7 @@
     /// Name that identifies the row when settings change.
     pub name: Arc<str>,
     /// Whether the operation may run more than once.
-    pub repeat: Repeat,
+    pub repeat: RepeatMode,
     /// Latency up to which an answer earns its full billed value.
     pub latency_objective: Duration,
     /// How long a client waits over all its tries.
@@ -64,10 +64,10 @@
     /// Maximum number of attempts in flight.
     pub max_in_flight: f64,
     /// Value of a unit, relative to other plans.
-    pub price: f64,
-    /// Value of a unit beyond the quota, as a fraction of the price.
+    pub unit_value: f64,
+    /// Value of a unit beyond the quota, as a fraction of the unit value.
     pub excess_value: f64,
-    /// Cost of a unit beyond the quota, as a fraction of the price.
+    /// Cost of a unit beyond the quota, as a fraction of the unit value.
     pub excess_cost: f64,
     /// Rate of the ceiling in units a second. The ceiling is a hard limit.
     pub ceiling_rate: f64,
@@ -79,7 +79,7 @@
 
 /// Limits of the deployment.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Limits {
+pub struct InvocationLimits {
     /// Whether attempts may be canceled.
     pub may_cancel: bool,
     /// Whether several attempts of an invocation may be in flight at once.
@@ -89,22 +89,22 @@
     /// Whether gateways may send each other messages.
     pub may_message_peers: bool,
     /// The longest retry delay that clients respect; `None` if no delay may be advised.
-    pub retry_after: Option<Duration>,
+    pub max_retry_after: Option<Duration>,
     /// Maximum number of attempts of an invocation.
     pub max_attempts: u32,
     /// Maximum number of open invocations.
-    pub open: usize,
+    pub max_open_invocations: usize,
     /// Timeout of connecting to a backend.
     pub connect_timeout: Duration,
 }
 
 /// The shared counter.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Counter {
+pub struct CounterSettings {
     /// Timeout of a call.
     pub timeout: Duration,
     /// Cost of a call.
-    pub price: f64,
+    pub call_cost: f64,
 }
 
 /// How a gateway receives the list of backends.
@@ -138,18 +138,18 @@
     /// Interval between two batches of events.
     pub tick: Duration,
     /// Operations of the current and of earlier settings, so that open invocations keep theirs
-    /// ([`Settings::follow`]).
+    /// ([`Settings::updated_with`]).
     pub operations: Vec<Operation>,
     /// Plans of the current and of earlier settings.
     pub plans: Vec<Plan>,
     /// Rows of operations and plans that new invocations use.
     pub in_force: InForce,
     /// Limits of the deployment.
-    pub limits: Limits,
+    pub limits: InvocationLimits,
     /// The shared counter, if there is one.
-    pub counter: Option<Counter>,
+    pub counter: Option<CounterSettings>,
     /// Whether the units at arrival are an estimate and the actual ones follow with the answer.
-    pub true_units_follow: bool,
+    pub units_are_estimates: bool,
     /// Maximum number of units of an invocation.
     pub max_units: f64,
     /// Period covered by the customer's use that answers report.
@@ -157,11 +157,11 @@
     /// How the list of backends is received.
     pub discovery: Discovery,
     /// How long a list of backends is requested at most.
-    pub ask_within: Duration,
+    pub list_request_timeout: Duration,
     /// How long a draining backend continues to answer.
     pub drain_grace: Duration,
     /// How long an answer takes to reach the client.
-    pub answer_slack: Duration,
+    pub answer_delivery_time: Duration,
     /// Capacity of a backend at its start, as a fraction of the full capacity.
     pub warm_up_share: f64,
     /// Time after which a backend has its full capacity.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,7 +2,7 @@
 //! customers.
 //!
 //! A front end creates one [`Rules`] for each gateway and passes every [`interface::Event`] to it
-//! in order of arrival. [`Rules::on`] returns the [`interface::Action`]s to carry out at once. The
+//! in order of arrival. [`Rules::handle_event`] returns the [`interface::Action`]s to carry out at once. The
 //! library does no I/O, reads no clock and keeps no global state.
 //!
 //! `interface` contains the types shared with the front end, `rules` the decisions with one file
--- a/src/rules/admission.rs
+++ b/src/rules/admission.rs
@@ -47,10 +47,10 @@
         self.expire_slots(&customer);
         // Rejected here, a full window or a long queue costs no counter calls that would be undone.
         if self.is_known_full(id) {
-            return self.throttle(id, RejectReason::Full);
+            return self.throttle(id, RejectReason::WindowFull);
         }
         if self.is_queue_too_long(id) {
-            return self.throttle(id, RejectReason::Line);
+            return self.throttle(id, RejectReason::QueueTooLong);
         }
         if self.should_ask_counter(id) {
             self.add_to_counter(id);
@@ -110,7 +110,7 @@
     /// Returns the number of gateways that receive the customer's invocations.
     fn customer_gateways(&self, request: &Invocation) -> u32 {
         let all = self.settings.gateways.max(1);
-        match request.spread {
+        match request.gateway_count {
             0 => all,
             spread => spread.min(all),
         }
@@ -148,7 +148,7 @@
         let invocation = &self.invocations[&id];
         let request = &invocation.request;
         let customer = &self.customers[&request.customer];
-        let sum = self.window_sum(customer, self.expected_usage(customer, request.repeat));
+        let sum = self.window_sum(customer, self.expected_usage(customer, request.is_retry));
         let fullness = (sum + invocation.quota_units) / self.burst(request.plan);
         let relative_value = self.relative_value(id);
         let distance = fullness.max(1.0 / fullness) / relative_value;
@@ -160,7 +160,7 @@
     fn relative_value(&mut self, id: InvocationId) -> f64 {
         let request = &self.invocations[&id].request;
         let value = self.settings.operations[request.operation.0].billed_value
-            * self.settings.plans[request.plan.0].price
+            * self.settings.plans[request.plan.0].unit_value
             * request.units;
         let samples = if self.mean_value > 0.0 {
             MEAN_SAMPLES
@@ -201,7 +201,7 @@
         let customer = &self.customers[&customer_id];
         let burst = self.burst(request.plan);
         let known = self.window_sum(customer, 0.0) + invocation.quota_units;
-        let expected_usage = self.expected_usage(customer, request.repeat);
+        let expected_usage = self.expected_usage(customer, request.is_retry);
         let sum = self.window_sum(customer, expected_usage) + invocation.quota_units;
         if answered && self.read_finished_slots(id, sum, burst) {
             return;
--- a/src/rules/answers.rs
+++ b/src/rules/answers.rs
@@ -37,7 +37,7 @@
     /// Returns the advised retry delay: until the quota has room, but at least the median latency
     /// and at most the longest delay that the deployment permits. `None` if it permits none.
     fn retry_after(&self, invocation: &PendingInvocation) -> Option<Duration> {
-        let longest = self.settings.limits.retry_after?;
+        let longest = self.settings.limits.max_retry_after?;
         let request = &invocation.request;
         let plan = self.settings.plans.get(request.plan.0);
         let quota = plan.filter(|plan| plan.rate > 0.0 && !invocation.is_admitted);
@@ -45,7 +45,7 @@
         if let Some(plan) = quota
             && let Some(customer) = self.customers.get(&request.customer)
         {
-            let expected_usage = self.expected_usage(customer, request.repeat);
+            let expected_usage = self.expected_usage(customer, request.is_retry);
             let excess = self.window_sum(customer, expected_usage) + request.units - plan.burst;
             excess_s = excess / plan.rate;
         }
@@ -79,7 +79,7 @@
         customer.in_flight -= invocation.in_flight().count() as u32;
         // Refused units are counted only after the decision, so that an invocation is no evidence
         // against itself. A retry is not counted, as it requests the same units again.
-        let is_refused = !invocation.is_admitted && !invocation.request.repeat;
+        let is_refused = !invocation.is_admitted && !invocation.request.is_retry;
         if is_refused && invocation.slot >= customer.oldest_slot {
             let slot = customer.slots.entry(invocation.slot).or_default();
             slot.refused += invocation.quota_units;
--- a/src/rules/attempts.rs
+++ b/src/rules/attempts.rs
@@ -8,7 +8,7 @@
 use super::{MEAN_SAMPLES, MEDIAN, Rules};
 use crate::interface::{
     Action, AttemptNumber, BackendId, Health, InvocationId, OperationId, Outcome, PlanId,
-    RejectReason, Repeat,
+    RejectReason, RepeatMode,
 };
 
 /// Weight of a refusal in a backend's refusal rate for a plan. A success multiplies that rate, and
@@ -92,7 +92,7 @@
     /// Returns whether another attempt may follow the next one.
     fn may_retry_after_next(&self, invocation: &PendingInvocation) -> bool {
         let operation = &self.settings.operations[invocation.request.operation.0];
-        operation.repeat != Repeat::NonIdempotent
+        operation.repeat != RepeatMode::NonIdempotent
             && (invocation.attempts.len() as u32) + 1 < invocation.max_attempts
             && !invocation.request.body_pending
     }
@@ -129,7 +129,7 @@
             cell: backend.entry.cell,
             sent_at: self.now,
             in_flight: true,
-            never_ran: false,
+            proves_not_executed: false,
         });
         self.queue.remove(&(invocation.arrived, id));
         if let Some(customer) = self.customers.get_mut(&invocation.request.customer) {
@@ -172,7 +172,7 @@
             return;
         };
         attempt.in_flight = false;
-        attempt.never_ran = outcome.never_ran();
+        attempt.proves_not_executed = outcome.proves_not_executed();
         let request = &invocation.request;
         let (operation, units, plan) = (request.operation, request.units, request.plan);
         if let Some(customer) = self.customers.get_mut(&request.customer) {
@@ -276,7 +276,7 @@
         if can_send && remaining_s > self.expected_s(MEDIAN, operation) {
             self.insert_into_queue(id, until);
         } else {
-            self.throttle(id, RejectReason::GaveUp);
+            self.throttle(id, RejectReason::AttemptsExhausted);
         }
     }
 
--- a/src/rules/backend_choice.rs
+++ b/src/rules/backend_choice.rs
@@ -5,7 +5,9 @@
 use super::backend::BackendState;
 use super::invocation::PendingInvocation;
 use super::{EPSILON, PRIOR_LATENCY_WEIGHT, Rules};
-use crate::interface::{BackendId, Group, Health, InvocationId, OperationId, Repeat};
+use crate::interface::{
+    BackendId, DeduplicationGroup, Health, InvocationId, OperationId, RepeatMode,
+};
 
 /// Cost factor of a backend that this invocation has already tried.
 const ALREADY_TRIED_COST_FACTOR: f64 = 100.0;
@@ -80,16 +82,16 @@
             return false;
         }
         let attempts = invocation.attempts.iter();
-        let mut may_have_run = attempts.filter(|attempt| !attempt.never_ran);
+        let mut may_have_run = attempts.filter(|attempt| !attempt.proves_not_executed);
         match self.settings.operations[invocation.request.operation.0].repeat {
-            Repeat::Idempotent => true,
-            Repeat::NonIdempotent => may_have_run.next().is_none(),
-            Repeat::Tokened { group, window } => may_have_run.all(|attempt| {
+            RepeatMode::Idempotent => true,
+            RepeatMode::NonIdempotent => may_have_run.next().is_none(),
+            RepeatMode::Deduplicated { group, window } => may_have_run.all(|attempt| {
                 let same_zone = attempt.zone == backend.entry.zone;
                 let shares_deduplication = match group {
-                    Group::All => true,
-                    Group::Zone => same_zone,
-                    Group::Cell => same_zone && attempt.cell == backend.entry.cell,
+                    DeduplicationGroup::All => true,
+                    DeduplicationGroup::Zone => same_zone,
+                    DeduplicationGroup::Cell => same_zone && attempt.cell == backend.entry.cell,
                 };
                 shares_deduplication && self.now < attempt.sent_at + window
             }),
@@ -100,11 +102,15 @@
     /// harmless, so either no attempt may have run or a repeat must have no effect.
     pub(super) fn may_throttle(&self, invocation: &PendingInvocation) -> bool {
         match self.settings.operations[invocation.request.operation.0].repeat {
-            Repeat::Idempotent
-            | Repeat::Tokened {
-                group: Group::All, ..
+            RepeatMode::Idempotent
+            | RepeatMode::Deduplicated {
+                group: DeduplicationGroup::All,
+                ..
             } => true,
-            _ => invocation.attempts.iter().all(|attempt| attempt.never_ran),
+            _ => invocation
+                .attempts
+                .iter()
+                .all(|attempt| attempt.proves_not_executed),
         }
     }
 }
--- a/src/rules/backend_list.rs
+++ b/src/rules/backend_list.rs
@@ -7,7 +7,7 @@
 use super::Rules;
 use super::backend::BackendState;
 use super::timers::Timer;
-use crate::interface::{BackendEntry, Discovery, Health, ListForm};
+use crate::interface::{BackendEntry, Discovery, Health, ListUpdate};
 
 /// Gateways spread their subscription calls over about this time multiplied by their number. If all
 /// call at once, discovery serves none of them.
@@ -15,16 +15,16 @@
 
 impl Rules {
     /// Applies a list of backends.
-    pub(super) fn update_backends(&mut self, form: ListForm, entries: &[BackendEntry]) {
-        let has_failed = form == ListForm::Unavailable;
+    pub(super) fn update_backends(&mut self, form: ListUpdate, entries: &[BackendEntry]) {
+        let has_failed = form == ListUpdate::Unavailable;
         let is_subscribed = self.settings.discovery == Discovery::Subscribed;
-        if has_failed || form == ListForm::Restored && is_subscribed {
+        if has_failed || form == ListUpdate::Restored && is_subscribed {
             self.schedule_list_request(has_failed, !entries.is_empty());
         }
-        if form != ListForm::Update && !has_failed {
+        if form != ListUpdate::Update && !has_failed {
             // A backend that is missing from a full list is gone.
             for backend in self.backends.values_mut() {
-                backend.entry.health = Health::Gone;
+                backend.entry.health = Health::Removed;
             }
         }
         for entry in entries {
@@ -34,7 +34,7 @@
         let is_used =
             |backend: &BackendState| backend.in_flight > 0 || backend.credit_at + span > self.now;
         self.backends
-            .retain(|_, backend| backend.entry.health != Health::Gone || is_used(backend));
+            .retain(|_, backend| backend.entry.health != Health::Removed || is_used(backend));
     }
 
     /// Schedules a request for the list after a random delay, or at once if the restored list
@@ -55,7 +55,7 @@
             backend.entry.health = entry.health;
             return;
         }
-        if backend.credit_at.is_zero() || backend.entry.since != entry.since {
+        if backend.credit_at.is_zero() || backend.entry.started_at != entry.started_at {
             // A new process: measurements of the previous one do not apply.
             *backend = BackendState {
                 in_flight: backend.in_flight,
@@ -68,9 +68,9 @@
     }
 
     /// Returns the number of listed backends, and how many of them are draining or blocked.
-    pub fn backends(&self) -> (usize, usize) {
+    pub fn backend_counts(&self) -> (usize, usize) {
         let all = self.backends.values();
-        let listed = all.filter(|backend| backend.entry.health != Health::Gone);
+        let listed = all.filter(|backend| backend.entry.health != Health::Removed);
         let is_avoided = |backend: &&BackendState| {
             backend.entry.health == Health::Draining || self.now < backend.blocked_until
         };
--- a/src/rules/counter.rs
+++ b/src/rules/counter.rs
@@ -136,7 +136,11 @@
             sent_at: self.now,
         };
         self.calls.entry(name.clone()).or_default().push_back(call);
-        self.actions.push(Action::AddToCounter { name, add, keep });
+        self.actions.push(Action::AddToCounter {
+            name,
+            units: add,
+            retention: keep,
+        });
     }
 
     /// Handles the end of a call: applies its total and makes the decisions that wait for it.
@@ -178,7 +182,7 @@
             // They are added again with a later call.
             let lacking = (call.added_so_far - total).max(0.0);
             if lacking > EPSILON { lacking } else { 0.0 }
-        } else if outcome.never_ran() {
+        } else if outcome.proves_not_executed() {
             call.add
         } else {
             0.0
--- a/src/rules/customer.rs
+++ b/src/rules/customer.rs
@@ -7,7 +7,7 @@
 use fnv::FnvHasher;
 use serde::{Deserialize, Serialize};
 
-use crate::interface::{Admitted, CustomerId, InvocationId, PeersAdmitted, PlanId};
+use crate::interface::{AdmittedUnits, CustomerId, InvocationId, PeerUnits, PlanId};
 
 /// Length in bytes beyond which a customer name is hashed in counter names.
 const MAX_COUNTER_NAME_LEN: usize = 40;
@@ -144,7 +144,7 @@
 impl Customer {
     /// Applies a report of the units admitted by the other gateways. The report is complete up to a
     /// time if all of them have reported.
-    pub(super) fn apply_peer_report(&mut self, report: &PeersAdmitted) {
+    pub(super) fn apply_peer_report(&mut self, report: &PeerUnits) {
         if report.slot < self.oldest_slot {
             return;
         }
@@ -159,10 +159,10 @@
         &self,
         id: &CustomerId,
         now: Duration,
-    ) -> impl Iterator<Item = Admitted> {
+    ) -> impl Iterator<Item = AdmittedUnits> {
         let current_slot = (now.as_secs_f64() / self.slot_s) as u64;
         let first = current_slot.saturating_sub(RETAINED_WINDOWS * self.window_slots);
-        (self.oldest_slot.max(first)..=current_slot).map(|slot| Admitted {
+        (self.oldest_slot.max(first)..=current_slot).map(|slot| AdmittedUnits {
             name: counter_name(id, slot),
             customer: id.clone(),
             slot,
--- a/src/rules/handover.rs
+++ b/src/rules/handover.rs
@@ -15,7 +15,7 @@
 /// The state that a process hands over to its successor. Times are relative to the clock that both
 /// processes share.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Carry {
+pub struct HandoverState {
     #[serde(rename = "began")]
     started_at: Duration,
     #[serde(rename = "ask")]
@@ -52,7 +52,7 @@
     fn of((backend_id, backend): (&BackendId, &BackendState)) -> Self {
         CarriedBackend {
             backend_id: backend_id.0,
-            since: backend.entry.since,
+            since: backend.entry.started_at,
             credit: backend.credit,
             credit_at: backend.credit_at,
             latency: backend.latency.clone(),
@@ -66,7 +66,7 @@
     pub(super) fn hand_over(&mut self) {
         let operations = self.settings.operations.iter();
         let plans = self.settings.plans.iter();
-        let mut carry = Carry {
+        let mut carry = HandoverState {
             started_at: self.started_at,
             counter_probability: self.counter_sampling.probability,
             concurrency_limit: self.concurrency_limit,
@@ -90,7 +90,7 @@
 
     /// Takes over the state of a predecessor. The predecessor's units are treated as those of
     /// another gateway, because it continues to count for a while.
-    pub(super) fn take_over(&mut self, carry: Carry) {
+    pub(super) fn take_over(&mut self, carry: HandoverState) {
         self.started_at = carry.started_at;
         self.counter_sampling.probability = carry.counter_probability;
         self.concurrency_limit = carry.concurrency_limit;
@@ -124,11 +124,11 @@
         let backend_id = BackendId(carried.backend_id);
         let known = self.backends.entry(backend_id).or_default();
         // A list received before the handover decides which process of the backend is current.
-        if known.credit_at.is_zero() || known.entry.since == carried.since {
+        if known.credit_at.is_zero() || known.entry.started_at == carried.since {
             known.credit = carried.credit;
             known.credit_at = carried.credit_at;
             known.latency = carried.latency;
-            known.entry.since = carried.since;
+            known.entry.started_at = carried.since;
         }
     }
 }
--- a/src/rules/invocation.rs
+++ b/src/rules/invocation.rs
@@ -12,7 +12,7 @@
     pub(super) sent_at: Duration,
     pub(super) in_flight: bool,
     /// Whether the attempt is known not to have run.
-    pub(super) never_ran: bool,
+    pub(super) proves_not_executed: bool,
 }
 
 /// An invocation without a final answer yet.
--- a/src/rules/mod.rs
+++ b/src/rules/mod.rs
@@ -1,4 +1,4 @@
-//! All decisions of a gateway. [`Rules::on`] takes events in order and returns the actions to carry
+//! All decisions of a gateway. [`Rules::handle_event`] takes events in order and returns the actions to carry
 //! out at once.
 //!
 //! The module reads no clock: time comes with the events and randomness from the seed, so that the
@@ -62,7 +62,7 @@
 use self::use_estimate::{PlanUsage, initial_plan_usage};
 use self::warm_up::WarmThroughput;
 use crate::interface::{
-    Action, BackendId, CustomerId, Event, InvocationId, OperationId, PeersAdmitted, Settings,
+    Action, BackendId, CustomerId, Event, InvocationId, OperationId, PeerUnits, Settings,
 };
 
 /// Tolerance in units when sums of fractions are compared.
@@ -152,7 +152,7 @@
     }
 
     /// Processes an event and returns the actions to carry out.
-    pub fn on(&mut self, now: Duration, event: Event) -> Vec<Action> {
+    pub fn handle_event(&mut self, now: Duration, event: Event) -> Vec<Action> {
         self.now = now;
         self.handle(event);
         self.send_queued();
@@ -176,18 +176,18 @@
             }
             Event::FirstByte { invocation_id, .. } => self.handle_stream_started(invocation_id),
             Event::AttemptEnded { .. } => self.handle_attempt_ended(event),
-            Event::ClientGone { invocation_id } => self.remove_invocation(invocation_id),
+            Event::ClientDisconnected { invocation_id } => self.remove_invocation(invocation_id),
             Event::CounterTotal {
                 name,
                 outcome,
                 total,
-                others,
+                peer_units,
                 latency,
-            } => self.handle_total(&name, outcome, total, others, latency),
-            Event::PeersAdmitted(reports) => self.apply_peer_reports(&reports),
+            } => self.handle_total(&name, outcome, total, peer_units, latency),
+            Event::PeerUnits(reports) => self.apply_peer_reports(&reports),
             // A front end may round a wait down, so that its timer fires up to a tick early. The
             // timer then counts as fired; otherwise no later one would be armed.
-            Event::Timer { .. } => {
+            Event::TimerFired { .. } => {
                 let rounded = self.now + self.settings.tick;
                 self.armed_until = self.armed_until.filter(|until| *until > rounded);
             }
@@ -202,10 +202,10 @@
                 }
             }
             Event::Settings(settings) => self.reconfigure(*settings),
-            Event::Yield => self.hand_over(),
+            Event::HandOver => self.hand_over(),
             Event::Resume => self.has_yielded = false,
             Event::TakeOver(carry) => self.take_over(*carry),
-            Event::Probed { .. } => {}
+            Event::ProbeEnded { .. } => {}
         }
     }
 
@@ -216,29 +216,29 @@
             backend_id,
             outcome,
             latency,
-            closed,
-            used,
-            true_units,
+            is_finished,
+            metered_use,
+            actual_units,
             ..
         } = event
         else {
             return;
         };
-        if let Some(used) = used {
-            self.record_metered_usage(invocation_id, used);
+        if let Some(metered_use) = metered_use {
+            self.record_metered_usage(invocation_id, metered_use);
         }
         self.record_attempt_end(invocation_id, attempt, backend_id, outcome, latency);
-        if let Some(units) = true_units.filter(|_| self.settings.true_units_follow) {
+        if let Some(units) = actual_units.filter(|_| self.settings.units_are_estimates) {
             self.apply_true_units(invocation_id, units);
         }
-        if closed {
+        if is_finished {
             self.remove_invocation(invocation_id);
         } else {
             self.retry_or_finish(invocation_id);
         }
     }
 
-    fn apply_peer_reports(&mut self, reports: &[PeersAdmitted]) {
+    fn apply_peer_reports(&mut self, reports: &[PeerUnits]) {
         for report in reports {
             if let Some(customer) = self.customers.get_mut(&report.customer) {
                 customer.apply_peer_report(report);
--- a/src/rules/queue.rs
+++ b/src/rules/queue.rs
@@ -24,7 +24,7 @@
         let in_flight = self.in_flight();
         let wait_s = self.queue.len() as f64 * self.mean_s(request.operation)
             / in_flight.max(self.local_concurrency_limit());
-        let usable_s = if request.repeat {
+        let usable_s = if request.is_retry {
             self.first_try_remaining_s(invocation).min(remaining_s)
         } else {
             remaining_s
@@ -50,7 +50,7 @@
     pub(super) fn enqueue(&mut self, id: InvocationId) {
         let until = self.objective(&self.invocations[&id]);
         if self.is_queue_too_long(id) {
-            self.throttle(id, RejectReason::Line);
+            self.throttle(id, RejectReason::QueueTooLong);
         } else {
             self.insert_into_queue(id, until);
         }
--- a/src/rules/timers.rs
+++ b/src/rules/timers.rs
@@ -66,8 +66,8 @@
 
     fn run_timer(&mut self, timer: Timer) {
         match timer {
-            Timer::FinalAnswer(id) => self.throttle(id, RejectReason::Time),
-            Timer::QueueTimeout(id, _) => self.throttle(id, RejectReason::Waited),
+            Timer::FinalAnswer(id) => self.throttle(id, RejectReason::DeadlineReached),
+            Timer::QueueTimeout(id, _) => self.throttle(id, RejectReason::QueueTimeout),
             Timer::Hedge(id) => self.hedge(id),
             Timer::SlowAttempt(id, attempt) => {
                 let invocation = &self.invocations[&id];
--- a/src/rules/use_estimate.rs
+++ b/src/rules/use_estimate.rs
@@ -90,7 +90,7 @@
             let part = (total - invocation.quota_units) / (plan.rate * slot_s);
             (part.clamp(0.0, MAX_USAGE * elapsed), elapsed)
         };
-        let known = &mut self.plan_usage[request.plan.0][usize::from(request.repeat)];
+        let known = &mut self.plan_usage[request.plan.0][usize::from(request.is_retry)];
         known.used = known.used - known.used / MEAN_SAMPLES + used;
         known.slots = known.slots - known.slots / MEAN_SAMPLES + slots;
     }
--- a/src/rules/warm_up.rs
+++ b/src/rules/warm_up.rs
@@ -73,9 +73,9 @@
     /// Returns a lower bound for a backend's current capacity, as a fraction of its full capacity.
     pub(super) fn warm_up_fraction(&self, entry: &BackendEntry) -> f64 {
         let settings = &self.settings;
-        let age_s = self.now.saturating_sub(entry.since).as_secs_f64();
+        let age_s = self.now.saturating_sub(entry.started_at).as_secs_f64();
         let progress = age_s / settings.warm_up_time.as_secs_f64().max(MIN_WARM_UP_S);
-        if entry.since.is_zero() || progress >= 1.0 {
+        if entry.started_at.is_zero() || progress >= 1.0 {
             1.0
         } else {
             settings.warm_up_share + (1.0 - settings.warm_up_share) * progress
--- a/src/rules/window.rs
+++ b/src/rules/window.rs
@@ -4,7 +4,7 @@
 
 use super::customer::{Customer, RETAINED_WINDOWS, Slot, SlotLayout};
 use super::{EPSILON, Rules};
-use crate::interface::{Admitted, CustomerId, PlanId};
+use crate::interface::{AdmittedUnits, CustomerId, PlanId};
 
 /// Maximum number of a customer's gateways for which a window has two slots. With more gateways it
 /// has one, because reads would outnumber adds.
@@ -183,7 +183,7 @@
     }
 
     /// Returns the units that this gateway has admitted under each counter name in use by a window.
-    pub fn admitted(&self, now: Duration) -> Vec<Admitted> {
+    pub fn admitted_units(&self, now: Duration) -> Vec<AdmittedUnits> {
         let in_use = self.customers.iter().filter(|(_, customer)| {
             !customer.slots.is_empty() && !self.caps_in_flight(customer.plan)
         });
--- a/src/settings_update.rs
+++ b/src/settings_update.rs
@@ -7,7 +7,7 @@
     /// because open invocations use them. A new or changed operation gets its own row. A plan keeps
     /// the row of its name and gets the new values, because a quota applies as it is now. Rows are
     /// matched by name, not by position.
-    pub fn follow(&self, mut new: Settings) -> Settings {
+    pub fn updated_with(&self, mut new: Settings) -> Settings {
         let mut operations = self.operations.clone();
         let mut plans = self.plans.clone();
         let operations_in_force = new.operations.iter();
@@ -62,7 +62,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::interface::Repeat;
+    use crate::interface::RepeatMode;
 
     fn settings_with_names(names: &[&str]) -> Settings {
         let operation = |name: &&str| Operation {
@@ -85,9 +85,9 @@
     fn positions_stay_valid_when_operations_change() {
         let first = settings_with_names(&["a", "b"]);
         let mut next = settings_with_names(&["c", "b"]);
-        next.operations[1].repeat = Repeat::Idempotent;
+        next.operations[1].repeat = RepeatMode::Idempotent;
         next.plans[1].rate = 9.0;
-        let second = first.follow(next);
+        let second = first.updated_with(next);
         assert_eq!(
             second.operations[..2],
             first.operations[..],
@@ -102,7 +102,7 @@
             (second.in_force.plans.as_slice(), second.plans[1].rate),
             (&[PlanId(2), PlanId(1)][..], 9.0)
         );
-        let third = second.follow(first.clone());
+        let third = second.updated_with(first.clone());
         assert_eq!(
             third.in_force.operations,
             [OperationId(0), OperationId(1)],
--- a/tests/rules/common.rs
+++ b/tests/rules/common.rs
@@ -10,7 +10,7 @@
     Duration::from_millis(n)
 }
 
-pub fn settings(repeat: Repeat) -> Settings {
+pub fn settings(repeat: RepeatMode) -> Settings {
     Settings {
         gateways: 3,
         own_id: GatewayId(0),
@@ -33,31 +33,31 @@
             name: "p".into(),
             rate: 2.0,
             burst: 8.0,
-            price: 1.0,
+            unit_value: 1.0,
             excess_cost: 1.0,
             ..Plan::default()
         }],
-        limits: Limits {
+        limits: InvocationLimits {
             may_cancel: true,
             may_hedge: false,
             may_probe: false,
             may_message_peers: false,
-            retry_after: Some(ms(500)),
+            max_retry_after: Some(ms(500)),
             max_attempts: 4,
-            open: 1000,
+            max_open_invocations: 1000,
             connect_timeout: ms(250),
         },
-        counter: Some(Counter {
+        counter: Some(CounterSettings {
             timeout: ms(30),
-            price: 0.01,
+            call_cost: 0.01,
         }),
-        true_units_follow: false,
+        units_are_estimates: false,
         max_units: 4.0,
         meter_period: Duration::ZERO,
         discovery: Discovery::Pushed,
-        ask_within: ms(10_000),
+        list_request_timeout: ms(10_000),
         drain_grace: ms(250),
-        answer_slack: ms(8),
+        answer_delivery_time: ms(8),
         warm_up_share: 0.2,
         warm_up_time: ms(10_000),
         overload_factor: 2.0,
@@ -69,7 +69,7 @@
     BackendEntry {
         backend_id: BackendId(backend_id),
         health,
-        since,
+        started_at: since,
         zone: backend_id % 2,
         cell: backend_id % 4,
         weight: 1.0,
@@ -77,7 +77,7 @@
     }
 }
 
-pub fn backend_list(form: ListForm, entries: Vec<BackendEntry>) -> Event {
+pub fn backend_list(form: ListUpdate, entries: Vec<BackendEntry>) -> Event {
     Event::BackendList {
         form,
         entries: Arc::from(entries),
@@ -90,7 +90,7 @@
     let entries = (0..count)
         .map(|id| backend_entry(id, Health::Up, Duration::ZERO))
         .collect();
-    rules.on(ms(1000), backend_list(ListForm::Restored, entries));
+    rules.handle_event(ms(1000), backend_list(ListUpdate::Restored, entries));
     rules
 }
 
@@ -103,9 +103,9 @@
         customer: CustomerId(customer.into()),
         units,
         first_gateway: GatewayId(0),
-        spread: 3,
-        write: false,
-        repeat: false,
+        gateway_count: 3,
+        is_mutating: false,
+        is_retry: false,
         body_pending: false,
     })
 }
@@ -115,7 +115,7 @@
         name: name.into(),
         outcome: Outcome::Ok,
         total,
-        others: 0.0,
+        peer_units: 0.0,
         latency: ms(2),
     }
 }
@@ -125,7 +125,7 @@
         name: name.into(),
         outcome,
         total: 0.0,
-        others: 0.0,
+        peer_units: 0.0,
         latency: ms(30),
     }
 }
@@ -143,16 +143,18 @@
         backend_id,
         outcome,
         latency: ms(100),
-        closed,
-        used: None,
-        true_units: None,
+        is_finished: closed,
+        metered_use: None,
+        actual_units: None,
         report: Vec::new(),
     }
 }
 
 pub fn counter_calls(actions: &[Action]) -> Vec<(String, f64)> {
     let calls = actions.iter().filter_map(|action| match action {
-        Action::AddToCounter { name, add, .. } => Some((name.clone(), *add)),
+        Action::AddToCounter {
+            name, units: add, ..
+        } => Some((name.clone(), *add)),
         _ => None,
     });
     calls.collect()
--- a/tests/rules/fleet.rs
+++ b/tests/rules/fleet.rs
@@ -35,12 +35,14 @@
                 if let Event::AttemptEnded { latency, .. } = &mut ended {
                     *latency = ms(50);
                 }
-                rules.on(now, ended);
+                rules.handle_event(now, ended);
             }
             let phase = (now - from).as_millis() as u64 / 10 % (interval.as_millis() as u64 / 10);
             if phase == gateway as u64 % (interval.as_millis() as u64 / 10) {
                 invocation_id += 1;
-                for backend_id in sent_to(&rules.on(now, arrival(invocation_id, now, "a", 1.0))) {
+                for backend_id in
+                    sent_to(&rules.handle_event(now, arrival(invocation_id, now, "a", 1.0)))
+                {
                     *received.entry(backend_id).or_insert(0.0) += 1.0;
                     in_flight.insert((now + ms(50), gateway, invocation_id), backend_id);
                 }
@@ -57,7 +59,7 @@
 /// the warm backends were overloaded (scenario join+vast).
 #[test]
 fn many_gateways_keep_cold_backend_within_its_budget() {
-    let mut settings = settings(Repeat::Idempotent);
+    let mut settings = settings(RepeatMode::Idempotent);
     settings.plans[0] = Plan::default();
     (settings.gateways, settings.max_units) = (100, 8.0);
     let start = ms(100_000);
@@ -69,13 +71,13 @@
         .chain([backend_entry(8, Health::Up, start + ms(5000))])
         .collect();
     for gateway in &mut gateways {
-        gateway.on(start, backend_list(ListForm::Restored, all[..8].to_vec()));
+        gateway.handle_event(start, backend_list(ListUpdate::Restored, all[..8].to_vec()));
     }
     run_load(&mut gateways, start, start + ms(5000), ms(200));
     for gateway in &mut gateways {
-        gateway.on(
+        gateway.handle_event(
             start + ms(5000),
-            backend_list(ListForm::Update, all[8..].to_vec()),
+            backend_list(ListUpdate::Update, all[8..].to_vec()),
         );
     }
     let received = run_load(&mut gateways, start + ms(5000), start + ms(8000), ms(200));
@@ -95,7 +97,7 @@
 /// zone+vast).
 #[test]
 fn first_invocation_is_not_counted_as_surge() {
-    let mut settings = settings(Repeat::Idempotent);
+    let mut settings = settings(RepeatMode::Idempotent);
     (settings.gateways, settings.counter, settings.max_units) = (100, None, 8.0);
     settings.plans[0].burst = 16.0;
     let mut rules = rules_with_backends(settings, 4);
@@ -105,7 +107,13 @@
         let Event::Invocation(new) = arrival(n, now, "a", 4.0) else {
             unreachable!()
         };
-        is_throttled(&rules.on(now, Event::Invocation(Invocation { spread: 90, ..new })))
+        is_throttled(&rules.handle_event(
+            now,
+            Event::Invocation(Invocation {
+                gateway_count: 90,
+                ..new
+            }),
+        ))
     };
     assert!(
         !is_rejected(1),
@@ -123,7 +131,7 @@
 /// backends that no longer existed (scenario herd+vast).
 #[test]
 fn gateways_started_together_spread_discovery_calls() {
-    let mut settings = settings(Repeat::Idempotent);
+    let mut settings = settings(RepeatMode::Idempotent);
     (settings.gateways, settings.discovery) = (100, Discovery::Subscribed);
     let asks_discovery = |actions: Vec<Action>| {
         actions
@@ -133,26 +141,26 @@
     let mut calls_per_100_ms = [0; 90];
     for seed in 0..100 {
         let mut rules = Rules::new(seed, settings.clone(), ms(1000));
-        let mut asked = asks_discovery(rules.on(
+        let mut asked = asks_discovery(rules.handle_event(
             ms(1000),
             backend_list(
-                ListForm::Restored,
+                ListUpdate::Restored,
                 vec![backend_entry(0, Health::Up, ms(0))],
             ),
         ));
         for n in 0..90 {
             let now = ms(1000 + 100 * n);
-            asked |= asks_discovery(rules.on(
+            asked |= asks_discovery(rules.handle_event(
                 now,
-                Event::Timer {
+                Event::TimerFired {
                     token: "due".into(),
                 },
             ));
             if asked {
                 calls_per_100_ms[n as usize] += 1;
                 // All calls of the first 5 s are rejected.
-                let failed = backend_list(ListForm::Unavailable, vec![]);
-                asked = n < 50 && asks_discovery(rules.on(now, failed));
+                let failed = backend_list(ListUpdate::Unavailable, vec![]);
+                asked = n < 50 && asks_discovery(rules.handle_event(now, failed));
             }
         }
     }
@@ -166,9 +174,10 @@
     );
     // A gateway without any list asks at once.
     let mut rules = Rules::new(1, settings, ms(1000));
-    assert!(asks_discovery(
-        rules.on(ms(1000), backend_list(ListForm::Restored, vec![]))
-    ));
+    assert!(asks_discovery(rules.handle_event(
+        ms(1000),
+        backend_list(ListUpdate::Restored, vec![])
+    )));
 }
 
 /// A backend that answered errors at once attracted work from all gateways, and a slow one was
@@ -177,11 +186,11 @@
 #[test]
 fn failing_or_slow_backend_is_reported_and_avoided_by_peers() {
     let share = |reports: &[Vec<u8>]| {
-        let mut settings = settings(Repeat::Idempotent);
+        let mut settings = settings(RepeatMode::Idempotent);
         (settings.plans[0], settings.limits.may_message_peers) = (Plan::default(), true);
         let mut rules = rules_with_backends(settings, 4);
         for bytes in reports {
-            rules.on(
+            rules.handle_event(
                 ms(1000),
                 Event::PeerMessage {
                     from: GatewayId(1),
@@ -191,24 +200,24 @@
         }
         let sent = (0..200).filter(|n| {
             let now = ms(1000 + n);
-            let to = sent_to(&rules.on(now, arrival(*n, now, "a", 1.0)))[0];
-            rules.on(now, attempt_ended(*n, 0, to, Outcome::Ok, true));
+            let to = sent_to(&rules.handle_event(now, arrival(*n, now, "a", 1.0)))[0];
+            rules.handle_event(now, attempt_ended(*n, 0, to, Outcome::Ok, true));
             to == BackendId(0)
         });
         sent.count()
     };
     let reports_of = |end_attempt: &dyn Fn(&mut Rules, BackendId) -> Vec<Action>| {
-        let mut settings = settings(Repeat::Idempotent);
+        let mut settings = settings(RepeatMode::Idempotent);
         (settings.plans[0], settings.limits.may_message_peers) = (Plan::default(), true);
         let mut rules = rules_with_backends(settings, 1);
         for n in 0..20 {
-            rules.on(ms(1000), arrival(n, ms(1000), "a", 1.0));
-            rules.on(
+            rules.handle_event(ms(1000), arrival(n, ms(1000), "a", 1.0));
+            rules.handle_event(
                 ms(1010),
                 attempt_ended(n, 0, BackendId(0), Outcome::Ok, true),
             );
         }
-        let to = sent_to(&rules.on(ms(1100), arrival(30, ms(1100), "a", 1.0)))[0];
+        let to = sent_to(&rules.handle_event(ms(1100), arrival(30, ms(1100), "a", 1.0)))[0];
         let messages = end_attempt(&mut rules, to)
             .into_iter()
             .filter_map(|a| match a {
@@ -218,13 +227,13 @@
         messages.collect::<Vec<_>>()
     };
     let failure_reports = reports_of(&|rules, to| {
-        rules.on(ms(1101), attempt_ended(30, 0, to, Outcome::Failed, false))
+        rules.handle_event(ms(1101), attempt_ended(30, 0, to, Outcome::Failed, false))
     });
     // Answers usually take 0.1 s; the objective is 1 s.
     let slow_reports = reports_of(&|rules, _| {
-        rules.on(
+        rules.handle_event(
             ms(1700),
-            Event::Timer {
+            Event::TimerFired {
                 token: "due".into(),
             },
         )
@@ -245,7 +254,7 @@
 /// of it unused.
 #[test]
 fn peer_reports_hold_quota_while_counter_is_silent() {
-    let mut settings = settings(Repeat::Idempotent);
+    let mut settings = settings(RepeatMode::Idempotent);
     (
         settings.gateways,
         settings.plans[0].rate,
@@ -256,10 +265,10 @@
         .map(|seed| Rules::new(seed, settings.clone(), start))
         .collect();
     for gateway in &mut gateways {
-        gateway.on(
+        gateway.handle_event(
             start,
             backend_list(
-                ListForm::Restored,
+                ListUpdate::Restored,
                 vec![backend_entry(0, Health::Up, Duration::ZERO)],
             ),
         );
@@ -270,7 +279,7 @@
         if step % 20 == 0 {
             let all: Vec<_> = gateways
                 .iter()
-                .map(|gateway| gateway.admitted(now))
+                .map(|gateway| gateway.admitted_units(now))
                 .collect();
             for (own, gateway) in gateways.iter_mut().enumerate() {
                 let peer_units = |name: &str| {
@@ -281,14 +290,14 @@
                         .flat_map(|(_, a)| a);
                     peers.filter(|a| a.name == name).map(|a| a.units).sum()
                 };
-                let others = all[own].iter().map(|a| PeersAdmitted {
+                let others = all[own].iter().map(|a| PeerUnits {
                     customer: a.customer.clone(),
                     slot: a.slot,
                     units: peer_units(&a.name),
                     complete_until: Some(now),
                 });
                 let others = others.collect();
-                gateway.on(now, Event::PeersAdmitted(others));
+                gateway.handle_event(now, Event::PeerUnits(others));
             }
         }
         if step % 3 != 0 {
@@ -300,13 +309,21 @@
             unreachable!()
         };
         let gateway = &mut gateways[n as usize * 7 % 24];
-        let mut actions = gateway.on(now, Event::Invocation(Invocation { spread: 24, ..new }));
+        let mut actions = gateway.handle_event(
+            now,
+            Event::Invocation(Invocation {
+                gateway_count: 24,
+                ..new
+            }),
+        );
         for (name, _) in counter_calls(&actions) {
-            actions.extend(gateway.on(now + ms(1), counter_failure(&name, Outcome::TimedOut)));
+            actions.extend(
+                gateway.handle_event(now + ms(1), counter_failure(&name, Outcome::TimedOut)),
+            );
         }
         for backend_id in sent_to(&actions) {
             admitted += 1.0;
-            gateway.on(
+            gateway.handle_event(
                 now + ms(2),
                 attempt_ended(n, 0, backend_id, Outcome::Ok, true),
             );
--- a/tests/rules/model.rs
+++ b/tests/rules/model.rs
@@ -37,14 +37,18 @@
 /// Returns the settings that a seed selects.
 fn settings_for(settings_seed: u64) -> Settings {
     let bit = |n: u32| (settings_seed >> n) & 1 == 0;
-    let group = [Group::All, Group::Zone, Group::Cell][(settings_seed / 4 % 3) as usize];
+    let group = [
+        DeduplicationGroup::All,
+        DeduplicationGroup::Zone,
+        DeduplicationGroup::Cell,
+    ][(settings_seed / 4 % 3) as usize];
     let repeat = match settings_seed % 4 {
-        0 => Repeat::Idempotent,
-        1 | 2 => Repeat::Tokened {
+        0 => RepeatMode::Idempotent,
+        1 | 2 => RepeatMode::Deduplicated {
             group,
             window: ms(400),
         },
-        _ => Repeat::NonIdempotent,
+        _ => RepeatMode::NonIdempotent,
     };
     let mut settings = settings(repeat);
     settings.limits.may_hedge = bit(4);
@@ -58,7 +62,7 @@
         rate: if bit(9) { 40.0 } else { 0.0 },
         burst: 60.0,
         max_in_flight: in_flight_cap,
-        price: 1.0,
+        unit_value: 1.0,
         ceiling_rate: ceiling,
         ceiling_burst: 2.0 * ceiling,
         ..Plan::default()
@@ -72,7 +76,7 @@
     sent_at: Duration,
     times_out_at: Duration,
     in_flight: bool,
-    never_ran: bool,
+    proves_not_executed: bool,
 }
 
 /// State of an open invocation in the model.
@@ -81,7 +85,7 @@
     units: f64,
     attempts: Vec<SentAttempt>,
     /// Repeat mode at the arrival, and the lowest limit on attempts since then.
-    repeat: Repeat,
+    repeat: RepeatMode,
     max_attempts: u32,
     /// Whether the predecessor holds the invocation.
     from_predecessor: bool,
@@ -126,7 +130,7 @@
         } else {
             Some(&mut self.rules)
         };
-        for action in to.map_or(vec![], |rules| rules.on(self.now, event)) {
+        for action in to.map_or(vec![], |rules| rules.handle_event(self.now, event)) {
             self.check_action(action, to_predecessor);
         }
     }
@@ -140,7 +144,7 @@
         self.open
             .retain(|_, invocation| !invocation.from_predecessor);
         let mut carry = None;
-        for action in self.rules.on(self.now, Event::Yield) {
+        for action in self.rules.handle_event(self.now, Event::HandOver) {
             match action {
                 Action::HandOver(handed) => carry = Some(handed),
                 // Actions of timers that are due at the same time.
@@ -158,7 +162,7 @@
             .iter()
             .map(|(id, listing)| backend_entry(id.0, listing.0, listing.1))
             .collect();
-        self.send_event(backend_list(ListForm::Restored, entries));
+        self.send_event(backend_list(ListUpdate::Restored, entries));
         self.send_event(Event::TakeOver(carry));
     }
 
@@ -172,7 +176,7 @@
         );
         new.plans = self.settings.plans[..1].to_vec();
         new.plans[0].rate *= [0.5, 1.0, 2.0][(value % 3) as usize];
-        self.settings = self.settings.follow(new);
+        self.settings = self.settings.updated_with(new);
         self.open.values_mut().for_each(|invocation| {
             invocation.max_attempts = invocation
                 .max_attempts
@@ -189,9 +193,9 @@
     fn check_action(&mut self, action: Action, from_predecessor: bool) {
         match action {
             Action::SetTimer { after, .. } => drop(self.timers.insert(self.now + after)),
-            Action::AddToCounter { name, add, .. } => {
-                self.calls.push((from_predecessor, name, add))
-            }
+            Action::AddToCounter {
+                name, units: add, ..
+            } => self.calls.push((from_predecessor, name, add)),
             Action::SendAttempt {
                 invocation_id,
                 backend_id,
@@ -206,11 +210,16 @@
                     invocation.from_predecessor, from_predecessor,
                     "rule 1: answered by the wrong process"
                 );
-                let none_ran = invocation.attempts.iter().all(|attempt| attempt.never_ran);
+                let none_ran = invocation
+                    .attempts
+                    .iter()
+                    .all(|attempt| attempt.proves_not_executed);
                 let allowed = match invocation.repeat {
-                    Repeat::Idempotent => true,
-                    Repeat::Tokened { group, .. } => none_ran || group == Group::All,
-                    Repeat::NonIdempotent => none_ran,
+                    RepeatMode::Idempotent => true,
+                    RepeatMode::Deduplicated { group, .. } => {
+                        none_ran || group == DeduplicationGroup::All
+                    }
+                    RepeatMode::NonIdempotent => none_ran,
                 };
                 assert!(allowed, "rule 2: throttled an invocation that may have run");
                 self.finished.insert(invocation_id);
@@ -264,20 +273,22 @@
         for attempt in invocation
             .attempts
             .iter()
-            .filter(|attempt| !attempt.never_ran)
+            .filter(|attempt| !attempt.proves_not_executed)
         {
             match invocation.repeat {
-                Repeat::Idempotent => {}
-                Repeat::NonIdempotent => panic!("rule 2: a second attempt of what may have run"),
-                Repeat::Tokened { group, window } => {
+                RepeatMode::Idempotent => {}
+                RepeatMode::NonIdempotent => {
+                    panic!("rule 2: a second attempt of what may have run")
+                }
+                RepeatMode::Deduplicated { group, window } => {
                     assert!(
                         now <= attempt.sent_at + window,
                         "rule 2: repeated after the deduplication window"
                     );
                     let in_group = match group {
-                        Group::All => true,
-                        Group::Zone => attempt.backend_id.0 % 2 == zone,
-                        Group::Cell => attempt.backend_id.0 % 4 == cell,
+                        DeduplicationGroup::All => true,
+                        DeduplicationGroup::Zone => attempt.backend_id.0 % 2 == zone,
+                        DeduplicationGroup::Cell => attempt.backend_id.0 % 4 == cell,
                     };
                     assert!(in_group, "rule 2: repeated outside the deduplication group");
                 }
@@ -305,7 +316,7 @@
             sent_at: now,
             times_out_at,
             in_flight: true,
-            never_ran: false,
+            proves_not_executed: false,
         });
         if warm_up_fraction < 1.0 {
             let span = self.settings.overload_span;
@@ -358,7 +369,7 @@
                 for from_predecessor in [false, true] {
                     self.send_event_to(
                         from_predecessor,
-                        Event::Timer {
+                        Event::TimerFired {
                             token: "due".into(),
                         },
                     );
@@ -366,7 +377,7 @@
             }
             for (id, invocation) in &self.open {
                 assert!(
-                    self.now <= invocation.deadline + self.settings.answer_slack,
+                    self.now <= invocation.deadline + self.settings.answer_delivery_time,
                     "rule 1: {id:?} not answered in time"
                 );
             }
@@ -378,7 +389,7 @@
             return;
         };
         let attempt = &mut invocation.attempts[n];
-        (attempt.in_flight, attempt.never_ran) = (false, outcome.never_ran());
+        (attempt.in_flight, attempt.proves_not_executed) = (false, outcome.proves_not_executed());
         let (backend_id, from_predecessor) = (attempt.backend_id, invocation.from_predecessor);
         if outcome == Outcome::Ok {
             self.open.remove(&id);
@@ -415,7 +426,7 @@
         .iter()
         .map(|e| (e.backend_id, (Health::Up, Duration::ZERO, model.now)))
         .collect();
-    model.send_event(backend_list(ListForm::Restored, entries.clone()));
+    model.send_event(backend_list(ListUpdate::Restored, entries.clone()));
     for (n, (kind, value)) in scenario.steps.into_iter().enumerate() {
         let value = u64::from(value);
         match kind % 16 {
@@ -491,7 +502,7 @@
                 let (backend_id, now) = (BackendId((value % 6) as u32), model.now);
                 let (health, since) = [
                     (Health::Draining, Duration::ZERO),
-                    (Health::Gone, Duration::ZERO),
+                    (Health::Removed, Duration::ZERO),
                     (Health::Up, now),
                     (Health::Up, Duration::ZERO),
                 ][(value / 8) as usize % 4];
@@ -500,7 +511,7 @@
                     model.send_event_to(
                         from_predecessor,
                         backend_list(
-                            ListForm::Update,
+                            ListUpdate::Update,
                             vec![backend_entry(backend_id.0, health, since)],
                         ),
                     );
@@ -516,7 +527,7 @@
                     .iter()
                     .map(|(id, listing)| backend_entry(id.0, listing.0, listing.1))
                     .collect();
-                model.send_event(backend_list(ListForm::Restored, entries));
+                model.send_event(backend_list(ListUpdate::Restored, entries));
             }
             14 if value % 16 == 1 => model.hand_over(value),
             14 if value % 16 < 5 => model.change_settings(value),
