--- a/crates/config-store/src/consensus/acceptor.rs
+++ b/crates/config-store/src/consensus/acceptor.rs
@@ -78,11 +78,11 @@
         }
         let has_required_digest = |digest: u64| digest == self.durable.committed.digest();
         let answer = if proposal_number < self.durable.promised {
-            AcceptAnswer::Promised(self.durable.promised)
+            AcceptAnswer::RejectedByPromise(self.durable.promised)
         } else if !proposal.required_digest.is_none_or(has_required_digest) {
             self.effects
                 .push(Effect::Send(from, self.digests_message()));
-            AcceptAnswer::Behind
+            AcceptAnswer::MissingItems
         } else {
             if proposal_number > self.durable.promised {
                 self.promise(proposal_number);
--- a/crates/config-store/src/consensus/forwarding.rs
+++ b/crates/config-store/src/consensus/forwarding.rs
@@ -86,7 +86,7 @@
                 incarnation,
                 number,
             } => self.receive_forward_ack(incarnation, number, now),
-            Message::Forwarded {
+            Message::ForwardReply {
                 incarnation,
                 number,
                 reply,
@@ -108,7 +108,7 @@
             return;
         }
         if !self.is_voter() || self.is_leaving {
-            let message = Message::Forwarded {
+            let message = Message::ForwardReply {
                 incarnation,
                 number,
                 reply: None,
--- a/crates/config-store/src/consensus/membership.rs
+++ b/crates/config-store/src/consensus/membership.rs
@@ -63,7 +63,7 @@
         .iter()
         .filter(|voter| is_present(voter))
         .count();
-    let is_possible = present >= next.majority() || set.voters().len() == 1;
+    let is_possible = present >= next.majority_size() || set.voters().len() == 1;
     is_possible.then_some(next)
 }
 
--- a/crates/config-store/src/consensus/proposer.rs
+++ b/crates/config-store/src/consensus/proposer.rs
@@ -144,7 +144,7 @@
         answer: AcceptAnswer,
         now: Duration,
     ) {
-        if let AcceptAnswer::Promised(later) = answer {
+        if let AcceptAnswer::RejectedByPromise(later) = answer {
             self.highest_round = self.highest_round.max(later.round);
         }
         let Some(round) = &mut self.round else {
@@ -161,8 +161,8 @@
                 accepts.insert(voter);
                 self.check_accepts(now);
             }
-            AcceptAnswer::Promised(_) => self.abandon_round(now),
-            AcceptAnswer::Behind => self.propose_again(voter.ip),
+            AcceptAnswer::RejectedByPromise(_) => self.abandon_round(now),
+            AcceptAnswer::MissingItems => self.propose_again(voter.ip),
         }
     }
 
--- a/crates/config-store/src/consensus/repair.rs
+++ b/crates/config-store/src/consensus/repair.rs
@@ -22,7 +22,7 @@
     pub(super) fn digests_message(&self) -> Message {
         Message::CompareDigests {
             digests: self.group_digests(),
-            learner: (!self.is_voter()).then_some(self.durable.disk_id),
+            learner_disk_id: (!self.is_voter()).then_some(self.durable.disk_id),
         }
     }
 
--- a/crates/config-store/src/consensus/replica.rs
+++ b/crates/config-store/src/consensus/replica.rs
@@ -188,7 +188,7 @@
                 number,
             } => {
                 let reply = Some(reply);
-                let message = Message::Forwarded {
+                let message = Message::ForwardReply {
                     incarnation,
                     number,
                     reply,
@@ -244,7 +244,7 @@
             *last_seen = now;
         }
         match message {
-            Message::Forward { .. } | Message::ForwardAck { .. } | Message::Forwarded { .. } => {
+            Message::Forward { .. } | Message::ForwardAck { .. } | Message::ForwardReply { .. } => {
                 self.receive_forwarding(from, message, now);
             }
             Message::Prepare {
@@ -298,7 +298,10 @@
                 voters,
             } => self.receive_newer_voters(proposal_number, voters),
             Message::Commit { items } => self.learn(items),
-            Message::CompareDigests { digests, learner } => {
+            Message::CompareDigests {
+                digests,
+                learner_disk_id: learner,
+            } => {
                 self.receive_compare(from, digests, learner, now);
             }
             Message::RepairItems {
--- a/crates/config-store/src/consensus/voters.rs
+++ b/crates/config-store/src/consensus/voters.rs
@@ -5,7 +5,7 @@
 use bitcode::{Decode, Encode};
 use damsonbeam_control::address::Ip;
 use damsonbeam_control::config::{ConfigSnapshot, Item, ItemKey, ItemKind, ProposalNumber};
-use damsonbeam_control::voters::majority;
+use damsonbeam_control::voters::majority_size;
 
 /// The disk id of the founders, which are the seeds at the first start of the system. It is fixed, so that all
 /// replicas can name the first voters without communicating.
@@ -80,13 +80,13 @@
     }
 
     /// Returns the number of voters that form a majority.
-    pub fn majority(&self) -> usize {
-        majority(self.voters.len())
+    pub fn majority_size(&self) -> usize {
+        majority_size(self.voters.len())
     }
 
     /// Returns whether the given replicas include a majority of the set.
     pub fn is_majority(&self, replicas: &BTreeSet<Voter>) -> bool {
-        self.voters.intersection(replicas).count() >= self.majority()
+        self.voters.intersection(replicas).count() >= self.majority_size()
     }
 
     /// Returns the set of the next epoch, with a voter added.
--- a/crates/config-store/src/process/links.rs
+++ b/crates/config-store/src/process/links.rs
@@ -63,7 +63,7 @@
         let link = LinkId::Accepted(number);
         let from = from.octets();
         link::configure(&stream);
-        let (reader, sender) = link::split(stream);
+        let (reader, sender) = link::into_reader_and_sender(stream);
         let events = events.clone();
         tokio::task::spawn_local(async move {
             let accepted = LinkEvent::Accepted { link, from, sender };
@@ -137,7 +137,7 @@
         // Bind to the machine's own address, by which the peer identifies this store.
         let connected = link::connect_from(settings.ip_address, address, CONNECT_TIMEOUT).await;
         if let Ok(stream) = connected {
-            let (reader, sender) = link::split(stream);
+            let (reader, sender) = link::into_reader_and_sender(stream);
             events.send(LinkEvent::PeerUp { peer, sender }).await.ok();
             receive_all(reader, LinkId::Peer(peer), &events).await;
             events.send(LinkEvent::PeerDown { peer }).await.ok();
--- a/crates/config-store/src/process/mod.rs
+++ b/crates/config-store/src/process/mod.rs
@@ -10,9 +10,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use damsonbeam_control::address::{Ip, octets};
+use damsonbeam_control::address::{Ip, ip_octets};
 use damsonbeam_control::link::{self, LinkError};
-use damsonbeam_control::program::check_reloaded_settings;
+use damsonbeam_control::program::handle_sighup;
 use damsonbeam_control::settings::{InternalPort, Settings};
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::mpsc;
@@ -78,7 +78,7 @@
                     return Ok(());
                 }
             }
-            _ = hangup.recv() => check_reloaded_settings("store"),
+            _ = hangup.recv() => handle_sighup("store"),
             _ = terminate.recv() => {
                 store.leave();
                 shutdown_since = shutdown_since.or(Some(store.now()));
@@ -89,7 +89,7 @@
 
 /// Opens the disk, and initializes it with the first voter set at the first start of the system.
 fn open_store(settings: &Settings) -> Result<StoreProcess, StoreError> {
-    let own_ip = octets(settings.ip_address);
+    let own_ip = ip_octets(settings.ip_address);
     let directory = settings
         .data_directory
         .clone()
@@ -101,7 +101,7 @@
         state.durable.accepted.items().len()
     );
     if settings.initial_start {
-        let seeds = settings.seed_nodes.iter().map(|seed| octets(seed.ip()));
+        let seeds = settings.seed_nodes.iter().map(|seed| ip_octets(seed.ip()));
         let seeds: Vec<Ip> = seeds.collect();
         if let Some(writes) = state.durable.founding_writes(own_ip, &seeds) {
             disk.persist(&writes)?;
--- a/crates/config-store/src/process/store.rs
+++ b/crates/config-store/src/process/store.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use damsonbeam_control::address::{Ip, ip_texts};
+use damsonbeam_control::address::{Ip, ip_strings};
 use damsonbeam_control::config::Item;
 use damsonbeam_control::link::MessageSender;
 use damsonbeam_control::messages::{BackendList, Command, CommandReply, Message};
@@ -156,8 +156,8 @@
 
     fn handle_message(&mut self, link: LinkId, message: Message) {
         match message {
-            Message::Roster { ips } => self.handle_roster(link, ips),
-            Message::StoreBackends(backends) => self.handle_backends(link, backends),
+            Message::CoreMachines { ips } => self.handle_roster(link, ips),
+            Message::LastKnownBackends(backends) => self.handle_backends(link, backends),
             Message::Submit { number, command } => {
                 self.handle_command(CommandSource { link, number }, command);
             }
@@ -188,11 +188,11 @@
         let committed = self.replica.durable().committed.items();
         let items = configuration_items(committed.values().cloned());
         let ips = self.roster.clone();
-        self.send_to_registry(&Message::Roster { ips });
+        self.send_to_registry(&Message::CoreMachines { ips });
         self.epoch_sent = 0;
         self.send_voters();
         self.send_committed(items, true);
-        self.send_to_registry(&Message::StoreBackends(self.backends.clone()));
+        self.send_to_registry(&Message::LastKnownBackends(self.backends.clone()));
     }
 
     /// Handles a list of backends: passes a later one from the registry to the peers, or from a peer to the registry.
@@ -200,7 +200,7 @@
         if backends.version <= self.backends.version {
             return;
         }
-        let message = Message::StoreBackends(backends.clone());
+        let message = Message::LastKnownBackends(backends.clone());
         if self.registry == Some(link) {
             for peer in self.peers.values() {
                 peer.send(&message);
@@ -320,7 +320,7 @@
         let voters: Vec<Ip> = set.voters().iter().map(|voter| voter.ip).collect();
         log::info!(
             "store: voters of epoch {epoch}: {}.",
-            ip_texts(voters.iter().copied()).join(", ")
+            ip_strings(voters.iter().copied()).join(", ")
         );
         self.epoch_sent = epoch;
         self.send_to_registry(&Message::Voters { epoch, voters });
--- a/crates/config-store/tests/answers.rs
+++ b/crates/config-store/tests/answers.rs
@@ -260,7 +260,7 @@
         Duration::ZERO,
         NOW,
     );
-    let done = |incarnation: u64| Message::Forwarded {
+    let done = |incarnation: u64| Message::ForwardReply {
         incarnation,
         number: 1,
         reply: Some(CommandReply::Done),
--- a/crates/config-store/tests/disk.rs
+++ b/crates/config-store/tests/disk.rs
@@ -459,7 +459,7 @@
             port: 80,
         },
         zone: "z".into(),
-        slots: 6,
+        capacity_slots: 6,
         draining: false,
         warm_up_left_ms: 0,
     };
--- a/crates/config-store/tests/membership.rs
+++ b/crates/config-store/tests/membership.rs
@@ -57,7 +57,7 @@
                     "the change is not one voter: {next:?}"
                 );
                 assert!(
-                    set.majority() + next.majority() > all,
+                    set.majority_size() + next.majority_size() > all,
                     "majorities that do not intersect: {next:?}"
                 );
                 let has_lost_disk = |v: &Voter| {
@@ -70,7 +70,8 @@
                         || !has_lost_disk(v) && !matches!(state(v), Presence::Missing(_))
                 };
                 let tolerated_losses = |s: &VoterSet| {
-                    s.voters().iter().filter(|v| is_present(v)).count() as i64 - s.majority() as i64
+                    s.voters().iter().filter(|v| is_present(v)).count() as i64
+                        - s.majority_size() as i64
                 };
                 assert!(
                     tolerated_losses(&next) >= tolerated_losses(&set),
@@ -78,7 +79,7 @@
                 );
                 let present = set.voters().iter().filter(|v| is_present(v)).count();
                 assert!(
-                    size == 1 || present >= next.majority(),
+                    size == 1 || present >= next.majority_size(),
                     "the change depends on its new member: {next:?}"
                 );
             }
@@ -173,7 +174,7 @@
         ip(5),
         Message::CompareDigests {
             digests,
-            learner: Some(7),
+            learner_disk_id: Some(7),
         },
         now,
     );
--- a/crates/config-store/tests/model.rs
+++ b/crates/config-store/tests/model.rs
@@ -223,7 +223,10 @@
         // Drop repair messages in scenarios without a lost disk: they only transfer items that a commit transfers, too.
         // Requests for a vote, and the items sent to a node that joins, are kept.
         let is_repair = match message {
-            Message::CompareDigests { learner, .. } => learner.is_none(),
+            Message::CompareDigests {
+                learner_disk_id: learner,
+                ..
+            } => learner.is_none(),
             Message::RepairItems { .. } => self.founders == self.size,
             _ => false,
         };
--- a/crates/config-store/tests/worlds/world.rs
+++ b/crates/config-store/tests/worlds/world.rs
@@ -479,7 +479,7 @@
                 .iter()
                 .filter(|v| self.has_disk(v) && machine_index(v.ip) != n)
                 .count();
-            remaining_voters >= set.majority()
+            remaining_voters >= set.majority_size()
         })
     }
 
--- a/crates/control/examples/catch_up.rs
+++ b/crates/control/examples/catch_up.rs
@@ -9,7 +9,7 @@
 use cap::Cap;
 use damsonbeam_control::config::{ConfigSnapshot, Item, ItemKey, ItemKind, ProposalNumber};
 use damsonbeam_control::messages::{Message, TransferMessage, decode, encode};
-use damsonbeam_control::transfer::{Receiver, answer};
+use damsonbeam_control::transfer::{Receiver, answer_message};
 use rustix::time::{ClockId, clock_gettime};
 
 #[global_allocator]
@@ -164,7 +164,7 @@
         match recipient {
             Recipient::Provider => {
                 let started_at = thread_cpu_time();
-                let reply = answer(provider, &decode_transfer(&bytes))
+                let reply = answer_message(provider, &decode_transfer(&bytes))
                     .expect("the provider answers each request");
                 let bytes = encode(&Message::Transfer(reply));
                 cost.provider_cpu += thread_cpu_time() - started_at;
--- a/crates/control/examples/tombstones.rs
+++ b/crates/control/examples/tombstones.rs
@@ -8,7 +8,7 @@
 use damsonbeam_control::config::{ConfigSnapshot, Item, ItemKey, ItemKind, ProposalNumber};
 use damsonbeam_control::messages::TransferMessage;
 use damsonbeam_control::messages::{Message, encode};
-use damsonbeam_control::transfer::{Receiver, answer};
+use damsonbeam_control::transfer::{Receiver, answer_message};
 
 #[global_allocator]
 static ALLOCATOR: Cap<System> = Cap::new(System, usize::MAX);
@@ -37,7 +37,7 @@
     let mut bytes = 0;
     while let Some(request) = requests.pop() {
         let reply: TransferMessage =
-            answer(provider, &request).expect("the provider answers each request");
+            answer_message(provider, &request).expect("the provider answers each request");
         bytes += encode(&Message::Transfer(reply.clone())).len();
         let received = receiver.receive(&held, reply, Duration::ZERO);
         received.items.into_iter().for_each(|item| {
--- a/crates/control/src/address.rs
+++ b/crates/control/src/address.rs
@@ -8,7 +8,7 @@
 pub type Ip = [u8; 4];
 
 /// Returns the wire form of an address. No deployment uses IPv6; an IPv6 address becomes `0.0.0.0`.
-pub fn octets(address: IpAddr) -> Ip {
+pub fn ip_octets(address: IpAddr) -> Ip {
     match address {
         IpAddr::V4(v4) => v4.octets(),
         IpAddr::V6(_) => [0; 4],
@@ -21,7 +21,7 @@
 }
 
 /// Returns addresses in dotted decimal notation.
-pub fn ip_texts(ips: impl IntoIterator<Item = Ip>) -> Vec<String> {
+pub fn ip_strings(ips: impl IntoIterator<Item = Ip>) -> Vec<String> {
     let ips = ips.into_iter();
     ips.map(|ip| ip_addr(ip).to_string()).collect()
 }
@@ -38,7 +38,7 @@
 impl From<SocketAddr> for Endpoint {
     fn from(address: SocketAddr) -> Self {
         Endpoint {
-            ip: octets(address.ip()),
+            ip: ip_octets(address.ip()),
             port: address.port(),
         }
     }
--- a/crates/control/src/allotment/holding.rs
+++ b/crates/control/src/allotment/holding.rs
@@ -13,7 +13,7 @@
     term: u64,
     /// The revision of the latest change applied in `term`; 0 if none was.
     revision: u64,
-    /// By tenant, in units of `1 / PARTS` of the divided quota.
+    /// By tenant, in units of `1 / TOTAL_PARTS` of the divided quota.
     parts: BTreeMap<String, u32>,
     /// When the coordinator last confirmed that it has this proxy's report. The lease runs from then.
     renewed_at: Duration,
@@ -34,7 +34,7 @@
 
     /// Applies a coordinator's change unless it is outdated or the lease has expired. Returns whether the change was applied
     /// and must be acknowledged.
-    pub fn change(
+    pub fn apply_change(
         &mut self,
         term: u64,
         revision: u64,
@@ -61,7 +61,7 @@
 
     /// Returns the allotments to report to a coordinator when the connection to it is established. Expired allotments are
     /// discarded permanently.
-    pub fn report(&mut self, now: Duration) -> Vec<Allotment> {
+    pub fn take_report(&mut self, now: Duration) -> Vec<Allotment> {
         if self.is_expired(now) {
             self.parts.clear();
             self.renewed_at = now;
--- a/crates/control/src/allotment/ledger.rs
+++ b/crates/control/src/allotment/ledger.rs
@@ -3,14 +3,14 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use super::{HOLDER_EXPIRY, PARTS};
+use super::{HOLDER_EXPIRY, TOTAL_PARTS};
 use crate::messages::Allotment;
 
 /// A holder that has sent nothing for this long counts as out of contact, and as using all that it holds.
 const CONTACT_TIMEOUT: Duration = Duration::from_millis(1300);
-/// The smallest change that is sent, in parts. Half of an equal share (`PARTS / (2 * holders)`) applies instead where that
+/// The smallest change that is sent, in parts. Half of an equal share (`TOTAL_PARTS / (2 * holders)`) applies instead where that
 /// is smaller.
-const MIN_CHANGE: u32 = PARTS / 64;
+const MIN_CHANGE: u32 = TOTAL_PARTS / 64;
 /// The smallest change that is sent, as a fraction of what the holder holds. A change must reach both minimums.
 const MIN_RELATIVE_CHANGE: f64 = 0.25;
 
@@ -40,7 +40,7 @@
     /// The sum over these holders, by tenant.
     pub by_tenant: Vec<Allotment>,
     /// The parts assumed for each tenant that `by_tenant` does not list.
-    pub of_unlisted: u32,
+    pub parts_per_unlisted_tenant: u32,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
@@ -95,7 +95,7 @@
     }
 
     /// Records the allotments that a proxy reports when its connection is established.
-    pub fn report(&mut self, incarnation: u64, allotments: &[Allotment], now: Duration) {
+    pub fn record_report(&mut self, incarnation: u64, allotments: &[Allotment], now: Duration) {
         let is_new = !self.holders.contains_key(&incarnation);
         let holder = self.holders.entry(incarnation).or_default();
         holder.last_heard_at = now;
@@ -112,7 +112,7 @@
     }
 
     /// Records that a holder has sent a message.
-    pub fn see(&mut self, incarnation: u64, now: Duration) {
+    pub fn record_contact(&mut self, incarnation: u64, now: Duration) {
         if let Some(holder) = self.holders.get_mut(&incarnation) {
             holder.last_heard_at = now;
         }
@@ -141,7 +141,7 @@
     }
 
     /// Removes a holder that is gone permanently: it announced its exit, or another incarnation runs in its place.
-    pub fn release(&mut self, incarnation: u64) {
+    pub fn remove_holder(&mut self, incarnation: u64) {
         self.holders.remove(&incarnation);
     }
 
@@ -158,13 +158,13 @@
             return 0;
         }
         let reported = self.reported.get(tenant).copied().unwrap_or(0);
-        PARTS.saturating_sub(reported)
+        TOTAL_PARTS.saturating_sub(reported)
     }
 
-    /// Returns the allotments that holders out of contact may still be using. `missing_part` is the fraction of the known
+    /// Returns the allotments that holders out of contact may still be using. `missing_fraction` is the fraction of the known
     /// proxies that is not in contact; these proxies may hold the reserved parts, which no proxy has reported in this term.
-    pub fn absent(&self, missing_part: f64, now: Duration) -> AbsentAllotments {
-        let are_proxies_missing = missing_part > 0.0;
+    pub fn absent_allotments(&self, missing_fraction: f64, now: Duration) -> AbsentAllotments {
+        let are_proxies_missing = missing_fraction > 0.0;
         let mut absent: BTreeMap<&str, u32> = BTreeMap::new();
         let holders = self.holders.values();
         for holder in holders.filter(|holder| !holder.is_in_contact(now)) {
@@ -181,17 +181,17 @@
             tenant: tenant.to_owned(),
             parts,
         };
-        // For a tenant that no proxy has reported, the missing proxies are assumed to hold the fraction `missing_part`.
+        // For a tenant that no proxy has reported, the missing proxies are assumed to hold the fraction `missing_fraction`.
         // After a restart of the whole system no proxy holds any allotment, and one proxy that connects late must not block
         // the whole quota for the others.
-        let of_unlisted = if self.is_complete(now) {
+        let parts_per_unlisted_tenant = if self.is_complete(now) {
             0
         } else {
-            (missing_part * f64::from(PARTS)) as u32
+            (missing_fraction * f64::from(TOTAL_PARTS)) as u32
         };
         AbsentAllotments {
             by_tenant: absent.into_iter().map(allotment).collect(),
-            of_unlisted,
+            parts_per_unlisted_tenant,
         }
     }
 
@@ -202,7 +202,7 @@
 
     /// Divides the quotas by demand and returns the changes to send. Parts freed by a decrease are allotted to other holders
     /// only after the decrease is acknowledged.
-    pub fn divide(&mut self, demands: &[TenantDemand], now: Duration) -> Vec<AllotmentChange> {
+    pub fn rebalance(&mut self, demands: &[TenantDemand], now: Duration) -> Vec<AllotmentChange> {
         self.holders
             .retain(|_, holder| now < holder.last_heard_at + HOLDER_EXPIRY);
         let ready: BTreeSet<u64> = self
@@ -253,7 +253,7 @@
         if lacking == 0 {
             return vec![];
         }
-        let unallotted = u64::from(PARTS.saturating_sub(self.allotted(tenant, now)));
+        let unallotted = u64::from(TOTAL_PARTS.saturating_sub(self.allotted(tenant, now)));
         let granted = unallotted.min(lacking);
         let changes = rebalances.into_iter().filter_map(|rebalance| {
             let share = (granted * rebalance.lacking_parts() / lacking) as u32;
@@ -286,11 +286,11 @@
         if total <= 0.0 {
             return vec![];
         }
-        let min_change = MIN_CHANGE.min(PARTS / (2 * self.holders.len().max(1) as u32));
+        let min_change = MIN_CHANGE.min(TOTAL_PARTS / (2 * self.holders.len().max(1) as u32));
         let rebalance = |incarnation: &u64| Rebalance {
             incarnation: *incarnation,
             held: self.holders[incarnation].parts(&demand.tenant),
-            target: (demand_at(incarnation) / total * f64::from(PARTS)) as u32,
+            target: (demand_at(incarnation) / total * f64::from(TOTAL_PARTS)) as u32,
         };
         let rebalances = ready.iter().map(rebalance);
         rebalances
--- a/crates/control/src/allotment/mod.rs
+++ b/crates/control/src/allotment/mod.rs
@@ -1,11 +1,11 @@
 //! Allotments: the part of a tenant's quota that each proxy may admit without contact with the other proxies. An allotment
 //! stays valid when the coordinator that granted it fails. This module does no I/O.
 //!
-//! A fixed part of each quota ([`EQUAL_PART`]) is shared equally among the proxies. The coordinator divides the rest among
+//! A fixed part of each quota ([`EQUAL_SHARE_FRACTION`]) is shared equally among the proxies. The coordinator divides the rest among
 //! them in proportion to the tenant's demand at each proxy, as in published work on escrow transactions and on hierarchical
 //! rate limiters such as Doorman. [`AllotmentLedger`] is the coordinator's side, [`AllotmentHolding`] the proxy's side.
 //!
-//! Invariant: at any time the allotments that all proxies hold of one tenant add up to [`PARTS`] at most, even if messages
+//! Invariant: at any time the allotments that all proxies hold of one tenant add up to [`TOTAL_PARTS`] at most, even if messages
 //! are lost, delayed or duplicated, and across changes of coordinator. The following rules ensure this:
 //!
 //! - The ledger keeps an upper bound of what each holder may hold. It raises the bound before it sends an increase, and
@@ -26,10 +26,10 @@
 pub use holding::AllotmentHolding;
 pub use ledger::{AbsentAllotments, AllotmentChange, AllotmentLedger, TenantDemand};
 
-/// The part of a quota that is divided by demand, expressed in parts: allotments are multiples of `1 / PARTS` of it.
-pub const PARTS: u32 = 1 << 20;
+/// The part of a quota that is divided by demand, expressed in parts: allotments are multiples of `1 / TOTAL_PARTS` of it.
+pub const TOTAL_PARTS: u32 = 1 << 20;
 /// The fraction of a quota that is shared equally among the proxies instead of being divided by demand.
-pub const EQUAL_PART: f64 = 0.3;
+pub const EQUAL_SHARE_FRACTION: f64 = 0.3;
 /// How long a holder keeps its allotments after the coordinator's last confirmation. The lease is longer than outages of
 /// the core, during which no other proxy could be allotted these parts.
 pub const HOLDING_LEASE: Duration = Duration::from_secs(600);
--- a/crates/control/src/config/entries.rs
+++ b/crates/control/src/config/entries.rs
@@ -68,7 +68,7 @@
     /// Whether requests are accepted without a tenant's API key.
     pub public_access: bool,
     /// The regions whose backends may serve the route; empty means all regions.
-    pub home_regions: Vec<String>,
+    pub serving_regions: Vec<String>,
 }
 
 impl TryFrom<&Item> for Route {
@@ -78,7 +78,7 @@
         let fields = FieldReader::new(item)?;
         let kind = fields.string("route_type")?;
         let kind = RouteKind::from_name(&kind)
-            .ok_or_else(|| fields.invalid("route_type", &format!("no `{kind}`")))?;
+            .ok_or_else(|| fields.invalid("route_type", &format!("unknown kind `{kind}`")))?;
         let services = weighted_services(&fields)?;
         let (timeout_ms, latency_target_ms) = timeout_and_latency_target(&fields)?;
         let prefix = fields.string("path_prefix")?;
@@ -100,7 +100,7 @@
             services,
             max_attempts: fields.number_or_zero("max_attempts")? as u32,
             public_access: fields.is_true("public_access"),
-            home_regions: fields.strings("serving_regions")?,
+            serving_regions: fields.strings("serving_regions")?,
         })
     }
 }
@@ -165,7 +165,7 @@
     /// The number of requests that the tenant may send at once; 0 means the quota of one second.
     pub burst: f64,
     /// The regions whose backends may serve the tenant; empty means all regions.
-    pub home_regions: Vec<String>,
+    pub serving_regions: Vec<String>,
 }
 
 impl TryFrom<&Item> for Tenant {
@@ -179,7 +179,7 @@
             api_keys: fields.strings("api_keys")?,
             rate_per_s: fields.number_or_zero("rate_per_s")?,
             burst: fields.number_or_zero("burst")?,
-            home_regions: fields.strings("serving_regions")?,
+            serving_regions: fields.strings("serving_regions")?,
         })
     }
 }
--- a/crates/control/src/config/mirror_rule.rs
+++ b/crates/control/src/config/mirror_rule.rs
@@ -33,7 +33,7 @@
     /// The tenant.
     Tenant,
     /// The API key in the request.
-    Caller,
+    ApiKey,
 }
 
 /// A mirror rule as proxies use it.
@@ -50,7 +50,7 @@
     /// The share of tenants or callers selected, from 0 to 1.
     pub share: f64,
     /// The key by which requests are selected.
-    pub select_by: SelectionKey,
+    pub selection_key: SelectionKey,
     /// The time from which the rule is in force, by the coordinator's clock in milliseconds; 0 means immediately.
     pub from_ms: u64,
     /// The time until which the rule is in force, by the coordinator's clock in milliseconds; 0 means until removed.
@@ -77,7 +77,7 @@
         if !(0.0..=1.0).contains(&share) {
             return Err(fields.invalid("share", "not from 0 to 1"));
         }
-        let select_by = fields.selection_key()?;
+        let selection_key = fields.selection_key()?;
         let route_kinds = fields.route_kinds()?;
         let instances = fields.instances()?;
         let from_ms = fields.number_or("from_ms", 0.0)? as u64;
@@ -91,7 +91,7 @@
             service: fields.string("service")?,
             trial_service: fields.string("trial_service")?,
             share,
-            select_by,
+            selection_key,
             from_ms,
             until_ms,
             requests_per_s: fields.number_or("requests_per_s", 0.0)?,
@@ -136,7 +136,7 @@
     fn selection_key(&self) -> Result<SelectionKey, InvalidConfig> {
         match self.value.get("by").and_then(|by| by.as_str()) {
             None | Some("tenant") => Ok(SelectionKey::Tenant),
-            Some("caller") => Ok(SelectionKey::Caller),
+            Some("caller") => Ok(SelectionKey::ApiKey),
             Some(other) => {
                 Err(self.invalid("by", &format!("`{other}` is neither `tenant` nor `caller`")))
             }
--- a/crates/control/src/config/mod.rs
+++ b/crates/control/src/config/mod.rs
@@ -20,5 +20,5 @@
 pub use error::InvalidConfig;
 pub use item::{Item, ItemKey, ItemKind, ProposalNumber, stable_hash};
 pub use mirror_rule::{MirrorRule, SelectionKey, TrialInstance};
-pub use shard_index::{GROUPS, SHARDS_PER_GROUP, ShardId, ShardIndex};
+pub use shard_index::{GROUP_COUNT, SHARDS_PER_GROUP, ShardId, ShardIndex};
 pub use snapshot::ConfigSnapshot;
--- a/crates/control/src/config/shard_index.rs
+++ b/crates/control/src/config/shard_index.rs
@@ -10,10 +10,10 @@
 use super::{Item, ItemKey, stable_hash};
 
 /// The number of groups of shards.
-pub const GROUPS: usize = 32;
+pub const GROUP_COUNT: usize = 32;
 /// The number of shards in each group.
 pub const SHARDS_PER_GROUP: usize = 32;
-const SHARD_COUNT: usize = GROUPS * SHARDS_PER_GROUP;
+const SHARD_COUNT: usize = GROUP_COUNT * SHARDS_PER_GROUP;
 
 /// The number of a shard, from 0 to 1,023. Shards of the same group have consecutive numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
@@ -48,7 +48,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct ShardIndex {
     shards: BTreeMap<ShardId, Shard>,
-    group_digests: [u64; GROUPS],
+    group_digests: [u64; GROUP_COUNT],
 }
 
 impl ShardIndex {
@@ -87,7 +87,7 @@
     }
 
     /// Returns the digest of each group.
-    pub fn group_digests(&self) -> &[u64; GROUPS] {
+    pub fn group_digests(&self) -> &[u64; GROUP_COUNT] {
         &self.group_digests
     }
 
--- a/crates/control/src/config/validation.rs
+++ b/crates/control/src/config/validation.rs
@@ -45,12 +45,13 @@
             let name = &item.key.name;
             for target in &route.services {
                 if !self.has_service(&target.service) {
-                    let reason = format!("target_service: no `{}`", target.service);
+                    let reason = format!("target_service: unknown service `{}`", target.service);
                     return Err(InvalidConfig::item(name, reason));
                 }
             }
             if let Some(other) = names_by_prefix.insert((route.host, route.prefix), name) {
-                let reason = format!("host and prefix are those of `{other}`");
+                let reason =
+                    format!("host_name and path_prefix are the same as those of `{other}`");
                 return Err(InvalidConfig::item(name, reason));
             }
         }
--- a/crates/control/src/contact.rs
+++ b/crates/control/src/contact.rs
@@ -82,7 +82,7 @@
     }
 
     /// Returns the time since the latest contact with a majority, or `None` if there was none yet.
-    pub fn age(&self, now: Duration) -> Option<Duration> {
+    pub fn contact_age(&self, now: Duration) -> Option<Duration> {
         let answered_at = |ip: Ip| {
             if ip == self.own_ip {
                 Some(now)
@@ -96,6 +96,7 @@
 
     /// Returns whether the registry is in contact with a majority at `now`.
     pub fn is_in_contact(&self, now: Duration) -> bool {
-        self.age(now).is_some_and(|age| age < CONTACT_TIMEOUT)
+        self.contact_age(now)
+            .is_some_and(|age| age < CONTACT_TIMEOUT)
     }
 }
--- a/crates/control/src/lease/election.rs
+++ b/crates/control/src/lease/election.rs
@@ -61,7 +61,7 @@
     }
 
     /// Returns whether other registries are more than one epoch ahead. The voter set known here is obsolete then.
-    pub fn is_behind(&self) -> bool {
+    pub fn knows_newer_epoch(&self) -> bool {
         self.highest_epoch > self.epoch() + 1
     }
 
@@ -93,7 +93,7 @@
     /// Records an epoch seen in a message of another registry. Gives up the claim if this registry is behind.
     pub fn observe_epoch(&mut self, epoch: u64) {
         self.highest_epoch = self.highest_epoch.max(epoch);
-        if self.is_behind() {
+        if self.knows_newer_epoch() {
             self.claim = None;
         }
     }
@@ -254,7 +254,9 @@
                 self.receive_grant(from, epoch, term, Duration::from_micros(sent_us));
                 None
             }
-            LeaseMessage::Refuse { term, .. } => {
+            LeaseMessage::Refuse {
+                highest_term: term, ..
+            } => {
                 self.receive_refusal(term, now);
                 None
             }
@@ -281,8 +283,8 @@
         let is_bound = self.is_bound_to_other(from, now);
         if !is_same_epoch || is_bound || !is_term_free || term < self.highest_term {
             return LeaseMessage::Refuse {
-                epoch: self.highest_epoch,
-                term: self.highest_term,
+                highest_epoch: self.highest_epoch,
+                highest_term: self.highest_term,
             };
         }
         // The claim of another candidate is granted, so this registry gives up its own claim.
--- a/crates/control/src/link.rs
+++ b/crates/control/src/link.rs
@@ -18,7 +18,7 @@
 
 /// A connection on which nothing is acknowledged for this long is closed. After a network partition or a power failure
 /// of the peer's machine, no packet arrives that would close the connection.
-pub const SILENCE_TIMEOUT: Duration = Duration::from_millis(2000);
+pub const LINK_TIMEOUT: Duration = Duration::from_millis(2000);
 /// The maximum number of messages queued for writing. When the queue is full, sending fails, so that a peer that does
 /// not read loses its connection.
 const SEND_QUEUE_CAPACITY: usize = 4096;
@@ -61,7 +61,7 @@
 
 /// The direction of a message on a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Direction {
+pub enum MessageDirection {
     /// Received.
     In,
     /// Sent.
@@ -69,16 +69,16 @@
 }
 
 /// A function that is called with the bytes of each message, without the length prefix.
-pub type Observer = fn(Direction, &[u8]);
+pub type MessageObserver = fn(MessageDirection, &[u8]);
 
-static OBSERVER: OnceLock<Observer> = OnceLock::new();
+static OBSERVER: OnceLock<MessageObserver> = OnceLock::new();
 
 /// Sets the observer of all messages of this process, for measurement tools. Only the first call has an effect.
-pub fn observe(observer: Observer) {
+pub fn set_observer(observer: MessageObserver) {
     OBSERVER.set(observer).ok();
 }
 
-fn notify_observer(direction: Direction, bytes: &[u8]) {
+fn notify_observer(direction: MessageDirection, bytes: &[u8]) {
     if let Some(observer) = OBSERVER.get() {
         observer(direction, bytes);
     }
@@ -139,7 +139,7 @@
 pub fn configure(stream: &TcpStream) {
     stream.set_nodelay(true).ok();
     let socket = SockRef::from(stream);
-    socket.set_tcp_user_timeout(Some(SILENCE_TIMEOUT)).ok();
+    socket.set_tcp_user_timeout(Some(LINK_TIMEOUT)).ok();
     let keepalive = TcpKeepalive::new()
         .with_time(KEEPALIVE_INTERVAL)
         .with_interval(KEEPALIVE_INTERVAL)
@@ -149,7 +149,7 @@
 
 /// Splits a connection into a reader and a sender. A separate task writes the queued messages; it ends when all senders
 /// are dropped or a write fails.
-pub fn split(stream: TcpStream) -> (MessageReader, MessageSender) {
+pub fn into_reader_and_sender(stream: TcpStream) -> (MessageReader, MessageSender) {
     let (read, write) = stream.into_split();
     let (sender, queue) = mpsc::channel(SEND_QUEUE_CAPACITY);
     tokio::task::spawn_local(write_queued(write, queue));
@@ -187,7 +187,7 @@
 
     /// Queues an encoded message. Returns `false` if the queue is full or the connection is closed.
     pub fn send_encoded(&self, bytes: Vec<u8>) -> bool {
-        notify_observer(Direction::Out, &bytes);
+        notify_observer(MessageDirection::Out, &bytes);
         self.0.try_send(bytes).is_ok()
     }
 }
@@ -217,7 +217,7 @@
         }
         let mut bytes = vec![0; length];
         self.0.read_exact(&mut bytes).await?;
-        notify_observer(Direction::In, &bytes);
+        notify_observer(MessageDirection::In, &bytes);
         Ok(bytes)
     }
 }
--- a/crates/control/src/membership.rs
+++ b/crates/control/src/membership.rs
@@ -218,7 +218,7 @@
         match *body {
             GossipBody::Ping { number } => output.send(from, GossipBody::Pong { number }),
             GossipBody::Pong { number } => self.receive_pong(number, now, &mut output),
-            GossipBody::PingRequest { number, target } => {
+            GossipBody::IndirectPing { number, target } => {
                 let requester = ProbeRequester { ip: from, number };
                 let number = self.start_probe(target, now, Some(requester));
                 output.send(target, GossipBody::Ping { number });
@@ -302,7 +302,7 @@
                     .expect("probe is pending")
                     .is_indirect = true;
                 for prober in self.indirect_probers(target, alive) {
-                    output.send(prober, GossipBody::PingRequest { number, target });
+                    output.send(prober, GossipBody::IndirectPing { number, target });
                 }
             }
         }
--- a/crates/control/src/messages/backend.rs
+++ b/crates/control/src/messages/backend.rs
@@ -16,7 +16,7 @@
     /// The zone of the backend.
     pub zone: String,
     /// The number of requests that the backend processes concurrently.
-    pub slots: u32,
+    pub capacity_slots: u32,
     /// Whether the backend accepts no new requests.
     pub draining: bool,
     /// The remaining warm-up time, in milliseconds.
--- a/crates/control/src/messages/batch.rs
+++ b/crates/control/src/messages/batch.rs
@@ -5,16 +5,16 @@
 use crate::config::Item;
 
 /// The maximum size of the items in one message, in bytes. A larger item is sent in a message of its own.
-pub const CHUNK_BYTES: usize = 64 << 10;
+pub const MAX_CHUNK_BYTES: usize = 64 << 10;
 
-/// Splits a list of items into chunks of at most [`CHUNK_BYTES`] each; a larger item is a chunk of its own.
+/// Splits a list of items into chunks of at most [`MAX_CHUNK_BYTES`] each; a larger item is a chunk of its own.
 pub fn split_items(items: Vec<Item>) -> Vec<Vec<Item>> {
     let mut chunks: Vec<Vec<Item>> = Vec::new();
     let mut bytes = 0;
     for item in items {
         bytes += item.wire_bytes();
         match chunks.last_mut() {
-            Some(chunk) if bytes <= CHUNK_BYTES => chunk.push(item),
+            Some(chunk) if bytes <= MAX_CHUNK_BYTES => chunk.push(item),
             _ => {
                 bytes = item.wire_bytes();
                 chunks.push(vec![item]);
--- a/crates/control/src/messages/codec.rs
+++ b/crates/control/src/messages/codec.rs
@@ -3,7 +3,7 @@
 use bitcode::{Decode, Encode};
 
 /// The version of the message format, sent as the first byte of each message.
-pub const VERSION: u8 = 3;
+pub const MESSAGE_VERSION: u8 = 3;
 /// The maximum size of a message, in bytes. A longer message closes the connection.
 pub const MAX_MESSAGE_BYTES: usize = 24 << 20;
 
@@ -23,7 +23,7 @@
 
 /// Encodes a message.
 pub fn encode<T: Encode>(message: &T) -> Vec<u8> {
-    let mut bytes = vec![VERSION];
+    let mut bytes = vec![MESSAGE_VERSION];
     bytes.extend_from_slice(&bitcode::encode(message));
     bytes
 }
@@ -34,7 +34,7 @@
 /// Returns an error if the bytes have another version or cannot be decoded.
 pub fn decode<'a, T: Decode<'a>>(bytes: &'a [u8]) -> Result<T, DecodeError> {
     match bytes.split_first() {
-        Some((&VERSION, rest)) => Ok(bitcode::decode(rest)?),
+        Some((&MESSAGE_VERSION, rest)) => Ok(bitcode::decode(rest)?),
         Some((version, _)) => Err(DecodeError::Version(*version)),
         None => Err(DecodeError::Empty),
     }
--- a/crates/control/src/messages/gossip.rs
+++ b/crates/control/src/messages/gossip.rs
@@ -12,7 +12,7 @@
     /// The epoch of the voter set known to the sender; 0 means none.
     pub epoch: u64,
     /// The coordinator's time in milliseconds, as known to the sender.
-    pub time_ms: Option<u64>,
+    pub coordinator_time_ms: Option<u64>,
     /// The content of the datagram.
     pub body: GossipBody,
     /// Recent changes of the membership.
@@ -33,7 +33,7 @@
         number: u64,
     },
     /// A request to probe another registry on behalf of the sender.
-    PingRequest {
+    IndirectPing {
         /// The number of the probe, repeated in the answer.
         number: u64,
         /// The registry to probe.
@@ -89,9 +89,9 @@
     /// A voter refuses a claim.
     Refuse {
         /// The highest epoch that the voter knows.
-        epoch: u64,
+        highest_epoch: u64,
         /// The highest term that the voter knows.
-        term: u64,
+        highest_term: u64,
     },
     /// The holder releases its lease and names a successor.
     Transfer {
@@ -110,7 +110,10 @@
         match *self {
             LeaseMessage::Claim { epoch, .. }
             | LeaseMessage::Grant { epoch, .. }
-            | LeaseMessage::Refuse { epoch, .. }
+            | LeaseMessage::Refuse {
+                highest_epoch: epoch,
+                ..
+            }
             | LeaseMessage::Transfer { epoch, .. } => epoch,
         }
     }
--- a/crates/control/src/messages/message.rs
+++ b/crates/control/src/messages/message.rs
@@ -19,16 +19,16 @@
         /// The status of the proxy.
         status: ProxyStatus,
         /// The coordinator's time in milliseconds, as known to the proxy.
-        time_ms: Option<u64>,
+        coordinator_time_ms: Option<u64>,
     },
     /// The units that the proxy has admitted and that were requested from it, by name.
     CountReport(Vec<NamedCount>),
     /// A message of the configuration transfer, in both directions.
     Transfer(TransferMessage),
     /// Requests the list of backends.
-    PullBackends,
+    RequestBackends,
     /// Acknowledges an update.
-    Ack {
+    UpdateAck {
         /// The number of the update.
         number: u64,
     },
@@ -62,13 +62,13 @@
         totals: Vec<NamedCount>,
     },
     /// From a proxy: requests the addresses of other proxies, to exchange load reports with.
-    PullPartners,
+    RequestPeers,
     /// From a registry: the addresses of a few ready proxies.
-    Partners {
+    Peers {
         /// Proxies in the receiver's region.
-        near: Vec<Ip>,
+        same_region: Vec<Ip>,
         /// Proxies in other regions.
-        far: Vec<Ip>,
+        other_regions: Vec<Ip>,
     },
     /// From a registry: more items were committed than are sent in updates; the proxy must start a configuration
     /// transfer.
@@ -76,7 +76,7 @@
 
     // Between a registry and the store on its machine.
     /// From a registry: the core machines that it considers alive. From a store: the last such list that it received.
-    Roster {
+    CoreMachines {
         /// The IP addresses of the machines.
         ips: Vec<Ip>,
     },
@@ -136,7 +136,7 @@
         complete: bool,
     },
     /// In both directions: the last known list of backends, for a registry that starts while there is no coordinator.
-    StoreBackends(BackendList),
+    LastKnownBackends(BackendList),
 
     // Between stores.
     /// A command forwarded to the replica that executes the commands of several replicas.
@@ -150,7 +150,7 @@
         command: Command,
     },
     /// The reply to a forwarded command.
-    Forwarded {
+    ForwardReply {
         /// The incarnation in the `Forward` message.
         incarnation: u64,
         /// The number in the `Forward` message.
@@ -229,7 +229,7 @@
         /// The digests.
         digests: StateGroupDigests,
         /// The disk id of a sender without a vote, which requests a vote once it has all items; `None` for a voter.
-        learner: Option<u64>,
+        learner_disk_id: Option<u64>,
     },
     /// Items that the receiver lacks or may lack.
     RepairItems {
@@ -243,7 +243,7 @@
 
     // Allotments, between a proxy and the coordinator.
     /// From a proxy, when it connects to the coordinator of a term: the allotments that it holds.
-    AllotmentsHeld {
+    AllotmentReport {
         /// The coordinator's term. From now on the proxy ignores allotments of earlier terms.
         term: u64,
         /// The allotments of the proxy; tenants without an allotment are not listed.
@@ -259,7 +259,7 @@
         allotments: Vec<Allotment>,
     },
     /// From a proxy: acknowledges a change of its allotments.
-    AllotmentsSet {
+    AllotmentsAck {
         /// The coordinator's term.
         term: u64,
         /// The number of the change.
@@ -274,8 +274,8 @@
         /// The allotments that may be held by proxies out of contact, as a total for each tenant.
         absent: Vec<Allotment>,
         /// The parts that proxies out of contact may hold of each tenant not listed in `absent`.
-        absent_of_unlisted: u32,
+        absent_parts_per_unlisted_tenant: u32,
     },
     /// From a proxy, to all registries: the proxy shuts down and admits no more requests.
-    Departed,
+    ProxyShutdown,
 }
--- a/crates/control/src/messages/mod.rs
+++ b/crates/control/src/messages/mod.rs
@@ -20,8 +20,8 @@
 mod transfer;
 
 pub use backend::{Backend, BackendList, BackendListVersion};
-pub use batch::{CHUNK_BYTES, split_items};
-pub use codec::{DecodeError, MAX_MESSAGE_BYTES, VERSION, decode, encode};
+pub use batch::{MAX_CHUNK_BYTES, split_items};
+pub use codec::{DecodeError, MAX_MESSAGE_BYTES, MESSAGE_VERSION, decode, encode};
 pub use command::{Command, CommandReply};
 pub use gossip::{Datagram, GossipBody, LeaseMessage, MemberState, MemberUpdate};
 pub use message::Message;
--- a/crates/control/src/messages/proxy.rs
+++ b/crates/control/src/messages/proxy.rs
@@ -35,7 +35,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct Heartbeat {
     /// The coordinator's time in milliseconds, from which the time slots of shared counts are named.
-    pub time_ms: u64,
+    pub coordinator_time_ms: u64,
     /// All registries that are not known to be dead, starting with the sender.
     pub registries: Vec<Ip>,
     /// Whether the sender is in contact with a majority of the voters. If not, all data that it sends on this
@@ -44,13 +44,13 @@
     /// The holder of the coordinator's lease, as known to the sender.
     pub coordinator: Option<LeaseHolder>,
     /// The number of proxies seen recently.
-    pub known_proxies: u32,
+    pub known_proxy_count: u32,
     /// The number of proxies connected to the sender; only meaningful in the coordinator's heartbeats.
-    pub attached_proxies: u32,
+    pub connected_proxy_count: u32,
     /// The number of ready proxies in the receiver's region.
-    pub nearby_proxies: u32,
+    pub region_proxy_count: u32,
     /// The receiver's position among the ready proxies in its region.
-    pub position: u32,
+    pub region_position: u32,
     /// The digest of the sender's items; 0 if the sender does not yet have all items committed by its store.
     pub config_digest: u64,
     /// The version of the sender's list of backends.
@@ -73,6 +73,6 @@
 pub struct Allotment {
     /// The name of the tenant.
     pub tenant: String,
-    /// The allotted parts; the whole quota has [`crate::allotment::PARTS`] parts.
+    /// The allotted parts; the whole quota has [`crate::allotment::TOTAL_PARTS`] parts.
     pub parts: u32,
 }
--- a/crates/control/src/messages/store.rs
+++ b/crates/control/src/messages/store.rs
@@ -10,9 +10,9 @@
     /// The proposal is accepted and written to the acceptor's disk.
     Accepted,
     /// The proposal is rejected, because the acceptor has promised this higher number.
-    Promised(ProposalNumber),
+    RejectedByPromise(ProposalNumber),
     /// The change of the voter set is rejected, because the acceptor lacks items that were committed before it.
-    Behind,
+    MissingItems,
 }
 
 /// The digests of a replica's accepted items and of its committed items.
--- a/crates/control/src/messages/transfer.rs
+++ b/crates/control/src/messages/transfer.rs
@@ -42,7 +42,7 @@
         /// The missing items.
         items: Vec<Item>,
         /// The position up to which the chunk is complete; `None` if it is complete for all requested shards.
-        stopped: Option<Position>,
+        resume_at: Option<Position>,
     },
 }
 
--- a/crates/control/src/program.rs
+++ b/crates/control/src/program.rs
@@ -84,7 +84,7 @@
 /// Handles SIGHUP, which signals a change of the settings file. A running process applies no changes: all settings are
 /// fixed at its start, except the seed nodes, which are superseded by the membership. The file is only checked, and the
 /// result is logged.
-pub fn check_reloaded_settings(name: &str) {
+pub fn handle_sighup(name: &str) {
     match Settings::from_environment() {
         Ok(_) => log::info!(
             "{name}: SIGHUP: the settings file is valid; changes apply at the next start."
--- a/crates/control/src/settings/mod.rs
+++ b/crates/control/src/settings/mod.rs
@@ -69,7 +69,7 @@
     /// The region of the machine.
     pub region: String,
     /// The region of each zone (`zones` in the file).
-    pub regions: BTreeMap<String, String>,
+    pub regions_by_zone: BTreeMap<String, String>,
     /// The names of the interfaces that the process serves to callers outside the system.
     pub serves: Vec<String>,
     /// The listen addresses of these interfaces, by name.
@@ -135,18 +135,18 @@
     }
 
     /// Returns the value of a parameter in `timing_bounds`, or the default.
-    pub fn bound(&self, name: &str, default: f64) -> f64 {
+    pub fn timing_bound(&self, name: &str, default: f64) -> f64 {
         self.timing_bounds.get(name).copied().unwrap_or(default)
     }
 
     /// Returns a parameter in `timing_bounds` that is in milliseconds, or the default; negative values become 0.
-    pub fn bound_ms(&self, name: &str, default: u64) -> Duration {
-        Duration::from_secs_f64(self.bound(name, default as f64).max(0.0) / 1000.0)
+    pub fn timing_bound_ms(&self, name: &str, default: u64) -> Duration {
+        Duration::from_secs_f64(self.timing_bound(name, default as f64).max(0.0) / 1000.0)
     }
 
     /// Returns a parameter in `timing_bounds` that is in seconds, or the default; negative values become 0.
-    pub fn bound_s(&self, name: &str, default: f64) -> Duration {
-        Duration::from_secs_f64(self.bound(name, default).max(0.0))
+    pub fn timing_bound_s(&self, name: &str, default: f64) -> Duration {
+        Duration::from_secs_f64(self.timing_bound(name, default).max(0.0))
     }
 
     /// Returns the address at which a process on the machine `ip` listens for other processes of the system.
--- a/crates/control/src/settings/parse.rs
+++ b/crates/control/src/settings/parse.rs
@@ -45,7 +45,7 @@
                 .map_err(|_| fields.invalid("ip_address", "not an IP address"))?,
             zone,
             region: fields.string("region")?,
-            regions,
+            regions_by_zone: regions,
             serves: strings(fields.list("serves")?),
             listen_addresses,
             internal_port_range,
@@ -77,7 +77,7 @@
     let ports = fields.list(FIELD)?.iter();
     let ports: Vec<u64> = ports.filter_map(|port| port.as_u64()).collect();
     let &[first, last] = &ports[..] else {
-        return Err(fields.invalid(FIELD, "two ports are wanted"));
+        return Err(fields.invalid(FIELD, "not a list of two ports"));
     };
     let highest_offset = u64::from(InternalPort::LoadReports.offset());
     if last > u64::from(u16::MAX) || first + highest_offset > last {
@@ -124,7 +124,7 @@
             number => number.parse().ok(),
         };
         let number =
-            number.ok_or_else(|| fields.invalid(FIELD, &format!("`{name}`: no number")))?;
+            number.ok_or_else(|| fields.invalid(FIELD, &format!("`{name}`: not a number")))?;
         Ok((name.to_string(), number))
     });
     bounds.collect()
--- a/crates/control/src/transfer/mod.rs
+++ b/crates/control/src/transfer/mod.rs
@@ -4,7 +4,7 @@
 //! provider answers with the shard digests of the groups that differ ([`TransferMessage::Differences`]). The receiver then
 //! requests the shards that differ, with fingerprints of the items that it has ([`TransferMessage::Request`]). The provider
 //! answers each request with one chunk of the items that the receiver lacks ([`TransferMessage::Chunk`]), which has
-//! [`CHUNK_BYTES`] at most.
+//! [`MAX_CHUNK_BYTES`] at most.
 //!
 //! - Flow control: at most [`CHUNKS_IN_FLIGHT`] requests are unanswered; each chunk received permits one more request.
 //! - Resumption: received items stay in the receiver's snapshot, so the next comparison, with the same provider or another
@@ -16,12 +16,12 @@
 //! [`TransferMessage::Differences`]: crate::messages::TransferMessage::Differences
 //! [`TransferMessage::Request`]: crate::messages::TransferMessage::Request
 //! [`TransferMessage::Chunk`]: crate::messages::TransferMessage::Chunk
-//! [`CHUNK_BYTES`]: crate::messages::CHUNK_BYTES
+//! [`MAX_CHUNK_BYTES`]: crate::messages::MAX_CHUNK_BYTES
 
 mod provider;
 mod receiver;
 
-pub use provider::answer;
+pub use provider::answer_message;
 pub use receiver::{Received, Receiver};
 
 /// Maximum number of chunks requested and not yet received. It bounds how long other messages on the connection wait behind
--- a/crates/control/src/transfer/provider.rs
+++ b/crates/control/src/transfer/provider.rs
@@ -3,11 +3,14 @@
 use std::collections::HashSet;
 
 use super::shorten;
-use crate::config::{ConfigSnapshot, GROUPS, Item};
-use crate::messages::{CHUNK_BYTES, Position, ShardDigests, ShardRequest, TransferMessage};
+use crate::config::{ConfigSnapshot, GROUP_COUNT, Item};
+use crate::messages::{MAX_CHUNK_BYTES, Position, ShardDigests, ShardRequest, TransferMessage};
 
 /// Returns the answer to a receiver's message, or `None` if the message is one that a provider sends.
-pub fn answer(snapshot: &ConfigSnapshot, message: &TransferMessage) -> Option<TransferMessage> {
+pub fn answer_message(
+    snapshot: &ConfigSnapshot,
+    message: &TransferMessage,
+) -> Option<TransferMessage> {
     match message {
         TransferMessage::Compare {
             round,
@@ -18,12 +21,12 @@
             chunk,
             shards,
         } => {
-            let (items, stopped) = missing_items(snapshot, *round, shards);
+            let (items, resume_at) = missing_items(snapshot, *round, shards);
             Some(TransferMessage::Chunk {
                 round: *round,
                 chunk: *chunk,
                 items,
-                stopped,
+                resume_at,
             })
         }
         TransferMessage::Differences { .. } | TransferMessage::Chunk { .. } => None,
@@ -45,12 +48,12 @@
     TransferMessage::Differences {
         round,
         digest: snapshot.digest(),
-        groups: (0..GROUPS).filter(differs).map(digests).collect(),
+        groups: (0..GROUP_COUNT).filter(differs).map(digests).collect(),
     }
 }
 
 /// Returns as many of the missing items as fit into one chunk, and the position where they stop if some are left. The first
-/// item is included even if it exceeds [`CHUNK_BYTES`] by itself.
+/// item is included even if it exceeds [`MAX_CHUNK_BYTES`] by itself.
 fn missing_items(
     snapshot: &ConfigSnapshot,
     round: u32,
@@ -65,12 +68,12 @@
         for key in snapshot.index().keys(from.shard, from.after.as_ref()) {
             if let Some(item) = snapshot.get(key).filter(is_missing) {
                 bytes += item.wire_bytes();
-                if bytes > CHUNK_BYTES && !items.is_empty() {
-                    let stopped = Position {
+                if bytes > MAX_CHUNK_BYTES && !items.is_empty() {
+                    let resume_at = Position {
                         shard: from.shard,
                         after: after.cloned(),
                     };
-                    return (items, Some(stopped));
+                    return (items, Some(resume_at));
                 }
                 items.push(item.clone());
             }
--- a/crates/control/src/transfer/receiver.rs
+++ b/crates/control/src/transfer/receiver.rs
@@ -111,13 +111,13 @@
                     round,
                     chunk,
                     items,
-                    stopped,
+                    resume_at,
                 },
             ) if round == self.round => {
                 let Some(requested) = fetch.in_flight.remove(&chunk) else {
                     return Received::default();
                 };
-                fetch.requeue_rest(requested, stopped);
+                fetch.requeue_rest(requested, resume_at);
                 (items, fetch.digest)
             }
             _ => return Received::default(),
@@ -178,16 +178,16 @@
     }
 
     /// Requeues the part of a request that its chunk did not cover, from the position where the chunk stopped.
-    fn requeue_rest(&mut self, requested: Vec<Position>, stopped: Option<Position>) {
-        let Some(stopped) = stopped else { return };
+    fn requeue_rest(&mut self, requested: Vec<Position>, resume_at: Option<Position>) {
+        let Some(resume_at) = resume_at else { return };
         let rest = requested
             .into_iter()
-            .skip_while(|position| position.shard != stopped.shard)
+            .skip_while(|position| position.shard != resume_at.shard)
             .skip(1);
         for position in rest.collect::<Vec<_>>().into_iter().rev() {
             self.pending.push_front(position);
         }
-        self.pending.push_front(stopped);
+        self.pending.push_front(resume_at);
     }
 }
 
--- a/crates/control/src/voters.rs
+++ b/crates/control/src/voters.rs
@@ -37,8 +37,8 @@
     }
 
     /// Returns the size of a majority of this set.
-    pub fn majority(&self) -> usize {
-        majority(self.voters.len())
+    pub fn majority_size(&self) -> usize {
+        majority_size(self.voters.len())
     }
 
     /// Returns whether every majority of this set has a member in common with every majority of `other`. This holds where
@@ -47,7 +47,7 @@
     pub fn majorities_intersect(&self, other: &VoterSet) -> bool {
         let common = self.voters.iter().filter(|ip| other.contains(**ip)).count();
         let union = self.voters.len() + other.voters.len() - common;
-        self.majority() + other.majority() > union
+        self.majority_size() + other.majority_size() > union
     }
 
     /// Returns the latest time `t` such that `time_of(voter) >= t` for a majority of the voters. `time_of` returns `None`
@@ -55,11 +55,11 @@
     pub fn majority_time<T: Ord + Copy>(&self, time_of: impl Fn(Ip) -> Option<T>) -> Option<T> {
         let mut times: Vec<T> = self.voters.iter().filter_map(|ip| time_of(*ip)).collect();
         times.sort_unstable_by(|a, b| b.cmp(a));
-        times.get(self.majority() - 1).copied()
+        times.get(self.majority_size() - 1).copied()
     }
 }
 
 /// Returns the size of a majority of `voters` voters.
-pub fn majority(voters: usize) -> usize {
+pub fn majority_size(voters: usize) -> usize {
     voters / 2 + 1
 }
--- a/crates/control/tests/allotment_model.rs
+++ b/crates/control/tests/allotment_model.rs
@@ -1,13 +1,13 @@
 //! Exhaustive model check of `AllotmentLedger` and `AllotmentHolding` with two proxies and coordinators of several terms.
 //! Messages are lost, delayed, reordered and duplicated, proxies restart, and leases expire.
 //!
-//! Invariant: the parts that all proxies hold of a tenant never exceed `PARTS`. `MODEL=all` explores more events.
+//! Invariant: the parts that all proxies hold of a tenant never exceed `TOTAL_PARTS`. `MODEL=all` explores more events.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 use damsonbeam_control::allotment::{
-    AllotmentHolding, AllotmentLedger, HOLDING_LEASE, PARTS, TenantDemand,
+    AllotmentHolding, AllotmentLedger, HOLDING_LEASE, TOTAL_PARTS, TenantDemand,
 };
 use damsonbeam_control::messages::Allotment;
 use stateright::{Checker, Model, Property};
@@ -119,14 +119,17 @@
         let now = self.now;
         match &envelope.body {
             Body::Report(held) if term == self.term => {
-                self.ledger.report(incarnation, &allotments(held), now);
+                self.ledger
+                    .record_report(incarnation, &allotments(held), now);
             }
             Body::Acknowledge(revision) if term == self.term => {
                 self.ledger.acknowledge(incarnation, *revision);
             }
             Body::Change(revision, set) => {
                 let is_applied = self.proxy(incarnation).is_some_and(|proxy| {
-                    proxy.holding.change(term, *revision, &allotments(set), now)
+                    proxy
+                        .holding
+                        .apply_change(term, *revision, &allotments(set), now)
                 });
                 if is_applied {
                     self.send(incarnation, term, Body::Acknowledge(*revision));
@@ -152,7 +155,7 @@
             by_incarnation: BTreeMap::from([(self.proxies[demanding].incarnation, 1.0)]),
         };
         let (now, term) = (self.now, self.term);
-        for change in self.ledger.divide(&[demand], now) {
+        for change in self.ledger.rebalance(&[demand], now) {
             let body = Body::Change(change.revision, parts(&change.allotments));
             self.send(change.incarnation, term, body);
         }
@@ -162,7 +165,7 @@
         let (now, term) = (self.now, self.term);
         let proxy = &mut self.proxies[index];
         proxy.holding.observe_term(term);
-        let held = parts(&proxy.holding.report(now));
+        let held = parts(&proxy.holding.take_report(now));
         let incarnation = proxy.incarnation;
         self.send(incarnation, term, Body::Report(held));
     }
@@ -268,7 +271,7 @@
             }
             Event::Release(ended) => {
                 state.ended.remove(&ended);
-                state.ledger.release(ended);
+                state.ledger.remove_holder(ended);
             }
             Event::AdvanceTime => {
                 state.budget.time_steps -= 1;
@@ -282,16 +285,16 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("allotments never exceed the whole", |_, state: &State| {
-                state.held() <= u64::from(PARTS)
+                state.held() <= u64::from(TOTAL_PARTS)
             }),
             Property::sometimes("one proxy holds the whole", |_, state: &State| {
-                state.held() == u64::from(PARTS)
+                state.held() == u64::from(TOTAL_PARTS)
             }),
             Property::sometimes(
                 "all parts move from the first to the second proxy",
                 |_, state: &State| {
                     let held = |index: usize| state.proxies[index].holding.parts(TENANT, state.now);
-                    held(0) == 0 && held(1) == PARTS && state.budget.divisions == 0
+                    held(0) == 0 && held(1) == TOTAL_PARTS && state.budget.divisions == 0
                 },
             ),
         ]
--- a/crates/control/tests/lease.rs
+++ b/crates/control/tests/lease.rs
@@ -337,7 +337,10 @@
     let answer = voter.receive(ips(3)[0], &claim, at(4000));
     assert_eq!(
         answer,
-        Some(LeaseMessage::Refuse { epoch: 2, term }),
+        Some(LeaseMessage::Refuse {
+            highest_epoch: 2,
+            highest_term: term
+        }),
         "the voter granted a claim of an earlier epoch"
     );
     holder.set_voters(next);
--- a/crates/control/tests/transfer.rs
+++ b/crates/control/tests/transfer.rs
@@ -8,8 +8,8 @@
 use std::time::Duration;
 
 use damsonbeam_control::config::{ConfigSnapshot, Item, ItemKey, ItemKind, ProposalNumber};
-use damsonbeam_control::messages::{CHUNK_BYTES, TransferMessage, split_items};
-use damsonbeam_control::transfer::{CHUNKS_IN_FLIGHT, Received, Receiver, answer};
+use damsonbeam_control::messages::{MAX_CHUNK_BYTES, TransferMessage, split_items};
+use damsonbeam_control::transfer::{CHUNKS_IN_FLIGHT, Received, Receiver, answer_message};
 use quickcheck::{QuickCheck, TestResult};
 
 type Versions = Vec<(u16, u8)>;
@@ -71,11 +71,11 @@
                 .entry(*round)
                 .or_insert_with(|| self.provider_snapshot.clone());
         }
-        let reply =
-            answer(&self.provider_snapshot, message).expect("a receiver's message has an answer");
+        let reply = answer_message(&self.provider_snapshot, message)
+            .expect("a receiver's message has an answer");
         if let TransferMessage::Chunk { items, .. } = &reply {
             let bytes: usize = items.iter().map(Item::wire_bytes).sum();
-            assert!(bytes <= CHUNK_BYTES, "a chunk has {bytes} bytes");
+            assert!(bytes <= MAX_CHUNK_BYTES, "a chunk has {bytes} bytes");
         }
         self.to_receiver.push(reply);
     }
@@ -244,6 +244,6 @@
     let all: Vec<Item> = (0..200).map(|n| item(n, 1)).collect();
     let chunks = split_items(all.clone());
     let size = |chunk: &Vec<Item>| chunk.iter().map(Item::wire_bytes).sum::<usize>();
-    assert!(chunks.len() > 10 && chunks.iter().all(|chunk| size(chunk) <= CHUNK_BYTES));
+    assert!(chunks.len() > 10 && chunks.iter().all(|chunk| size(chunk) <= MAX_CHUNK_BYTES));
     assert_eq!(chunks.concat(), all);
 }
--- a/crates/control/tests/wire_format.rs
+++ b/crates/control/tests/wire_format.rs
@@ -59,7 +59,7 @@
             port: 8080,
         },
         zone: "manila-a".into(),
-        slots: 6,
+        capacity_slots: 6,
         draining: true,
         warm_up_left_ms: 1500,
     };
@@ -74,17 +74,17 @@
 
 fn heartbeat() -> Heartbeat {
     Heartbeat {
-        time_ms: 1_796_199_592_497,
+        coordinator_time_ms: 1_796_199_592_497,
         registries: vec![[10, 1, 0, 1], [10, 1, 0, 2]],
         in_contact: true,
         coordinator: Some(LeaseHolder {
             ip: [10, 1, 0, 2],
             term: 9,
         }),
-        known_proxies: 69,
-        attached_proxies: 67,
-        nearby_proxies: 23,
-        position: 4,
+        known_proxy_count: 69,
+        connected_proxy_count: 67,
+        region_proxy_count: 23,
+        region_position: 4,
         config_digest: 0xfeed_beef,
         backend_list: BackendListVersion {
             term: 9,
@@ -131,7 +131,7 @@
     vec![
         Message::Status {
             status: proxy_status(),
-            time_ms: Some(99),
+            coordinator_time_ms: Some(99),
         },
         Message::CountReport(named_counts()),
         Message::Transfer(TransferMessage::Compare {
@@ -152,10 +152,10 @@
             round: 1,
             chunk: 2,
             items: items(),
-            stopped: Some(position),
+            resume_at: Some(position),
         }),
-        Message::PullBackends,
-        Message::Ack { number: 3 },
+        Message::RequestBackends,
+        Message::UpdateAck { number: 3 },
         Message::Heartbeat(heartbeat()),
         Message::ConfigUpdate {
             number: 4,
@@ -171,10 +171,10 @@
             term: 9,
             totals: named_counts(),
         },
-        Message::PullPartners,
-        Message::Partners {
-            near: vec![[10, 0, 0, 1]],
-            far: vec![[10, 0, 0, 2]],
+        Message::RequestPeers,
+        Message::Peers {
+            same_region: vec![[10, 0, 0, 1]],
+            other_regions: vec![[10, 0, 0, 2]],
         },
         Message::ConfigChanged,
     ]
@@ -186,7 +186,7 @@
         parts: 0x4_0000,
     }];
     vec![
-        Message::AllotmentsHeld {
+        Message::AllotmentReport {
             term: 9,
             allotments: allotments.clone(),
         },
@@ -195,7 +195,7 @@
             revision: 3,
             allotments: allotments.clone(),
         },
-        Message::AllotmentsSet {
+        Message::AllotmentsAck {
             term: 9,
             revision: 3,
         },
@@ -203,9 +203,9 @@
             term: 9,
             departed_proxies: 2,
             absent: allotments,
-            absent_of_unlisted: 0x10_0000,
+            absent_parts_per_unlisted_tenant: 0x10_0000,
         },
-        Message::Departed,
+        Message::ProxyShutdown,
     ]
 }
 
@@ -213,7 +213,7 @@
     let change = Command::Change(ConfigChange { items: items() });
     let invalid = CommandReply::Invalid("r-1: path_prefix: must start and end with a slash".into());
     vec![
-        Message::Roster {
+        Message::CoreMachines {
             ips: vec![[10, 1, 0, 1]],
         },
         Message::Voters {
@@ -265,7 +265,7 @@
             items: items(),
             complete: true,
         },
-        Message::StoreBackends(backend_list()),
+        Message::LastKnownBackends(backend_list()),
     ]
 }
 
@@ -283,7 +283,7 @@
             number: 2,
             command: Command::Read,
         },
-        Message::Forwarded {
+        Message::ForwardReply {
             incarnation: 1,
             number: 2,
             reply: None,
@@ -318,8 +318,8 @@
             required_digest: Some(8),
         },
         accepted(AcceptAnswer::Accepted),
-        accepted(AcceptAnswer::Promised(proposal_number(9))),
-        accepted(AcceptAnswer::Behind),
+        accepted(AcceptAnswer::RejectedByPromise(proposal_number(9))),
+        accepted(AcceptAnswer::MissingItems),
         Message::NewerVoters {
             proposal_number: proposal_number(5),
             voters,
@@ -330,7 +330,7 @@
                 accepted: vec![1, 2],
                 committed: vec![3],
             },
-            learner: Some(77),
+            learner_disk_id: Some(77),
         },
         Message::RepairItems {
             items: items(),
@@ -350,7 +350,7 @@
     let bodies = [
         GossipBody::Ping { number: 1 },
         GossipBody::Pong { number: 1 },
-        GossipBody::PingRequest {
+        GossipBody::IndirectPing {
             number: 2,
             target: [10, 1, 0, 9],
         },
@@ -364,7 +364,10 @@
             term: 9,
             sent_us: 1234,
         }),
-        GossipBody::Lease(LeaseMessage::Refuse { epoch: 2, term: 10 }),
+        GossipBody::Lease(LeaseMessage::Refuse {
+            highest_epoch: 2,
+            highest_term: 10,
+        }),
         GossipBody::Lease(LeaseMessage::Transfer {
             epoch: 2,
             term: 9,
@@ -374,7 +377,7 @@
     let datagram = |body| Datagram {
         from: [10, 1, 0, 1],
         epoch: 2,
-        time_ms: Some(42),
+        coordinator_time_ms: Some(42),
         body,
         updates: updates.to_vec(),
     };
--- a/crates/ctl/src/stores.rs
+++ b/crates/ctl/src/stores.rs
@@ -4,7 +4,7 @@
 
 use damsonbeam_config_store::consensus::voters::VoterSet;
 use damsonbeam_config_store::disk::{Disk, StoredState};
-use damsonbeam_control::address::ip_texts;
+use damsonbeam_control::address::ip_strings;
 use damsonbeam_control::config::Item;
 
 use crate::CtlError;
@@ -34,7 +34,7 @@
     )];
     if let Some(voters) = VoterSet::committed(&durable.committed) {
         let ips = voters.voters().iter().map(|voter| voter.ip);
-        let ips = ip_texts(ips).join(", ");
+        let ips = ip_strings(ips).join(", ");
         lines.push(format!("voters of epoch {}: {ips}", voters.epoch));
     }
     lines.push(format!("{} stores known", roster.len()));
--- a/crates/ctl/tests/files.rs
+++ b/crates/ctl/tests/files.rs
@@ -110,9 +110,9 @@
         .collect();
     insta::assert_snapshot!(errors.join("\n"), @r"
     cut.json: not JSON: Syntax at character 0
-    same-place.json: r-2: host and prefix are those of `r-1`
-    no-service.json: r-2: target_service: no `t`
-    kind.json: r-2: route_type: no `maybe`
+    same-place.json: r-2: host_name and path_prefix are the same as those of `r-1`
+    no-service.json: r-2: target_service: unknown service `t`
+    kind.json: r-2: route_type: unknown kind `maybe`
     timeout.json: r-2: timeout_ms: is 0
     aim.json: r-2: target_latency_ms: is a minute or more above timeout_ms
     version.json: r-2: config_version: not `r` and a number
@@ -149,9 +149,9 @@
         .into_iter()
         .collect();
     insta::assert_snapshot!(errors.join("\n"), @r"
-    ports.json: internal_port_range: two ports are wanted
+    ports.json: internal_port_range: not a list of two ports
     seed.json: seed_nodes: not an address
-    bound.json: timing_bounds: `drain_ms`: no number
+    bound.json: timing_bounds: `drain_ms`: not a number
     rate.json: cloud_api.rate_per_s: must be above 0
     node.json: node_name: missing
     cut.json: not JSON: Syntax at character 0
--- a/crates/hollow/src/meter.rs
+++ b/crates/hollow/src/meter.rs
@@ -4,7 +4,7 @@
 use std::sync::OnceLock;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-use damsonbeam_control::link::{self, Direction};
+use damsonbeam_control::link::{self, MessageDirection};
 use damsonbeam_control::messages::{
     BackendList, Heartbeat, Message, ProxyStatus, TransferMessage, encode,
 };
@@ -89,14 +89,14 @@
 fn samples() -> Vec<(Message, MessageKind)> {
     let status = Message::Status {
         status: ProxyStatus::default(),
-        time_ms: None,
+        coordinator_time_ms: None,
     };
     let list = BackendList::default();
     vec![
         (status, MessageKind::Status),
         (Message::CountReport(Vec::new()), MessageKind::CountReport),
-        (Message::PullBackends, MessageKind::Pull),
-        (Message::Ack { number: 0 }, MessageKind::Ack),
+        (Message::RequestBackends, MessageKind::Pull),
+        (Message::UpdateAck { number: 0 }, MessageKind::Ack),
         (
             Message::Heartbeat(Heartbeat::default()),
             MessageKind::Heartbeat,
@@ -143,16 +143,16 @@
 static MESSAGES: [AtomicU64; 2 * KINDS] = [ZERO; 2 * KINDS];
 static BYTES: [AtomicU64; 2 * KINDS] = [ZERO; 2 * KINDS];
 
-fn slot(direction: Direction, kind: MessageKind) -> usize {
+fn slot(direction: MessageDirection, kind: MessageKind) -> usize {
     kind as usize
-        + if direction == Direction::Out {
+        + if direction == MessageDirection::Out {
             KINDS
         } else {
             0
         }
 }
 
-fn count(direction: Direction, bytes: &[u8]) {
+fn count(direction: MessageDirection, bytes: &[u8]) {
     let slot = slot(direction, MessageKind::of_packed(bytes));
     MESSAGES[slot].fetch_add(1, Ordering::Relaxed);
     BYTES[slot].fetch_add(bytes.len() as u64 + LENGTH_BYTES, Ordering::Relaxed);
@@ -160,7 +160,7 @@
 
 /// From now on all links of this process are counted.
 pub fn start() {
-    link::observe(count);
+    link::set_observer(count);
 }
 
 /// All counts at one moment.
@@ -190,7 +190,7 @@
     }
 
     /// Messages of a kind since an earlier reading.
-    pub fn since(&self, before: &Reading, direction: Direction, kind: MessageKind) -> Flow {
+    pub fn since(&self, before: &Reading, direction: MessageDirection, kind: MessageKind) -> Flow {
         let slot = slot(direction, kind);
         Flow {
             messages: self.messages[slot] - before.messages[slot],
@@ -199,7 +199,7 @@
     }
 
     /// Bytes of all kinds since an earlier reading.
-    pub fn bytes_since(&self, before: &Reading, direction: Direction) -> u64 {
+    pub fn bytes_since(&self, before: &Reading, direction: MessageDirection) -> u64 {
         MessageKind::ALL
             .iter()
             .map(|kind| self.since(before, direction, *kind).bytes)
--- a/crates/hollow/src/proxies.rs
+++ b/crates/hollow/src/proxies.rs
@@ -8,7 +8,7 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-use damsonbeam_control::address::{Endpoint, octets};
+use damsonbeam_control::address::{Endpoint, ip_octets};
 use damsonbeam_control::config::{ItemKey, ItemKind};
 use damsonbeam_control::messages::{Message, ProxyStatus};
 use damsonbeam_control::settings::Settings;
@@ -241,7 +241,7 @@
         incarnation: rand::random(),
         zone: settings.zone.clone(),
         address: Endpoint {
-            ip: octets(settings.ip_address),
+            ip: ip_octets(settings.ip_address),
             port: crate::topology::CLIENT_PORT,
         },
         ready: false,
@@ -293,10 +293,13 @@
                 self.backends = backends.len();
                 self.progress.lists.fetch_add(1, Ordering::Relaxed);
             }
-            ControlEvent::CoordinatorHeartbeat(heartbeat) if heartbeat.known_proxies > 0 => {
+            ControlEvent::CoordinatorHeartbeat(heartbeat) if heartbeat.known_proxy_count > 0 => {
                 let now = self.now();
-                self.quota
-                    .set_proxies(heartbeat.known_proxies, heartbeat.attached_proxies, now);
+                self.quota.set_proxies(
+                    heartbeat.known_proxy_count,
+                    heartbeat.connected_proxy_count,
+                    now,
+                );
                 let known = self.known.borrow();
                 if let Some(time) = known.common_time() {
                     let common = Duration::from_millis(time.now_ms());
--- a/crates/hollow/src/run/found.rs
+++ b/crates/hollow/src/run/found.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use damsonbeam_control::link::Direction;
+use damsonbeam_control::link::MessageDirection;
 use serde::Serialize;
 
 use super::changes::ChangeTimes;
@@ -254,7 +254,7 @@
              flow,
          }| KindRow {
             kind: kind.name(),
-            direction: if *direction == Direction::In {
+            direction: if *direction == MessageDirection::In {
                 "in"
             } else {
                 "out"
--- a/crates/hollow/src/run/measure.rs
+++ b/crates/hollow/src/run/measure.rs
@@ -4,7 +4,7 @@
 use std::thread::{self, sleep};
 use std::time::{Duration, Instant};
 
-use damsonbeam_control::link::Direction;
+use damsonbeam_control::link::MessageDirection;
 
 use super::changes::{self, Written};
 use super::plan::Plan;
@@ -22,7 +22,7 @@
 /// Messages of one kind and direction.
 pub(super) struct KindFlow {
     pub(super) kind: MessageKind,
-    pub(super) direction: Direction,
+    pub(super) direction: MessageDirection,
     pub(super) flow: Flow,
 }
 
@@ -87,8 +87,12 @@
             coordinator,
             coordinator_changes: u32::from(self.cluster.coordinator() != coordinator),
             flows: flows(&after.messages, &before.messages),
-            bytes_in: after.messages.bytes_since(&before.messages, Direction::In),
-            bytes_out: after.messages.bytes_since(&before.messages, Direction::Out),
+            bytes_in: after
+                .messages
+                .bytes_since(&before.messages, MessageDirection::In),
+            bytes_out: after
+                .messages
+                .bytes_since(&before.messages, MessageDirection::Out),
             stores: stores_since(&after.stores, &before.stores),
             readings: after.readings - before.readings,
             lists: after.lists - before.lists,
@@ -134,7 +138,7 @@
 
 fn flows(after: &Reading, before: &Reading) -> Vec<KindFlow> {
     let mut flows = Vec::new();
-    for direction in [Direction::In, Direction::Out] {
+    for direction in [MessageDirection::In, MessageDirection::Out] {
         for kind in MessageKind::ALL {
             let flow = after.since(before, direction, kind);
             flows.push(KindFlow {
--- a/crates/hollow/src/run/mod.rs
+++ b/crates/hollow/src/run/mod.rs
@@ -10,7 +10,7 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-use damsonbeam_control::link::Direction;
+use damsonbeam_control::link::MessageDirection;
 
 use self::changes::ChangeTimes;
 use self::found::{Around, Settled};
@@ -129,11 +129,11 @@
     let took_s = began.elapsed().as_secs_f64();
     let after = Reading::now();
     let each = plan.proxies.max(1) as f64;
-    let heartbeats = after.since(&before, Direction::In, MessageKind::Heartbeat);
+    let heartbeats = after.since(&before, MessageDirection::In, MessageKind::Heartbeat);
     Ok(Settled {
         took_s,
         proxies: ready.load(Ordering::Relaxed),
-        bytes_each: after.bytes_since(&before, Direction::In) as f64 / each,
+        bytes_each: after.bytes_since(&before, MessageDirection::In) as f64 / each,
         heartbeats_each: heartbeats.messages as f64 / each,
     })
 }
--- a/crates/hollow/tests/small.rs
+++ b/crates/hollow/tests/small.rs
@@ -131,13 +131,13 @@
         (
             Message::Status {
                 status: ProxyStatus::default(),
-                time_ms: Some(7),
+                coordinator_time_ms: Some(7),
             },
             MessageKind::Status,
         ),
         (Message::CountReport(list()), MessageKind::CountReport),
-        (Message::PullBackends, MessageKind::Pull),
-        (Message::Ack { number: 300 }, MessageKind::Ack),
+        (Message::RequestBackends, MessageKind::Pull),
+        (Message::UpdateAck { number: 300 }, MessageKind::Ack),
         (
             Message::Heartbeat(Heartbeat::default()),
             MessageKind::Heartbeat,
@@ -165,9 +165,9 @@
             },
             MessageKind::CountTotals,
         ),
-        (Message::PullPartners, MessageKind::Other),
+        (Message::RequestPeers, MessageKind::Other),
         (
-            Message::StoreBackends(BackendList::default()),
+            Message::LastKnownBackends(BackendList::default()),
             MessageKind::Other,
         ),
     ];
--- a/crates/mirror/src/selection.rs
+++ b/crates/mirror/src/selection.rs
@@ -18,9 +18,9 @@
     let mut hash = SipHasher24::new_with_keys(0x6d75_6d6d_6572, rule.name.len() as u64);
     hash.write(rule.name.as_bytes());
     hash.write_u8(0);
-    hash.write(match rule.select_by {
+    hash.write(match rule.selection_key {
         SelectionKey::Tenant => tenant.as_bytes(),
-        SelectionKey::Caller => key.as_bytes(),
+        SelectionKey::ApiKey => key.as_bytes(),
     });
     hash.finish()
 }
--- a/crates/proxy/src/backend_pool.rs
+++ b/crates/proxy/src/backend_pool.rs
@@ -220,7 +220,7 @@
         ring.sort_unstable_by_key(|(hash, _)| *hash);
         let slots: f64 = ring
             .iter()
-            .map(|(_, backend)| f64::from(backend.slots))
+            .map(|(_, backend)| f64::from(backend.capacity_slots))
             .sum();
         let RegionPosition { position, proxies } = self.region_position;
         let share = SUBSET_HEADROOM * slots / f64::from(proxies.max(1));
@@ -281,7 +281,9 @@
             .backends
             .iter()
             .filter(|backend| backend.service == service);
-        let slots: Vec<f64> = backends.map(|backend| f64::from(backend.slots)).collect();
+        let slots: Vec<f64> = backends
+            .map(|backend| f64::from(backend.capacity_slots))
+            .collect();
         let mean = if slots.is_empty() {
             1.0
         } else {
--- a/crates/proxy/src/control_client/mod.rs
+++ b/crates/proxy/src/control_client/mod.rs
@@ -146,12 +146,12 @@
     state: &SharedControlState,
     events: &mpsc::Sender<ControlEvent>,
 ) -> Result<(), mpsc::error::SendError<ControlEvent>> {
-    let (mut reader, sender) = link::split(stream);
+    let (mut reader, sender) = link::into_reader_and_sender(stream);
     state
         .borrow_mut()
         .connected(registry, sender.clone(), is_local);
     let mut session = RegistrySession::new(registry, sender);
-    while let Ok(message) = reader.next::<Message>(link::SILENCE_TIMEOUT).await {
+    while let Ok(message) = reader.next::<Message>(link::LINK_TIMEOUT).await {
         let event = session.receive(&mut state.borrow_mut(), message);
         if let Some(event) = event {
             events.send(event).await?;
--- a/crates/proxy/src/control_client/session.rs
+++ b/crates/proxy/src/control_client/session.rs
@@ -47,7 +47,7 @@
         match message {
             Message::Heartbeat(heartbeat) => Some(self.receive_heartbeat(state, heartbeat)),
             Message::ConfigUpdate { number, items } => {
-                self.sender.send(&Message::Ack { number });
+                self.sender.send(&Message::UpdateAck { number });
                 let has_changed = state.merge(items);
                 let is_snapshot_complete = state.config_transfer.has_first_snapshot();
                 (has_changed && is_snapshot_complete).then_some(ControlEvent::Config)
@@ -63,7 +63,7 @@
                 page,
                 pages,
             } => {
-                self.sender.send(&Message::Ack { number });
+                self.sender.send(&Message::UpdateAck { number });
                 receive_backend_page(state, list, page as usize, pages as usize)
             }
             Message::CountTotals { term, totals } => {
@@ -82,16 +82,19 @@
                 term,
                 departed_proxies,
                 absent,
-                absent_of_unlisted,
+                absent_parts_per_unlisted_tenant,
             } => Some(ControlEvent::AllotmentStatus {
                 term,
                 departed_proxies,
                 absent: AbsentAllotments {
                     by_tenant: absent,
-                    of_unlisted: absent_of_unlisted,
+                    parts_per_unlisted_tenant: absent_parts_per_unlisted_tenant,
                 },
             }),
-            Message::Partners { near, far } => Some(ControlEvent::Partners { near, far }),
+            Message::Peers {
+                same_region: near,
+                other_regions: far,
+            } => Some(ControlEvent::Partners { near, far }),
             _ => None,
         }
     }
@@ -157,7 +160,7 @@
         if is_due {
             self.last_pull = Some(now);
             if is_missing_list {
-                self.sender.send(&Message::PullBackends);
+                self.sender.send(&Message::RequestBackends);
             }
         }
     }
--- a/crates/proxy/src/control_client/state.rs
+++ b/crates/proxy/src/control_client/state.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use damsonbeam_control::address::{Ip, octets};
+use damsonbeam_control::address::{Ip, ip_octets};
 use damsonbeam_control::config::{ConfigSnapshot, Item};
 use damsonbeam_control::link::MessageSender;
 use damsonbeam_control::messages::{BackendListVersion, Message, ProxyStatus, encode};
@@ -47,7 +47,7 @@
     /// Creates a state that knows only the seed registries. `wants_partners` is set where the proxy exchanges load
     /// reports and asks each registry for partners.
     pub fn new(settings: &Settings, status: ProxyStatus, wants_partners: bool) -> Self {
-        let seeds: BTreeSet<Ip> = settings.seed_ips().into_iter().map(octets).collect();
+        let seeds: BTreeSet<Ip> = settings.seed_ips().into_iter().map(ip_octets).collect();
         let now = Instant::now();
         ControlState {
             started: now,
@@ -104,7 +104,7 @@
 
     /// Tells all registries that this proxy admits no more requests; called last before the process exits.
     pub fn send_departed(&self) {
-        let bytes = encode(&Message::Departed);
+        let bytes = encode(&Message::ProxyShutdown);
         for sender in self.senders.values() {
             sender.send_encoded(bytes.clone());
         }
@@ -113,7 +113,7 @@
     fn status_message(&self) -> Message {
         Message::Status {
             status: self.status.clone(),
-            time_ms: self.common_time().map(|time| time.now_ms()),
+            coordinator_time_ms: self.common_time().map(|time| time.now_ms()),
         }
     }
 
@@ -149,7 +149,7 @@
     pub(super) fn connected(&mut self, registry: Ip, sender: MessageSender, is_local: bool) {
         sender.send(&self.status_message());
         if self.wants_partners {
-            sender.send(&Message::PullPartners);
+            sender.send(&Message::RequestPeers);
         }
         self.senders.insert(registry, sender);
         if is_local {
--- a/crates/proxy/src/coordinator.rs
+++ b/crates/proxy/src/coordinator.rs
@@ -60,10 +60,10 @@
         }
         let is_own = holder.ip == from && self.holder == Some(holder);
         let is_new_term = self.time.is_none_or(|time| time.term < holder.term);
-        if is_own && heartbeat.time_ms > 0 && is_new_term {
+        if is_own && heartbeat.coordinator_time_ms > 0 && is_new_term {
             self.time = Some(CommonTime {
                 received_at: now,
-                time_ms: heartbeat.time_ms,
+                time_ms: heartbeat.coordinator_time_ms,
                 term: holder.term,
             });
         }
--- a/crates/proxy/src/load_reports.rs
+++ b/crates/proxy/src/load_reports.rs
@@ -63,7 +63,7 @@
         for backend in backends {
             let reported = ReportedBackend {
                 id: backend.id.clone(),
-                slots: f64::from(backend.slots),
+                slots: f64::from(backend.capacity_slots),
             };
             let service = self.services.entry(backend.service.clone()).or_default();
             service.insert(backend_key(&backend.id), reported);
--- a/crates/proxy/src/process/counts.rs
+++ b/crates/proxy/src/process/counts.rs
@@ -61,7 +61,7 @@
             return;
         }
         if let Some(sender) = self.control.borrow().coordinator_link() {
-            sender.send(&Message::AllotmentsSet { term, revision });
+            sender.send(&Message::AllotmentsAck { term, revision });
         }
     }
 
@@ -72,7 +72,7 @@
             return;
         };
         if let Some(sender) = self.control.borrow().coordinator_link() {
-            sender.send(&Message::AllotmentsHeld { term, allotments });
+            sender.send(&Message::AllotmentReport { term, allotments });
         }
     }
 
--- a/crates/proxy/src/process/load_report_exchange.rs
+++ b/crates/proxy/src/process/load_report_exchange.rs
@@ -3,7 +3,7 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-use damsonbeam_control::address::{Ip, ip_addr, octets};
+use damsonbeam_control::address::{Ip, ip_addr, ip_octets};
 use damsonbeam_gateway::clock::Clock;
 use tokio::net::UdpSocket;
 use tokio::time::{MissedTickBehavior, interval};
@@ -33,7 +33,7 @@
         tokio::select! {
             Ok((length, from)) = socket.recv_from(&mut buffer) => {
                 if let Some(load_reports) = pool.borrow_mut().load_reports() {
-                    load_reports.receive(octets(from.ip()), &buffer[..length], clock.now());
+                    load_reports.receive(ip_octets(from.ip()), &buffer[..length], clock.now());
                 }
             }
             _ = tick.tick() => {
--- a/crates/proxy/src/process/mod.rs
+++ b/crates/proxy/src/process/mod.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 use damsonbeam_control::link::LinkError;
-use damsonbeam_control::program::check_reloaded_settings;
+use damsonbeam_control::program::handle_sighup;
 use damsonbeam_control::settings::{Settings, SettingsError};
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::mpsc;
@@ -91,7 +91,7 @@
             }
             Some(report) = shutdown_reports.recv() => proxy.log_shutdown_report(&report),
             _ = terminate.recv() => proxy.begin_shutdown(),
-            _ = hangup.recv() => check_reloaded_settings("proxy"),
+            _ = hangup.recv() => handle_sighup("proxy"),
         }
         proxy.start_serving_when_ready()?;
     }
--- a/crates/proxy/src/process/proxy.rs
+++ b/crates/proxy/src/process/proxy.rs
@@ -168,11 +168,11 @@
 
     /// Updates the number of proxies, this proxy's position in its region, and the coordinator's time and term.
     fn handle_coordinator_heartbeat(&mut self, heartbeat: &Heartbeat) {
-        if heartbeat.known_proxies > 0 {
-            self.set_proxies(heartbeat.known_proxies, heartbeat.attached_proxies);
+        if heartbeat.known_proxy_count > 0 {
+            self.set_proxies(heartbeat.known_proxy_count, heartbeat.connected_proxy_count);
             self.set_region_position(RegionPosition {
-                position: heartbeat.position,
-                proxies: heartbeat.nearby_proxies,
+                position: heartbeat.region_position,
+                proxies: heartbeat.region_proxy_count,
             });
         }
         let control = self.control.borrow();
@@ -192,7 +192,7 @@
     fn handle_other_heartbeat(&mut self, heartbeat: &Heartbeat) {
         let has_coordinators = self.control.borrow().common_time().is_some();
         if !has_coordinators && is_proxy_count_usable(heartbeat) {
-            self.set_proxies(heartbeat.known_proxies, heartbeat.known_proxies);
+            self.set_proxies(heartbeat.known_proxy_count, heartbeat.known_proxy_count);
         }
     }
 
--- a/crates/proxy/src/process/start.rs
+++ b/crates/proxy/src/process/start.rs
@@ -98,7 +98,7 @@
     fn new(settings: &Settings) -> Result<Self, ProxyError> {
         let clock = Clock::start();
         let time_offset_s = Rc::new(Cell::new(0.0));
-        let regions = settings.regions.clone();
+        let regions = settings.regions_by_zone.clone();
         let backend_pool = BackendPool::new(&settings.zone, &settings.region, regions);
         Ok(SharedComponents {
             clock,
@@ -150,7 +150,7 @@
         Ok(Proxy {
             grace_period: self
                 .settings
-                .bound_s("grace_period_s", DEFAULT_GRACE_PERIOD_S),
+                .timing_bound_s("grace_period_s", DEFAULT_GRACE_PERIOD_S),
             node_name: self.settings.node_name.clone(),
             client_address,
             clock: shared.clock,
@@ -217,18 +217,18 @@
     fn create_retry_budget(&self) -> RetryBudget {
         RetryBudget::new(
             self.settings
-                .bound("retry_budget_ratio", DEFAULT_RETRY_RATIO),
+                .timing_bound("retry_budget_ratio", DEFAULT_RETRY_RATIO),
             self.settings
-                .bound("retry_budget_slack", DEFAULT_RETRY_SLACK),
+                .timing_bound("retry_budget_slack", DEFAULT_RETRY_SLACK),
         )
     }
 
     /// Returns how far quotas may be exceeded; not at all where the settings do not define it.
     fn quota_tolerance(&self) -> QuotaTolerance {
         QuotaTolerance {
-            window_s: self.settings.bound("quota_window_s", 0.0),
-            overage: self.settings.bound("quota_overage", 0.0),
-            slack: self.settings.bound("quota_slack", 0.0),
+            window_s: self.settings.timing_bound("quota_window_s", 0.0),
+            overage: self.settings.timing_bound("quota_overage", 0.0),
+            slack: self.settings.timing_bound("quota_slack", 0.0),
         }
     }
 
--- a/crates/proxy/src/quota/mod.rs
+++ b/crates/proxy/src/quota/mod.rs
@@ -122,7 +122,7 @@
     } else {
         ASSUMED_PROXIES
     };
-    heartbeat.known_proxies > required_above
+    heartbeat.known_proxy_count > required_above
 }
 
 /// Splits a count name into its slot and its tenant.
--- a/crates/proxy/src/quota/share.rs
+++ b/crates/proxy/src/quota/share.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-use damsonbeam_control::allotment::{AbsentAllotments, EQUAL_PART, PARTS};
+use damsonbeam_control::allotment::{AbsentAllotments, EQUAL_SHARE_FRACTION, TOTAL_PARTS};
 use damsonbeam_control::messages::Allotment;
 use rand::Rng;
 
@@ -36,7 +36,7 @@
         if !is_connected_to_latest_term || !std::mem::take(&mut self.needs_holding_report) {
             return None;
         }
-        Some((self.term, self.holding.report(now)))
+        Some((self.term, self.holding.take_report(now)))
     }
 
     /// Applies a change of the allotments held here; returns whether to acknowledge it.
@@ -47,7 +47,7 @@
         allotments: &[Allotment],
         now: Duration,
     ) -> bool {
-        self.holding.change(term, revision, allotments, now)
+        self.holding.apply_change(term, revision, allotments, now)
     }
 
     /// Records the coordinator's confirmation of this proxy's report, the number of proxies that
@@ -68,14 +68,14 @@
         let by_tenant = by_tenant.map(|allotment| (allotment.tenant.clone(), allotment.parts));
         self.absent = Some(AbsentParts {
             by_tenant: by_tenant.collect(),
-            default_parts: absent.of_unlisted,
+            default_parts: absent.parts_per_unlisted_tenant,
         });
     }
 
     /// Returns this proxy's share of a tenant's quota while the coordinator is out of contact.
     fn own_share(&self, tenant: &str, now: Duration) -> f64 {
-        let allotted = f64::from(self.holding.parts(tenant, now)) / f64::from(PARTS);
-        EQUAL_PART / self.known_proxies + (1.0 - EQUAL_PART) * allotted
+        let allotted = f64::from(self.holding.parts(tenant, now)) / f64::from(TOTAL_PARTS);
+        EQUAL_SHARE_FRACTION / self.known_proxies + (1.0 - EQUAL_SHARE_FRACTION) * allotted
     }
 
     /// Returns the part of a tenant's quota that is left to the proxies in contact with the
@@ -86,8 +86,8 @@
             Some(absent) => {
                 let parts = absent.by_tenant.get(tenant);
                 let parts = parts.copied().unwrap_or(absent.default_parts);
-                let allotted = f64::from(parts.min(PARTS)) / f64::from(PARTS);
-                EQUAL_PART * unattached_fraction + (1.0 - EQUAL_PART) * allotted
+                let allotted = f64::from(parts.min(TOTAL_PARTS)) / f64::from(TOTAL_PARTS);
+                EQUAL_SHARE_FRACTION * unattached_fraction + (1.0 - EQUAL_SHARE_FRACTION) * allotted
             }
             None => unattached_fraction,
         };
--- a/crates/proxy/src/routing_table.rs
+++ b/crates/proxy/src/routing_table.rs
@@ -139,8 +139,8 @@
     /// Returns the regions that may serve a request. If both route and tenant have home regions,
     /// these are the regions they have in common.
     pub fn home_regions(route: &Route, tenant: Option<&Tenant>) -> HomeRegions {
-        let tenant_homes = tenant.map_or(&[][..], |tenant| &tenant.home_regions[..]);
-        match (&route.home_regions[..], tenant_homes) {
+        let tenant_homes = tenant.map_or(&[][..], |tenant| &tenant.serving_regions[..]);
+        match (&route.serving_regions[..], tenant_homes) {
             ([], []) => None,
             (homes, []) | ([], homes) => Some(homes.iter().cloned().collect()),
             (homes, others) => {
--- a/crates/proxy/tests/backend_pool.rs
+++ b/crates/proxy/tests/backend_pool.rs
@@ -19,7 +19,7 @@
             port: 80,
         },
         zone: zone.into(),
-        slots: 6,
+        capacity_slots: 6,
         draining: false,
         warm_up_left_ms: 0,
     }
--- a/crates/proxy/tests/config_transfer.rs
+++ b/crates/proxy/tests/config_transfer.rs
@@ -6,7 +6,7 @@
 use damsonbeam_control::address::{Endpoint, Ip};
 use damsonbeam_control::config::{ConfigSnapshot, Item, ItemKey, ItemKind, ProposalNumber};
 use damsonbeam_control::messages::{Backend, BackendList, BackendListVersion, TransferMessage};
-use damsonbeam_control::transfer::answer;
+use damsonbeam_control::transfer::answer_message;
 use damsonbeam_proxy::config_transfer::{BackendPages, ConfigTransfer, Progress};
 
 const NOW: Duration = Duration::ZERO;
@@ -40,7 +40,7 @@
         let Some(message) = requests.pop() else {
             break;
         };
-        let reply = answer(snapshot, &message).expect("an answer");
+        let reply = answer_message(snapshot, &message).expect("an answer");
         if let TransferMessage::Chunk { items, .. } = &reply {
             bytes += items.iter().map(Item::wire_bytes).sum::<usize>();
         }
@@ -94,7 +94,7 @@
     );
 
     snapshot.insert(item(1, 2));
-    let late_answer = answer(
+    let late_answer = answer_message(
         &snapshot,
         &transfer
             .begin(SECOND_REGISTRY, &received, NOW)
@@ -122,7 +122,7 @@
             port: 8080,
         },
         zone: "z".into(),
-        slots: 1,
+        capacity_slots: 1,
         draining: false,
         warm_up_left_ms: 0,
     };
--- a/crates/proxy/tests/coordinator.rs
+++ b/crates/proxy/tests/coordinator.rs
@@ -11,7 +11,7 @@
 fn heartbeat((ip, term): (Ip, u64), time_ms: u64) -> Heartbeat {
     Heartbeat {
         coordinator: Some(LeaseHolder { ip, term }),
-        time_ms,
+        coordinator_time_ms: time_ms,
         ..Heartbeat::default()
     }
 }
--- a/crates/proxy/tests/data_plane.rs
+++ b/crates/proxy/tests/data_plane.rs
@@ -189,7 +189,7 @@
         service: "s".into(),
         address: (*address).into(),
         zone: "a".into(),
-        slots: 2,
+        capacity_slots: 2,
         draining: false,
         warm_up_left_ms: 0,
     });
--- a/crates/proxy/tests/load_reports.rs
+++ b/crates/proxy/tests/load_reports.rs
@@ -17,7 +17,7 @@
             port: 80,
         },
         zone: "a".into(),
-        slots: 2,
+        capacity_slots: 2,
         draining: false,
         warm_up_left_ms: 0,
     }
--- a/crates/proxy/tests/quota.rs
+++ b/crates/proxy/tests/quota.rs
@@ -6,7 +6,9 @@
 
 use std::time::Duration;
 
-use damsonbeam_control::allotment::{AbsentAllotments, AllotmentLedger, EQUAL_PART, PARTS};
+use damsonbeam_control::allotment::{
+    AbsentAllotments, AllotmentLedger, EQUAL_SHARE_FRACTION, TOTAL_PARTS,
+};
 use damsonbeam_control::messages::{Allotment, Heartbeat, NamedCount};
 use damsonbeam_proxy::quota::{ASSUMED_PROXIES, QuotaCounter, is_proxy_count_usable};
 use damsonbeam_registry::counts::SharedCounts;
@@ -92,10 +94,10 @@
 fn new_proxy_admits_an_equal_share_and_small_time_steps_rename_no_slot() {
     let mut counter = QuotaCounter::default();
     counter.set_rate("x", 100.0, 0.5);
-    // A new proxy has an equal part of `EQUAL_PART` (0.3) of the quota, divided by the assumed
+    // A new proxy has an equal part of `EQUAL_SHARE_FRACTION` (0.3) of the quota, divided by the assumed
     // number of proxies.
     let admitted = (0..8000).filter(|ms| !is_refused(&mut counter, "4/x", at(*ms)));
-    let equal_share = 8.0 * 100.0 * EQUAL_PART / f64::from(ASSUMED_PROXIES);
+    let equal_share = 8.0 * 100.0 * EQUAL_SHARE_FRACTION / f64::from(ASSUMED_PROXIES);
     let admitted = admitted.count() as f64;
     assert!(
         admitted > 0.8 * equal_share && admitted <= equal_share + 1.0,
@@ -153,12 +155,12 @@
     now: Duration,
 ) {
     for (number, proxy) in (0..).zip(&mut *proxies) {
-        ledger.see(number, now);
+        ledger.record_contact(number, now);
         proxy
             .quota
             .receive_allotment_status(1, 0, &AbsentAllotments::default(), now);
     }
-    for change in ledger.divide(&totals.take_demands(), now) {
+    for change in ledger.rebalance(&totals.take_demands(), now) {
         let quota = &mut proxies[change.incarnation as usize].quota;
         if quota.change_allotments(1, change.revision, &change.allotments, now) {
             ledger.acknowledge(change.incarnation, change.revision);
@@ -187,7 +189,7 @@
     totals.set_rate(TENANT, rate);
     let mut ledger = AllotmentLedger::default();
     ledger.begin_term(true, at(0));
-    (0..proxies.len()).for_each(|proxy| ledger.report(proxy as u64, &[], at(0)));
+    (0..proxies.len()).for_each(|proxy| ledger.record_report(proxy as u64, &[], at(0)));
     let mut in_flight: Vec<InFlight> = Vec::new();
     let mut admitted_ms = Vec::new();
     let mut pending_requests = 0.0;
@@ -319,7 +321,7 @@
     let is_usable = |in_contact, proxies| {
         is_proxy_count_usable(&Heartbeat {
             in_contact,
-            known_proxies: proxies,
+            known_proxy_count: proxies,
             ..Heartbeat::default()
         })
     };
@@ -369,9 +371,9 @@
             parts,
         }]
     };
-    assert!(counter.change_allotments(1, 1, &allotted(PARTS / 2), at(0)));
+    assert!(counter.change_allotments(1, 1, &allotted(TOTAL_PARTS / 2), at(0)));
     assert!(
-        !counter.change_allotments(1, 1, &allotted(PARTS), at(0)),
+        !counter.change_allotments(1, 1, &allotted(TOTAL_PARTS), at(0)),
         "a repeated revision is not applied"
     );
     counter.disconnect();
@@ -383,13 +385,13 @@
     // then on.
     counter.set_coordinator(2, true);
     let held = counter.take_holding_report(at(20_000));
-    assert_eq!(held, Some((2, allotted(PARTS / 2).to_vec())));
+    assert_eq!(held, Some((2, allotted(TOTAL_PARTS / 2).to_vec())));
     assert_eq!(
         counter.take_holding_report(at(20_000)),
         None,
         "reported only once"
     );
-    assert!(!counter.change_allotments(1, 2, &allotted(PARTS), at(20_001)));
+    assert!(!counter.change_allotments(1, 2, &allotted(TOTAL_PARTS), at(20_001)));
     counter.set_coordinator(2, false);
     counter.set_coordinator(2, true);
     assert!(
@@ -409,11 +411,11 @@
     counter.receive_totals(1, &[named_count("7/x", 8.0, 8.0)], at(0));
     let absent = Allotment {
         tenant: TENANT.into(),
-        parts: PARTS / 2,
+        parts: TOTAL_PARTS / 2,
     };
     let absent = AbsentAllotments {
         by_tenant: vec![absent],
-        of_unlisted: PARTS,
+        parts_per_unlisted_tenant: TOTAL_PARTS,
     };
     counter.receive_allotment_status(1, 0, &absent, at(0));
     // Out-of-contact proxies hold a tenth of the equal part of 0.3 and half of the allotted 0.7.
@@ -426,7 +428,7 @@
     // allotment that nobody has reported.
     let unknown = AbsentAllotments {
         by_tenant: vec![],
-        of_unlisted: PARTS,
+        parts_per_unlisted_tenant: TOTAL_PARTS,
     };
     counter.receive_allotment_status(1, 0, &unknown, at(0));
     let total = counter.add("7/x", 0.0, at(0));
--- a/crates/proxy/tests/quota_worlds/simulation.rs
+++ b/crates/proxy/tests/quota_worlds/simulation.rs
@@ -171,7 +171,7 @@
         for (proxy, span) in &scenario.restarts {
             if span.end == ms {
                 // The connections of the old process have ended, and a new incarnation reports.
-                self.ledger.release(self.nodes[*proxy].incarnation);
+                self.ledger.remove_holder(self.nodes[*proxy].incarnation);
                 self.nodes[*proxy] = self.start_proxy(*proxy, ms);
             }
         }
@@ -222,10 +222,10 @@
         }
         let now = Duration::from_millis(ms);
         let incarnation = message.incarnation;
-        self.ledger.see(incarnation, now);
+        self.ledger.record_contact(incarnation, now);
         match &message.body {
             Body::Report(reports) => self.receive_report(ms, message, reports),
-            Body::HoldingReport(holdings) => self.ledger.report(incarnation, holdings, now),
+            Body::HoldingReport(holdings) => self.ledger.record_report(incarnation, holdings, now),
             Body::AllotmentsSet(revision) => self.ledger.acknowledge(incarnation, *revision),
             _ => {}
         }
@@ -324,7 +324,7 @@
 
     fn divide(&mut self, ms: u64, term: u64) {
         let demands = self.counts.take_demands();
-        for change in self.ledger.divide(&demands, Duration::from_millis(ms)) {
+        for change in self.ledger.rebalance(&demands, Duration::from_millis(ms)) {
             let is_receiver = |node: &Node| node.incarnation == change.incarnation;
             let Some(proxy) = self.nodes.iter().position(is_receiver) else {
                 continue;
@@ -341,7 +341,8 @@
             // Reachable proxies send statuses continually.
             if !self.is_disconnected(proxy, ms) && !self.is_down(proxy, ms) {
                 self.nodes[proxy].last_seen_ms = ms;
-                self.ledger.see(self.nodes[proxy].incarnation, now);
+                self.ledger
+                    .record_contact(self.nodes[proxy].incarnation, now);
             }
         }
         let is_attached = |node: &&Node| ms < node.last_seen_ms + ATTACHED_TIMEOUT_MS;
@@ -359,8 +360,8 @@
             };
             self.send(ms, proxy, term, body);
             if self.ledger.may_renew(self.nodes[proxy].incarnation, now) {
-                let missing_part = f64::from(known - attached) / f64::from(known);
-                let absent = self.ledger.absent(missing_part, now);
+                let missing_fraction = f64::from(known - attached) / f64::from(known);
+                let absent = self.ledger.absent_allotments(missing_fraction, now);
                 self.send(ms, proxy, term, Body::AllotmentStatus(absent));
             }
         }
--- a/crates/proxy/tests/unserved.rs
+++ b/crates/proxy/tests/unserved.rs
@@ -21,7 +21,7 @@
         services: vec![],
         max_attempts: 1,
         public_access: false,
-        home_regions: vec![],
+        serving_regions: vec![],
     };
     let tenant = Tenant {
         name: "house".into(),
@@ -29,7 +29,7 @@
         api_keys: vec![],
         rate_per_s: 1.0,
         burst: 1.0,
-        home_regions: vec![],
+        serving_regions: vec![],
     };
     RouteAndTenant {
         route: Some(Rc::new(route)),
--- a/crates/registry/src/allotments.rs
+++ b/crates/registry/src/allotments.rs
@@ -23,7 +23,7 @@
         if self.role.acting_term(&self.lease, now) == Some(term) {
             let incarnation = session.status().incarnation;
             let ledger = self.role.allotments_mut();
-            ledger.report(incarnation, allotments, now);
+            ledger.record_report(incarnation, allotments, now);
         }
     }
 
@@ -63,12 +63,15 @@
         let attached = self.proxies.attached_count(now);
         let known = self.proxies.known_count(now).max(1);
         let missing_fraction = known.saturating_sub(attached) as f64 / known as f64;
-        let absent = self.role.allotments().absent(missing_fraction, now);
+        let absent = self
+            .role
+            .allotments()
+            .absent_allotments(missing_fraction, now);
         let message = Message::AllotmentStatus {
             term,
             departed_proxies: self.proxies.departed_count() as u32,
             absent: absent.by_tenant,
-            absent_of_unlisted: absent.of_unlisted,
+            absent_parts_per_unlisted_tenant: absent.parts_per_unlisted_tenant,
         };
         for (_, session) in self.proxies.all() {
             let incarnation = session.status().incarnation;
--- a/crates/registry/src/backend_list.rs
+++ b/crates/registry/src/backend_list.rs
@@ -60,7 +60,7 @@
         service: text("target_service")?,
         address: std::net::SocketAddr::V4(address).into(),
         zone: text("zone")?,
-        slots: entry.get("capacity_slots")?.as_u64()? as u32,
+        capacity_slots: entry.get("capacity_slots")?.as_u64()? as u32,
         draining: text("state")? != READY,
         warm_up_left_ms: warm_up_left_ms.unwrap_or(0.0).max(0.0) as u64,
     })
--- a/crates/registry/src/coordinator.rs
+++ b/crates/registry/src/coordinator.rs
@@ -143,7 +143,7 @@
         }
         self.last_division = now;
         let demands = self.counts.take_demands();
-        Some((term, self.allotments.divide(&demands, now)))
+        Some((term, self.allotments.rebalance(&demands, now)))
     }
 
     /// Records the counts reported by an incarnation of a proxy; returns the totals under the same names, or `None` if
--- a/crates/registry/src/host_homes.rs
+++ b/crates/registry/src/host_homes.rs
@@ -44,10 +44,10 @@
     }
 
     fn add(&mut self, route: Route) {
-        if route.home_regions.is_empty() {
+        if route.serving_regions.is_empty() {
             return;
         }
-        let homes = route.home_regions.into_iter().collect();
+        let homes = route.serving_regions.into_iter().collect();
         let routes = self.homes.entry(route.host.clone()).or_default();
         routes.insert(route.name.clone(), homes);
         self.hosts.insert(route.name, route.host);
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -41,7 +41,7 @@
 use std::time::Duration;
 
 use damsonbeam_control::link::{LinkError, listen};
-use damsonbeam_control::program::check_reloaded_settings;
+use damsonbeam_control::program::handle_sighup;
 use damsonbeam_control::settings::{InternalPort, Settings};
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::task::spawn_local;
@@ -97,7 +97,7 @@
                 let datagrams = registry.borrow_mut().tick();
                 gossip.send(datagrams).await;
             }
-            _ = hangup.recv() => check_reloaded_settings("registry"),
+            _ = hangup.recv() => handle_sighup("registry"),
             _ = terminate.recv() => {
                 let datagrams = registry.borrow_mut().leave();
                 gossip.send(datagrams).await;
--- a/crates/registry/src/links.rs
+++ b/crates/registry/src/links.rs
@@ -27,8 +27,8 @@
         link::configure(&stream);
         let registry = registry.clone();
         tokio::task::spawn_local(async move {
-            let (mut reader, sender) = link::split(stream);
-            while let Ok(message) = reader.next::<Message>(link::SILENCE_TIMEOUT).await {
+            let (mut reader, sender) = link::into_reader_and_sender(stream);
+            while let Ok(message) = reader.next::<Message>(link::LINK_TIMEOUT).await {
                 registry
                     .borrow_mut()
                     .receive_from_proxy(link, &sender, message);
@@ -47,7 +47,7 @@
     };
     loop {
         if let Ok(stream) = link::connect(address, CONNECT_TIMEOUT).await {
-            let (mut reader, sender) = link::split(stream);
+            let (mut reader, sender) = link::into_reader_and_sender(stream);
             registry.borrow_mut().store_connected(sender);
             while let Ok(message) = reader.next::<Message>(STORE_SILENCE_TIMEOUT).await {
                 registry.borrow_mut().receive_from_store(message);
--- a/crates/registry/src/operators.rs
+++ b/crates/registry/src/operators.rs
@@ -106,7 +106,11 @@
     if addresses.is_empty() {
         return error_response(StatusCode::SERVICE_UNAVAILABLE, NO_PROXY);
     }
-    let ttl_s = DIRECTORY_TTL_S.min(registry.settings().bound("ttl_max_s", DIRECTORY_TTL_S));
+    let ttl_s = DIRECTORY_TTL_S.min(
+        registry
+            .settings()
+            .timing_bound("ttl_max_s", DIRECTORY_TTL_S),
+    );
     json_response(
         StatusCode::OK,
         report::to_json(&LookupReport { addresses, ttl_s }),
@@ -114,7 +118,12 @@
 }
 
 async fn evacuate(registry: &SharedRegistry, zone: String, evacuated: bool) -> HttpResponse {
-    if !registry.borrow().settings().regions.contains_key(&zone) {
+    if !registry
+        .borrow()
+        .settings()
+        .regions_by_zone
+        .contains_key(&zone)
+    {
         return error_response(StatusCode::NOT_FOUND, "no such zone");
     }
     let action = if evacuated { "requested" } else { "ended" };
--- a/crates/registry/src/platform.rs
+++ b/crates/registry/src/platform.rs
@@ -52,7 +52,7 @@
     let drain = registry
         .borrow()
         .settings()
-        .bound_ms("drain_ms", DEFAULT_DRAIN_MS);
+        .timing_bound_ms("drain_ms", DEFAULT_DRAIN_MS);
     let poll_interval = drain.mul_f64(POLL_FRACTION_OF_DRAIN);
     loop {
         let Some(term) = registry.borrow().acting_term() else {
--- a/crates/registry/src/proxy_updates.rs
+++ b/crates/registry/src/proxy_updates.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use damsonbeam_control::address::{Ip, octets};
+use damsonbeam_control::address::{Ip, ip_octets};
 use damsonbeam_control::config::Item;
 use damsonbeam_control::link::MessageSender;
 use damsonbeam_control::messages::{
@@ -69,14 +69,14 @@
             0
         };
         let heartbeat = Heartbeat {
-            time_ms: self.time.now_ms().unwrap_or(0),
+            coordinator_time_ms: self.time.now_ms().unwrap_or(0),
             registries: self.registries(),
             in_contact: self.is_in_contact(),
             coordinator: self.lease.holder(now),
-            known_proxies: self.proxies.known_count(now) as u32,
-            attached_proxies: self.proxies.attached_count(now) as u32,
-            nearby_proxies: 0,
-            position: 0,
+            known_proxy_count: self.proxies.known_count(now) as u32,
+            connected_proxy_count: self.proxies.attached_count(now) as u32,
+            region_proxy_count: 0,
+            region_position: 0,
             config_digest,
             backend_list: self.backends.version,
         };
@@ -101,8 +101,8 @@
         let nearby = || round.ready.iter().filter(|(of, _)| *of == region);
         let before = nearby().take_while(|(_, node)| *node < status.node);
         session.send(&Message::Heartbeat(Heartbeat {
-            nearby_proxies: nearby().count() as u32,
-            position: before.count() as u32,
+            region_proxy_count: nearby().count() as u32,
+            region_position: before.count() as u32,
             ..round.heartbeat.clone()
         }));
         if session.exchanges_load_reports() {
@@ -124,9 +124,11 @@
         let now = self.now();
         let pushes = self.pushes_to(&status);
         let node = status.node.clone();
-        self.role.allotments_mut().see(status.incarnation, now);
+        self.role
+            .allotments_mut()
+            .record_contact(status.incarnation, now);
         if let Some(replaced) = self.proxies.observe(&status, now) {
-            self.role.allotments_mut().release(replaced);
+            self.role.allotments_mut().remove_holder(replaced);
         }
         if !self.proxies.update_status(link, status, sender, now) {
             return;
@@ -152,7 +154,7 @@
         if let Some(CountTotals { term, totals }) = totals {
             session.send(&Message::CountTotals { term, totals });
             self.proxies.record_activity(link, now);
-            self.role.allotments_mut().see(incarnation, now);
+            self.role.allotments_mut().record_contact(incarnation, now);
         }
     }
 
@@ -171,7 +173,7 @@
         if !self.has_all_items {
             return;
         }
-        let answer = transfer::answer(&self.config, message);
+        let answer = transfer::answer_message(&self.config, message);
         if let (Some(answer), Some(session)) = (answer, self.proxies.get(link)) {
             session.send(&Message::Transfer(answer));
         }
@@ -229,11 +231,11 @@
     let ips = |addresses: &[SocketAddr]| -> Vec<Ip> {
         addresses
             .iter()
-            .map(|address| octets(address.ip()))
+            .map(|address| ip_octets(address.ip()))
             .collect()
     };
-    Message::Partners {
-        near: ips(&partners.near),
-        far: ips(&partners.far),
+    Message::Peers {
+        same_region: ips(&partners.near),
+        other_regions: ips(&partners.far),
     }
 }
--- a/crates/registry/src/registry.rs
+++ b/crates/registry/src/registry.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use damsonbeam_control::address::{Ip, ip_addr, octets};
+use damsonbeam_control::address::{Ip, ip_addr, ip_octets};
 use damsonbeam_control::config::ConfigSnapshot;
 use damsonbeam_control::contact::Contact;
 use damsonbeam_control::lease::LeaseElection;
@@ -65,8 +65,8 @@
 
 impl Registry {
     pub(crate) fn new(settings: Rc<Settings>) -> Self {
-        let own_ip = octets(settings.ip_address);
-        let seeds: BTreeSet<Ip> = settings.seed_ips().into_iter().map(octets).collect();
+        let own_ip = ip_octets(settings.ip_address);
+        let seeds: BTreeSet<Ip> = settings.seed_ips().into_iter().map(ip_octets).collect();
         let seeds: Vec<Ip> = seeds.into_iter().collect();
         Registry {
             settings,
@@ -99,7 +99,11 @@
     }
 
     pub(crate) fn region_of(&self, zone: &str) -> String {
-        self.settings.regions.get(zone).cloned().unwrap_or_default()
+        self.settings
+            .regions_by_zone
+            .get(zone)
+            .cloned()
+            .unwrap_or_default()
     }
 
     /// Returns all registries not known to be dead, this one first.
@@ -115,7 +119,7 @@
     /// Returns whether this registry may answer for the whole system: a majority of the voters has answered recently,
     /// and the known voters are at most one epoch behind the highest epoch that other registries have reported.
     pub(crate) fn is_in_contact(&self) -> bool {
-        self.contact.is_in_contact(self.now()) && !self.lease.is_behind()
+        self.contact.is_in_contact(self.now()) && !self.lease.knows_newer_epoch()
     }
 
     /// Returns the term under which this registry may act as the coordinator now; `None` if it may not.
@@ -256,7 +260,7 @@
         encode(&Datagram {
             from: self.own_ip,
             epoch: self.lease.epoch(),
-            time_ms: self.time.now_ms(),
+            coordinator_time_ms: self.time.now_ms(),
             body,
             updates: self.membership.updates_for(to),
         })
@@ -270,7 +274,8 @@
             .lease
             .holder(now)
             .is_some_and(|holder| holder.ip == from);
-        self.time.observe(datagram.time_ms, is_coordinator);
+        self.time
+            .observe(datagram.coordinator_time_ms, is_coordinator);
         self.lease.observe_epoch(datagram.epoch);
         if let GossipBody::Pong { number } = datagram.body {
             self.contact.receive_answer(from, number);
@@ -319,23 +324,26 @@
         message: Message,
     ) {
         match message {
-            Message::Status { status, time_ms } => {
+            Message::Status {
+                status,
+                coordinator_time_ms: time_ms,
+            } => {
                 self.time.observe(time_ms, false);
                 self.lease.observe_term(status.term);
                 self.receive_status(link, sender, status);
             }
             Message::CountReport(counts) => self.receive_counts(link, &counts),
             Message::Transfer(message) => self.answer_transfer(link, &message),
-            Message::AllotmentsHeld { term, allotments } => {
+            Message::AllotmentReport { term, allotments } => {
                 self.receive_allotments(link, term, &allotments);
             }
-            Message::AllotmentsSet { term, revision } => {
+            Message::AllotmentsAck { term, revision } => {
                 self.acknowledge_allotments(link, term, revision);
             }
-            Message::Departed => self.proxy_departed(link),
-            Message::PullBackends => self.send_backends(Some(link)),
-            Message::PullPartners => self.proxies.enable_load_reports(link),
-            Message::Ack { number } => self.proxies.acknowledge(link, number),
+            Message::ProxyShutdown => self.proxy_departed(link),
+            Message::RequestBackends => self.send_backends(Some(link)),
+            Message::RequestPeers => self.proxies.enable_load_reports(link),
+            Message::UpdateAck { number } => self.proxies.acknowledge(link, number),
             _ => {}
         }
     }
@@ -349,7 +357,7 @@
         let status = session.status();
         log::info!("proxies: {} disconnected.", status.node);
         if self.proxies.is_gone(status) {
-            self.role.allotments_mut().release(status.incarnation);
+            self.role.allotments_mut().remove_holder(status.incarnation);
         }
     }
 
@@ -357,7 +365,7 @@
     fn proxy_departed(&mut self, link: LinkNumber) {
         if let Some(status) = self.proxies.record_departure(link) {
             log::info!("proxies: {} has left by plan.", status.node);
-            self.role.allotments_mut().release(status.incarnation);
+            self.role.allotments_mut().remove_holder(status.incarnation);
         }
     }
 }
--- a/crates/registry/src/state_report.rs
+++ b/crates/registry/src/state_report.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use damsonbeam_control::address::{ip_addr, ip_texts};
+use damsonbeam_control::address::{ip_addr, ip_strings};
 
 use crate::registry::Registry;
 use crate::report::{self, CoordinatorReport, ListReport, ProxyReport, StateReport};
@@ -22,11 +22,14 @@
         report::to_json(&StateReport {
             registry: self.settings.node_name.clone(),
             up_ms: now.as_millis() as u64,
-            registries: ip_texts(self.membership.alive()),
+            registries: ip_strings(self.membership.alive()),
             epoch: self.lease.epoch(),
-            voters: ip_texts(voters.iter().copied()),
+            voters: ip_strings(voters.iter().copied()),
             in_contact: self.is_in_contact(),
-            contact_age_ms: self.contact.age(now).map(|age| age.as_millis() as u64),
+            contact_age_ms: self
+                .contact
+                .contact_age(now)
+                .map(|age| age.as_millis() as u64),
             coordinator,
             store_reached: self.store.is_connected(),
             items: self.config.items().len(),
--- a/crates/registry/src/store_messages.rs
+++ b/crates/registry/src/store_messages.rs
@@ -1,6 +1,6 @@
 //! Processes the messages of the store on this machine: voters, committed items and replies to commands.
 
-use damsonbeam_control::address::ip_texts;
+use damsonbeam_control::address::ip_strings;
 use damsonbeam_control::config::{Item, ItemKind, Tenant};
 use damsonbeam_control::link::MessageSender;
 use damsonbeam_control::messages::Message;
@@ -25,7 +25,7 @@
     /// Processes a message of the store.
     pub(crate) fn receive_from_store(&mut self, message: Message) {
         match message {
-            Message::Roster { ips } => {
+            Message::CoreMachines { ips } => {
                 let own_ip = self.own_ip;
                 self.membership
                     .add_seeds(ips.into_iter().filter(|ip| *ip != own_ip));
@@ -38,7 +38,7 @@
                 }
             }
             Message::Committed { items, complete } => self.apply_committed(items, complete),
-            Message::StoreBackends(backends) => {
+            Message::LastKnownBackends(backends) => {
                 self.lease.observe_term(backends.version.term);
                 if backends.version > self.backends.version {
                     self.backends = backends;
@@ -54,7 +54,7 @@
         if voters.epoch <= self.lease.epoch() {
             return;
         }
-        let ips = ip_texts(voters.voters().iter().copied()).join(" ");
+        let ips = ip_strings(voters.voters().iter().copied()).join(" ");
         log::info!("voters: epoch {}, {ips}.", voters.epoch);
         self.membership.add_seeds(voters.voters().iter().copied());
         self.contact.set_voters(voters.clone());
--- a/crates/registry/src/store_session.rs
+++ b/crates/registry/src/store_session.rs
@@ -152,14 +152,14 @@
             return;
         }
         if let Some(sender) = &self.sender {
-            sender.send(&Message::Roster { ips: alive.clone() });
+            sender.send(&Message::CoreMachines { ips: alive.clone() });
             self.roster_sent = alive;
         }
     }
 
     pub(crate) fn send_backends(&self, backends: &BackendList) {
         if let Some(sender) = &self.sender {
-            sender.send(&Message::StoreBackends(backends.clone()));
+            sender.send(&Message::LastKnownBackends(backends.clone()));
         }
     }
 }
--- a/crates/registry/tests/backend_list.rs
+++ b/crates/registry/tests/backend_list.rs
@@ -1,7 +1,9 @@
 //! Tests of the platform's list: parsing of its pages, detection of changes, and the pages sent to proxies.
 
 use damsonbeam_control::address::Endpoint;
-use damsonbeam_control::messages::{Backend, BackendList, BackendListVersion, CHUNK_BYTES, encode};
+use damsonbeam_control::messages::{
+    Backend, BackendList, BackendListVersion, MAX_CHUNK_BYTES, encode,
+};
 use damsonbeam_registry::backend_list::{Page, has_changed, next_revision, read_page, split_pages};
 
 #[test]
@@ -51,7 +53,7 @@
             port: 8080,
         },
         zone: format!("region-{}-a", n % 5),
-        slots: 6,
+        capacity_slots: 6,
         draining: n.is_multiple_of(9),
         warm_up_left_ms: 0,
     };
@@ -64,7 +66,11 @@
         backends: (0..5_300).map(backend).collect(),
     };
     let pages = split_pages(&list);
-    assert!(pages.iter().all(|page| encode(page).len() <= CHUNK_BYTES));
+    assert!(
+        pages
+            .iter()
+            .all(|page| encode(page).len() <= MAX_CHUNK_BYTES)
+    );
     assert!(pages.iter().all(|page| page.version == version));
     let backends: Vec<Backend> = pages.into_iter().flat_map(|page| page.backends).collect();
     assert_eq!(backends, list.backends);
--- a/crates/registry/tests/coordinator.rs
+++ b/crates/registry/tests/coordinator.rs
@@ -26,7 +26,7 @@
             port: 80,
         },
         zone: "z".into(),
-        slots: 6,
+        capacity_slots: 6,
         draining: false,
         warm_up_left_ms: 0,
     }
@@ -174,8 +174,8 @@
     all[0].receive(
         OTHER,
         &LeaseMessage::Refuse {
-            epoch: 1,
-            term: term + 1,
+            highest_epoch: 1,
+            highest_term: term + 1,
         },
         at(3010),
     );
