--- a/crates/account/src/lib.rs
+++ b/crates/account/src/lib.rs
@@ -43,7 +43,7 @@
     /// The first `MAX_REPORTED_LINES` faulty lines, as `file:line: reason`.
     pub faulty: Vec<String>,
     /// Number of all faulty lines.
-    pub faulty_lines: usize,
+    pub malformed_line_count: usize,
 }
 
 /// Why the logs can't be added up.
@@ -62,7 +62,7 @@
     NoFiles(String),
     /// No file has a valid `account` line.
     #[error(
-        "{folder}: no account lines; gateways write them with DAMSONBEAM_LOG=debug ({files} log files, {faulty_lines} faulty lines)"
+        "{folder}: no account lines; gateways write them with DAMSONBEAM_LOG=debug ({files} log files, {malformed_line_count} faulty lines)"
     )]
     NoLines {
         /// The folder.
@@ -70,7 +70,7 @@
         /// Number of files read.
         files: usize,
         /// Number of faulty lines.
-        faulty_lines: usize,
+        malformed_line_count: usize,
     },
     /// The table can't be written.
     #[error("{0}")]
@@ -128,7 +128,7 @@
         return Err(AccountError::NoLines {
             folder,
             files: account.files,
-            faulty_lines: account.faulty_lines,
+            malformed_line_count: account.malformed_line_count,
         });
     }
     Ok(account)
@@ -140,7 +140,7 @@
         self.files += 1;
         for (position, line) in text.lines().enumerate() {
             if let Err(error) = self.add_line(line) {
-                self.faulty_lines += 1;
+                self.malformed_line_count += 1;
                 if self.faulty.len() < MAX_REPORTED_LINES {
                     let number = position + 1;
                     self.faulty.push(format!("{name}:{number}: {error}"));
--- a/crates/account/tests/account.rs
+++ b/crates/account/tests/account.rs
@@ -30,7 +30,7 @@
         account.summary().contains("+0"),
         "the summary shows the second with the maximum"
     );
-    assert_eq!(account.faulty_lines, 0);
+    assert_eq!(account.malformed_line_count, 0);
 }
 
 #[test]
@@ -51,7 +51,10 @@
         .join("\n"),
     );
     assert_eq!(
-        (account.faulty_lines, account.counts["sent.cold"][&7]),
+        (
+            account.malformed_line_count,
+            account.counts["sent.cold"][&7]
+        ),
         (4, 2)
     );
     for (n, reason) in [
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -242,8 +242,11 @@
     let account = damsonbeam_account::read(folder).map_err(|error| error.to_string())?;
     account.faulty.iter().for_each(|fault| eprintln!("{fault}"));
     print!("{}", account.summary());
-    if account.faulty_lines > 0 {
-        println!("{} log lines could not be used", account.faulty_lines);
+    if account.malformed_line_count > 0 {
+        println!(
+            "{} log lines could not be used",
+            account.malformed_line_count
+        );
     }
     let Some(path) = csv else { return Ok(()) };
     let table = account.csv().map_err(|error| error.to_string())?;
--- a/crates/config-store/src/consensus/durable.rs
+++ b/crates/config-store/src/consensus/durable.rs
@@ -3,12 +3,12 @@
 use damsonbeam_control::address::Ip;
 use damsonbeam_control::config::{ConfigSnapshot, Item, ProposalNumber};
 
-use super::voters::{FOUNDER_DISK_ID, VoterSet};
+use super::voters::{INITIAL_DISK_ID, VoterSet};
 
 /// The durable state of a replica.
 #[derive(Clone, Debug, Default, PartialEq, Hash)]
 pub struct DurableState {
-    /// The id of the disk, chosen at random when the store is created; a founder's is [`FOUNDER_DISK_ID`].
+    /// The id of the disk, chosen at random when the store is created; a founder's is [`INITIAL_DISK_ID`].
     pub disk_id: u64,
     /// The highest proposal number promised.
     pub promised: ProposalNumber,
@@ -43,7 +43,7 @@
     }
 
     /// Returns whether this disk's id is in the latest voter set it knows.
-    pub fn has_vote(&self) -> bool {
+    pub fn is_voter(&self) -> bool {
         let set = VoterSet::committed(&self.committed);
         set.is_some_and(|set| {
             set.voters()
@@ -54,7 +54,7 @@
 
     /// Returns the writes that initialize an empty disk at the first start of the system: the seeds, which are the same
     /// on all machines, are the first voters. Returns `None` if the disk is not empty or there are no seeds.
-    pub fn founding_writes(&self, own_ip: Ip, seeds: &[Ip]) -> Option<Vec<DurableWrite>> {
+    pub fn initial_writes(&self, own_ip: Ip, seeds: &[Ip]) -> Option<Vec<DurableWrite>> {
         let has_promised = self.promised != ProposalNumber::default();
         let is_empty = self.accepted.items().is_empty() && !has_promised;
         if !is_empty || seeds.is_empty() {
@@ -66,7 +66,7 @@
             DurableWrite::Committed(vec![voters]),
         ];
         if seeds.contains(&own_ip) {
-            writes.push(DurableWrite::DiskId(FOUNDER_DISK_ID));
+            writes.push(DurableWrite::DiskId(INITIAL_DISK_ID));
         }
         Some(writes)
     }
--- a/crates/config-store/src/consensus/replica.rs
+++ b/crates/config-store/src/consensus/replica.rs
@@ -12,7 +12,7 @@
 use super::proposer::Promise;
 use super::round::Round;
 use super::timing::UNCOMMITTED_ITEMS_TIMEOUT;
-use super::voters::{FOUNDER_DISK_ID, Voter, VoterSet};
+use super::voters::{INITIAL_DISK_ID, Voter, VoterSet};
 use super::{DurableState, Effect};
 
 /// A forwarded command, and the time at which it is applied here instead.
@@ -167,7 +167,7 @@
     /// one disk id, the address.
     pub(super) fn proposer_id(&self) -> u64 {
         match self.durable.disk_id {
-            FOUNDER_DISK_ID => u64::from(u32::from_be_bytes(self.own_ip)),
+            INITIAL_DISK_ID => u64::from(u32::from_be_bytes(self.own_ip)),
             id => id,
         }
     }
--- a/crates/config-store/src/consensus/voters.rs
+++ b/crates/config-store/src/consensus/voters.rs
@@ -9,7 +9,7 @@
 
 /// The disk id of the founders, which are the seeds at the first start of the system. It is fixed, so that all
 /// replicas can name the first voters without communicating.
-pub const FOUNDER_DISK_ID: u64 = 0;
+pub const INITIAL_DISK_ID: u64 = 0;
 
 /// A replica, identified by its address and disk id: after the loss of its disk it is a different replica. The type is
 /// stored and sent in an encoding that depends on the order of its fields.
@@ -34,7 +34,7 @@
     pub fn founding(seeds: &[Ip]) -> Self {
         let voter = |ip: &Ip| Voter {
             ip: *ip,
-            disk_id: FOUNDER_DISK_ID,
+            disk_id: INITIAL_DISK_ID,
         };
         VoterSet {
             epoch: 1,
--- a/crates/config-store/src/process/mod.rs
+++ b/crates/config-store/src/process/mod.rs
@@ -103,7 +103,7 @@
     if settings.initial_start {
         let seeds = settings.seed_nodes.iter().map(|seed| ip_octets(seed.ip()));
         let seeds: Vec<Ip> = seeds.collect();
-        if let Some(writes) = state.durable.founding_writes(own_ip, &seeds) {
+        if let Some(writes) = state.durable.initial_writes(own_ip, &seeds) {
             disk.persist(&writes)?;
             writes.iter().for_each(|write| state.durable.apply(write));
         }
--- a/crates/config-store/tests/answers.rs
+++ b/crates/config-store/tests/answers.rs
@@ -17,7 +17,7 @@
 fn new_replica(founders: usize, incarnation: u64) -> Replica {
     let seeds: Vec<Ip> = (0..founders).map(ip).collect();
     let mut disk = DurableState::default();
-    disk.founding_writes(ip(0), &seeds)
+    disk.initial_writes(ip(0), &seeds)
         .expect("empty")
         .iter()
         .for_each(|write| disk.apply(write));
@@ -246,7 +246,7 @@
 fn a_reply_to_an_earlier_incarnation_is_ignored() {
     let seeds: Vec<Ip> = (0..3).map(ip).collect();
     let mut disk = DurableState::default();
-    disk.founding_writes(ip(2), &seeds)
+    disk.initial_writes(ip(2), &seeds)
         .expect("empty")
         .iter()
         .for_each(|write| disk.apply(write));
@@ -303,7 +303,7 @@
 
     let seeds: Vec<Ip> = (0..3).map(ip).collect();
     let mut disk = DurableState::default();
-    disk.founding_writes(ip(1), &seeds)
+    disk.initial_writes(ip(1), &seeds)
         .expect("empty")
         .iter()
         .for_each(|write| disk.apply(write));
--- a/crates/config-store/tests/model.rs
+++ b/crates/config-store/tests/model.rs
@@ -308,7 +308,7 @@
                 disk_id: disk_id(n, 0),
                 ..DurableState::default()
             };
-            disk.founding_writes(ip(n), &seeds)
+            disk.initial_writes(ip(n), &seeds)
                 .expect("empty")
                 .iter()
                 .for_each(|write| disk.apply(write));
--- a/crates/config-store/tests/version_before.rs
+++ b/crates/config-store/tests/version_before.rs
@@ -5,7 +5,7 @@
 
 use std::path::{Path, PathBuf};
 
-use damsonbeam_config_store::consensus::voters::{FOUNDER_DISK_ID, VoterSet};
+use damsonbeam_config_store::consensus::voters::{INITIAL_DISK_ID, VoterSet};
 use damsonbeam_config_store::consensus::{DurableWrite, Effect, Replica};
 use damsonbeam_config_store::disk::{Disk, StoredState};
 use damsonbeam_control::address::Ip;
@@ -65,7 +65,7 @@
     assert_eq!(
         (durable.disk_id, durable.promised),
         (
-            FOUNDER_DISK_ID,
+            INITIAL_DISK_ID,
             ProposalNumber {
                 round: 6,
                 proposer: 0x7f4d_0101
@@ -128,7 +128,7 @@
             .voters()
             .first()
             .map(|voter| (voter.ip, voter.disk_id)),
-        Some((OWN_IP, FOUNDER_DISK_ID))
+        Some((OWN_IP, INITIAL_DISK_ID))
     );
 }
 
--- a/crates/config-store/tests/worlds/main.rs
+++ b/crates/config-store/tests/worlds/main.rs
@@ -224,7 +224,7 @@
 fn founder(n: usize) -> DurableState {
     let mut disk = DurableState::default();
     let seeds: Vec<Ip> = (0..3).map(ip).collect();
-    disk.founding_writes(ip(n), &seeds)
+    disk.initial_writes(ip(n), &seeds)
         .expect("empty disk")
         .iter()
         .for_each(|write| disk.apply(write));
--- a/crates/config-store/tests/worlds/world.rs
+++ b/crates/config-store/tests/worlds/world.rs
@@ -141,7 +141,7 @@
             sim.replace_disk(n);
             let writes = sim.machines[n]
                 .disk
-                .founding_writes(ip(n), &seeds)
+                .initial_writes(ip(n), &seeds)
                 .expect("empty disk");
             writes
                 .iter()
--- a/crates/ctl/src/stores.rs
+++ b/crates/ctl/src/stores.rs
@@ -22,7 +22,7 @@
         roster,
         backends,
     } = read_store(folder)?;
-    let vote_status = if durable.has_vote() {
+    let vote_status = if durable.is_voter() {
         "has a vote"
     } else {
         "has no vote yet"
@@ -72,7 +72,7 @@
     let durable = read_store(folder)?.durable;
     let valid = durable.committed.validate();
     valid.map_err(|error| CtlError::file(folder, error))?;
-    if !durable.has_vote() {
+    if !durable.is_voter() {
         let reason =
             "has no vote yet: the store is new, restarted without its data or was replaced";
         return Err(CtlError::file(folder, reason));
--- a/crates/gateway/src/attempts.rs
+++ b/crates/gateway/src/attempts.rs
@@ -71,7 +71,7 @@
     /// The request was not executed.
     Declined(Refusal),
     /// The response belongs to another request.
-    Misplaced,
+    OtherRequest,
 }
 
 /// How an attempt ended.
@@ -131,7 +131,7 @@
             Verdict::Declined(refusal) => {
                 Ending::NotExecuted(NotExecuted(Evidence::Declined(refusal)))
             }
-            Verdict::Misplaced => Ending::Unknown,
+            Verdict::OtherRequest => Ending::Unknown,
         }
     }
 
--- a/crates/gateway/src/backends/attempt.rs
+++ b/crates/gateway/src/backends/attempt.rs
@@ -224,7 +224,7 @@
         };
         let protocol = &self.pools.protocol;
         let verdict = protocol.verdict(&request.headers, status, &headers);
-        if verdict == Verdict::Misplaced {
+        if verdict == Verdict::OtherRequest {
             // The response belongs to another request, and so may all further data on this connection.
             cancel_handle.cancel();
             reporter
--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -195,12 +195,12 @@
     }
 
     /// Halves the maximum number of connections while the previous process of this gateway is still running.
-    pub fn share_with_predecessor(&self) {
+    pub fn halve_connection_limit(&self) {
         self.max_connections.set(self.max_connections_alone / 2);
     }
 
     /// Restores the full maximum number of connections once the previous process has ended.
-    pub fn use_all_connections(&self) {
+    pub fn restore_connection_limit(&self) {
         self.max_connections.set(self.max_connections_alone);
     }
 
@@ -404,7 +404,7 @@
     }
 
     /// Waits until all connection tasks have ended, including those of evicted connections.
-    pub async fn all_gone(&self) {
+    pub async fn wait_until_closed(&self) {
         while self.running_tasks.get() > 0 {
             self.connection_ended.notified().await;
         }
--- a/crates/gateway/src/clients/invocation.rs
+++ b/crates/gateway/src/clients/invocation.rs
@@ -15,7 +15,7 @@
 use crate::bodies::{self, RequestBody, ResponseBody, StreamEnd, StreamedBody};
 use crate::log::log;
 use crate::messages::{Answer, ForwardedRequest, ToDispatcher};
-use crate::shutdown_admission::ELSEWHERE;
+use crate::shutdown_admission::SHUTDOWN_RETRY_DELAY;
 use crate::sizes::{BODY, LARGE};
 
 /// Time limit for an invocation whose body is still arriving. The time limit of the client starts only with the last
@@ -26,7 +26,7 @@
     /// Returns the response to a request that is rejected because the process is shutting down.
     pub(super) fn shutdown_response(&self) -> ClientResponse {
         let answer = Answer::Throttled {
-            after: Some(ELSEWHERE),
+            after: Some(SHUTDOWN_RETRY_DELAY),
             reason: RejectReason::QueueTooLong,
             none_executed: true,
         };
--- a/crates/gateway/src/dispatcher/actions.rs
+++ b/crates/gateway/src/dispatcher/actions.rs
@@ -8,7 +8,7 @@
 
 use super::{Dispatcher, Timer};
 use crate::log::log;
-use crate::messages::{Answer, CounterCall, ToBackend, ToCounter, ToListWatcher, ToPeers};
+use crate::messages::{Answer, CounterCall, PeerDatagram, ToBackend, ToCounter, ToListWatcher};
 
 /// Values of the label `when` of the metric `turned_away`.
 const AFTER_ATTEMPT: &str = "after_delivery";
@@ -54,7 +54,7 @@
             Action::Probe { backend_id } => self.skip_probe(backend_id),
             Action::SendToPeers { to, bytes } => {
                 if let Some(peers) = &self.peers {
-                    peers.try_send(ToPeers { to, bytes }).ok();
+                    peers.try_send(PeerDatagram { to, bytes }).ok();
                 }
             }
             Action::WatchBackendList { on } => {
--- a/crates/gateway/src/dispatcher/mod.rs
+++ b/crates/gateway/src/dispatcher/mod.rs
@@ -30,7 +30,7 @@
 use crate::clock::Clock;
 use crate::messages::{
     Answer, AttemptEnded, BackendHandle, BackendListUpdate, BackendResponse, CancelHandle,
-    ForwardedRequest, ToCounter, ToDispatcher, ToListWatcher, ToPeers,
+    ForwardedRequest, PeerDatagram, ToCounter, ToDispatcher, ToListWatcher,
 };
 use crate::peer_admissions::{self, PeerAdmissions};
 
@@ -101,7 +101,7 @@
     /// The watcher of the list of backends.
     pub list_watcher: mpsc::Sender<ToListWatcher>,
     /// The other gateways, if there are any.
-    pub peers: Option<mpsc::Sender<ToPeers>>,
+    pub peers: Option<mpsc::Sender<PeerDatagram>>,
     /// The units that the other gateways reported as admitted, and the gateways to report to; `None` if gateways don't
     /// report to each other.
     pub peer_admissions: Option<(PeerAdmissions, Vec<GatewayId>)>,
--- a/crates/gateway/src/dispatcher/peer_reports.rs
+++ b/crates/gateway/src/dispatcher/peer_reports.rs
@@ -5,7 +5,7 @@
 use damsonbeam::interface::{Event, PeerUnits};
 
 use super::{Dispatcher, Timer};
-use crate::messages::ToPeers;
+use crate::messages::PeerDatagram;
 use crate::peer_admissions;
 use crate::sizes::DATAGRAM;
 
@@ -20,7 +20,7 @@
         let admitted = self.rules.admitted_units(now);
         for bytes in peer_admissions.report(&admitted, DATAGRAM) {
             for gateway in to.iter() {
-                let datagram = ToPeers {
+                let datagram = PeerDatagram {
                     to: Some(*gateway),
                     bytes: bytes.clone(),
                 };
--- a/crates/gateway/src/dispatcher/shutdown.rs
+++ b/crates/gateway/src/dispatcher/shutdown.rs
@@ -4,7 +4,7 @@
 
 use super::Dispatcher;
 use crate::messages::{Answer, Unanswered};
-use crate::shutdown_admission::ELSEWHERE;
+use crate::shutdown_admission::SHUTDOWN_RETRY_DELAY;
 
 impl Dispatcher {
     /// Refuses the unanswered requests of which no attempt was executed or is in flight, while their clients still have
@@ -52,7 +52,7 @@
 
 fn refusal() -> Answer {
     Answer::Throttled {
-        after: Some(ELSEWHERE),
+        after: Some(SHUTDOWN_RETRY_DELAY),
         reason: RejectReason::QueueTooLong,
         none_executed: true,
     }
--- a/crates/gateway/src/messages.rs
+++ b/crates/gateway/src/messages.rs
@@ -265,7 +265,7 @@
 }
 
 /// A message to other gateways.
-pub struct ToPeers {
+pub struct PeerDatagram {
     /// The receiver; `None` for all other gateways.
     pub to: Option<GatewayId>,
     /// The payload.
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -8,7 +8,7 @@
 use tokio::sync::mpsc;
 
 use crate::log::log;
-use crate::messages::{ToDispatcher, ToPeers};
+use crate::messages::{PeerDatagram, ToDispatcher};
 use crate::sizes::DATAGRAM;
 
 /// Actor that exchanges datagrams with the other gateways.
@@ -22,7 +22,7 @@
     /// Receives the messages of the other gateways.
     pub dispatcher: mpsc::Sender<ToDispatcher>,
     /// Datagrams to send.
-    pub mailbox: mpsc::Receiver<ToPeers>,
+    pub mailbox: mpsc::Receiver<PeerDatagram>,
 }
 
 impl Peers {
@@ -44,7 +44,7 @@
         loop {
             tokio::select! {
                 message = self.mailbox.recv() => {
-                    let Some(ToPeers { to, bytes }) = message else { return };
+                    let Some(PeerDatagram { to, bytes }) = message else { return };
                     let address = match to {
                         Some(gateway) => self.peers.get(gateway.0 as usize).copied(),
                         None => self.all,
--- a/crates/gateway/src/platform_protocol.rs
+++ b/crates/gateway/src/platform_protocol.rs
@@ -78,13 +78,13 @@
 }
 
 /// The client protocol with the current settings.
-pub struct PlatformRequests {
+pub struct PlatformProtocol {
     tables: RefCell<Rc<DecodingTables>>,
     figures: Figures,
     dispatcher: mpsc::Sender<ToDispatcher>,
 }
 
-impl PlatformRequests {
+impl PlatformProtocol {
     /// Creates the protocol with these settings; requests are sent to `dispatcher`.
     pub fn new(
         settings: &Settings,
@@ -95,7 +95,7 @@
             .operations
             .iter()
             .for_each(|operation| figures.name(&operation.name));
-        PlatformRequests {
+        PlatformProtocol {
             tables: RefCell::new(Rc::new(DecodingTables::new(settings))),
             figures: figures.clone(),
             dispatcher,
@@ -223,7 +223,7 @@
     is_valid.then(|| CustomerId(text.to_ascii_lowercase().into()))
 }
 
-impl ClientProtocol for PlatformRequests {
+impl ClientProtocol for PlatformProtocol {
     fn is_readiness_check(&self, uri: &hyper::Uri) -> bool {
         uri.path() == "/up"
     }
--- a/crates/gateway/src/server/mod.rs
+++ b/crates/gateway/src/server/mod.rs
@@ -100,7 +100,7 @@
                 }
                 () = predecessor_ended(&mut running.predecessor) => {
                     running.predecessor = None;
-                    running.clients.use_all_connections();
+                    running.clients.restore_connection_limit();
                 }
                 ended = running.actors.next() => return Err(ServerError::ActorEnded(format!("{ended:?}"))),
             }
@@ -122,16 +122,16 @@
         running.stop_accepting();
         // Every invocation ends by its client's deadline; a client that never reads its response must not delay the
         // exit.
-        let all_gone = async {
+        let all_closed = async {
             let mut close_idle = interval(CLOSE_IDLE_INTERVAL);
             loop {
                 tokio::select! {
-                    () = running.clients.all_gone() => return,
+                    () = running.clients.wait_until_closed() => return,
                     _ = close_idle.tick() => running.clients.close(),
                 }
             }
         };
-        timeout_at(deadline, all_gone).await.ok();
+        timeout_at(deadline, all_closed).await.ok();
         self.phase.enter(Phase::Ended, name);
         Ok(())
     }
--- a/crates/gateway/src/server/running.rs
+++ b/crates/gateway/src/server/running.rs
@@ -22,7 +22,7 @@
 use crate::handover::{HandoverConnection, HandoverListener};
 use crate::log::log;
 use crate::messages::{ToCounter, ToDispatcher, ToListWatcher};
-use crate::platform_protocol::PlatformRequests;
+use crate::platform_protocol::PlatformProtocol;
 
 /// Lower bound of the longest integration timeout in the platform's grace period. SIGKILL follows SIGTERM no sooner than
 /// `max(longest integration timeout, MIN_LONGEST_TIMEOUT) + ACCEPT_AFTER_DRAIN`; the process exits [`EXIT_MARGIN`] before.
@@ -33,7 +33,7 @@
 pub(super) struct Running {
     pub(super) name: String,
     pub(super) clients: Rc<Clients>,
-    pub(super) protocol: Rc<PlatformRequests>,
+    pub(super) protocol: Rc<PlatformProtocol>,
     pub(super) listener: Rc<TcpListener>,
     /// The task that accepts connections; `None` while another process accepts them.
     pub(super) accepting: Option<JoinHandle<()>>,
--- a/crates/gateway/src/server/start.rs
+++ b/crates/gateway/src/server/start.rs
@@ -31,10 +31,10 @@
 use crate::dispatcher::{Dispatcher, DispatcherState};
 use crate::handover::{self, HandoverConnection};
 use crate::log::log;
-use crate::messages::{ToCounter, ToDispatcher, ToListWatcher, ToPeers};
+use crate::messages::{PeerDatagram, ToCounter, ToDispatcher, ToListWatcher};
 use crate::peer_admissions::PeerAdmissions;
 use crate::peers::Peers;
-use crate::platform_protocol::PlatformRequests;
+use crate::platform_protocol::PlatformProtocol;
 
 /// Holds all messages that the other actors can have in transit to the dispatcher.
 const DISPATCHER_MAILBOX_CAPACITY: usize = 4096;
@@ -99,7 +99,7 @@
         let counter = &running.figures.handovers;
         counter.with_label_values(&[&format!("{state:?}")]).inc();
         if state == Successor::Follows {
-            running.clients.share_with_predecessor();
+            running.clients.halve_connection_limit();
             running.predecessor = Some(connection);
         }
         running.start_accepting();
@@ -139,7 +139,10 @@
     }
 
     /// Starts the actor that exchanges messages with the other gateways, if the configuration allows it.
-    fn start_peers(&self, config: &Config) -> Result<Option<mpsc::Sender<ToPeers>>, ServerError> {
+    fn start_peers(
+        &self,
+        config: &Config,
+    ) -> Result<Option<mpsc::Sender<PeerDatagram>>, ServerError> {
         let Some(address) = config
             .peer_listen
             .filter(|_| config.settings.limits.may_message_peers)
@@ -161,9 +164,9 @@
     }
 
     /// Creates the clients' actor and the decoder of their requests.
-    fn clients(&self, config: &Config, server: &Server) -> (Rc<PlatformRequests>, Rc<Clients>) {
+    fn clients(&self, config: &Config, server: &Server) -> (Rc<PlatformProtocol>, Rc<Clients>) {
         let protocol =
-            PlatformRequests::new(&config.settings, &self.figures, self.dispatcher.clone());
+            PlatformProtocol::new(&config.settings, &self.figures, self.dispatcher.clone());
         let protocol = Rc::new(protocol);
         let clients = Clients::new(
             protocol.clone(),
@@ -251,7 +254,7 @@
 struct DispatcherMailboxes {
     counter: Option<mpsc::Sender<ToCounter>>,
     list_watcher: mpsc::Sender<ToListWatcher>,
-    peers: Option<mpsc::Sender<ToPeers>>,
+    peers: Option<mpsc::Sender<PeerDatagram>>,
 }
 
 fn other_gateways(config: &Config) -> Vec<GatewayId> {
--- a/crates/gateway/src/shutdown_admission.rs
+++ b/crates/gateway/src/shutdown_admission.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 /// Retry delay for a client that is refused because the process ends; short, as another gateway can serve it at once.
-pub const ELSEWHERE: Duration = Duration::from_millis(20);
+pub const SHUTDOWN_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// Decay of the slow latency with each faster response: one slow response counts for about a hundred faster ones.
 const SLOW_LATENCY_DECAY: f64 = 0.98;
 /// A request is admitted if at least `SLOW_LATENCY_FACTOR * slow_latency` is left until the deadline.
--- a/crates/gateway/tests/attempts.rs
+++ b/crates/gateway/tests/attempts.rs
@@ -23,7 +23,7 @@
             1 => (sent.end_without_response(true), false),
             2 => (sent.end_with_response(Verdict::Succeeded), false),
             3 => (sent.end_with_response(Verdict::Failed), false),
-            4 => (sent.end_with_response(Verdict::Misplaced), false),
+            4 => (sent.end_with_response(Verdict::OtherRequest), false),
             5 => (
                 sent.end_with_response(Verdict::Declined(Refusal::Full)),
                 true,
--- a/crates/hollow/src/proxies.rs
+++ b/crates/hollow/src/proxies.rs
@@ -308,7 +308,7 @@
                         self.began.elapsed(),
                     );
                     self.quota
-                        .set_coordinator(time.term, known.coordinator_link().is_some());
+                        .set_coordinator(time.term, known.coordinator_sender().is_some());
                 }
             }
             ControlEvent::CountTotals { term, totals } => {
@@ -379,7 +379,7 @@
         if !reports.is_empty() {
             let known = self.known.borrow();
             known
-                .coordinator_link()
+                .coordinator_sender()
                 .map(|out| out.send(&Message::CountReport(reports)));
         }
     }
--- a/crates/lab/src/programs.rs
+++ b/crates/lab/src/programs.rs
@@ -9,7 +9,7 @@
 ///
 /// # Panics
 /// Panics where an assertion fails or the program or the file cannot be used.
-pub fn says_what_is_wrong_with_its_settings(program: &Path, part: &str) {
+pub fn assert_reports_invalid_settings(program: &Path, part: &str) {
     let run_with_settings = |settings_path: &str| {
         let output = Command::new(program)
             .env("DAMSONBEAM_CONFIG", settings_path)
--- a/crates/load-reports/src/observation.rs
+++ b/crates/load-reports/src/observation.rs
@@ -34,7 +34,7 @@
 
 /// How an attempt ended, as far as that says something about the backend.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum DeliveryEnd {
+pub enum AttemptEnd {
     /// The backend answered.
     Answered,
     /// The backend rejected the attempt because it was full.
@@ -99,7 +99,7 @@
     }
 
     /// Records the end of an attempt that took `took`. The attempt in progress with the nearest start time is removed.
-    pub fn end(&mut self, backend: BackendKey, end: DeliveryEnd, took: Duration, now: Duration) {
+    pub fn end(&mut self, backend: BackendKey, end: AttemptEnd, took: Duration, now: Duration) {
         let Some(recent) = self.by_backend.get_mut(&backend) else {
             return;
         };
@@ -109,13 +109,13 @@
             (0..recent.in_progress.len()).min_by_key(|n| recent.in_progress[*n].abs_diff(began));
         nearest.map(|n| recent.in_progress.swap_remove(n));
         match end {
-            DeliveryEnd::Cancelled => return,
-            DeliveryEnd::Answered => {
+            AttemptEnd::Cancelled => return,
+            AttemptEnd::Answered => {
                 recent.answered += 1.0;
                 recent.response_time_sum_s += took.as_secs_f64();
             }
-            DeliveryEnd::Full => recent.full += 1.0,
-            DeliveryEnd::Failed => recent.failed += 1.0,
+            AttemptEnd::Full => recent.full += 1.0,
+            AttemptEnd::Failed => recent.failed += 1.0,
         }
         recent.ended += 1.0;
     }
--- a/crates/load-reports/tests/observation.rs
+++ b/crates/load-reports/tests/observation.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use damsonbeam_load_reports::observation::{DeliveryEnd, Observer};
+use damsonbeam_load_reports::observation::{AttemptEnd, Observer};
 
 #[test]
 fn observations_decay_and_a_single_failure_is_not_a_full_failure_rate() {
@@ -10,7 +10,7 @@
     let mut observer = Observer::default();
     observer.begin(1, at(0));
     observer.begin(1, at(0));
-    observer.end(1, DeliveryEnd::Failed, at(10), at(10));
+    observer.end(1, AttemptEnd::Failed, at(10), at(10));
     let seen = observer.observe(1, at(10));
     assert_eq!(
         (seen.out, seen.usual_ms),
@@ -18,7 +18,7 @@
         "one attempt is in progress"
     );
     assert!(seen.failed < 100, "{seen:?}");
-    observer.end(1, DeliveryEnd::Answered, at(80), at(90));
+    observer.end(1, AttemptEnd::Answered, at(80), at(90));
     assert_eq!(observer.observe(1, at(90)).usual_ms, 80);
     assert!(
         observer.all(at(9000)).is_empty(),
--- a/crates/load-reports/tests/town.rs
+++ b/crates/load-reports/tests/town.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use damsonbeam_load_reports::gossip::{Datagram, Gossip, pack};
-use damsonbeam_load_reports::observation::{BackendKey, DeliveryEnd, Observation};
+use damsonbeam_load_reports::observation::{AttemptEnd, BackendKey, Observation};
 use damsonbeam_load_reports::summaries::{EXPIRY, Summary, SummaryTable};
 use damsonbeam_load_reports::weight::{BackendLoad, MIN_FACTOR, WeightFactors};
 use quickcheck::{Arbitrary, Gen, quickcheck};
@@ -166,7 +166,7 @@
                 let (took, now) = (at(self.now - sent), at(self.now));
                 self.proxies[n].gossip.observer.end(
                     b as BackendKey,
-                    DeliveryEnd::Answered,
+                    AttemptEnd::Answered,
                     took,
                     now,
                 );
--- a/crates/mirror/src/budget.rs
+++ b/crates/mirror/src/budget.rs
@@ -32,7 +32,7 @@
     /// The body is too large, or was not received completely.
     Body,
     /// The rule has no instance in an allowed region, or only ones with the address of a real backend.
-    Nowhere,
+    NoInstance,
     /// The mirrored request was sent, but no answer or only an incomplete one was received.
     Unanswered,
 }
@@ -45,7 +45,7 @@
             DropReason::Full => "full",
             DropReason::Overloaded => "pressed",
             DropReason::Body => "body",
-            DropReason::Nowhere => "nowhere",
+            DropReason::NoInstance => "nowhere",
             DropReason::Unanswered => "unanswered",
         }
     }
--- a/crates/mirror/src/selection.rs
+++ b/crates/mirror/src/selection.rs
@@ -26,7 +26,7 @@
 }
 
 /// Returns whether a rule mirrors the requests of a caller.
-pub fn is_chosen(rule: &MirrorRule, caller: Caller) -> bool {
+pub fn is_selected(rule: &MirrorRule, caller: Caller) -> bool {
     (caller as f64) < rule.share * 2f64.powi(64)
 }
 
--- a/crates/mirror/tests/selection.rs
+++ b/crates/mirror/tests/selection.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 
 use common::rule;
-use damsonbeam_mirror::selection::{ActiveRules, caller, instance, is_chosen};
+use damsonbeam_mirror::selection::{ActiveRules, caller, instance, is_selected};
 use quickcheck::quickcheck;
 
 quickcheck! {
@@ -15,7 +15,7 @@
         let (less, more) = (f64::from(a.min(b)) / 255.0, f64::from(a.max(b)) / 255.0);
         let (one, two) = (rule(1, less, ""), rule(7, more, ""));
         let caller_hash = caller(&one, &tenant, "k");
-        caller_hash == caller(&two, &tenant, "other key") && (!is_chosen(&one, caller_hash) || is_chosen(&two, caller_hash))
+        caller_hash == caller(&two, &tenant, "other key") && (!is_selected(&one, caller_hash) || is_selected(&two, caller_hash))
     }
 }
 
@@ -24,7 +24,7 @@
     let chosen = |share: f64| {
         let r = rule(1, share, "");
         (0..10_000)
-            .filter(|n| is_chosen(&r, caller(&r, &format!("tenant{n}"), "")))
+            .filter(|n| is_selected(&r, caller(&r, &format!("tenant{n}"), "")))
             .count()
     };
     assert_eq!((chosen(0.0), chosen(1.0)), (0, 10_000));
--- a/crates/proxy/src/control_client/state.rs
+++ b/crates/proxy/src/control_client/state.rs
@@ -13,7 +13,7 @@
 use tokio::time::Instant;
 
 use crate::config_transfer::{BackendPages, ConfigTransfer};
-use crate::coordinator::{CommonTime, Coordinator};
+use crate::coordinator::{Coordinator, CoordinatorTime};
 use crate::freshness::Freshness;
 
 /// A registry that no heartbeat has listed for this long is dropped, unless it is a seed.
@@ -82,7 +82,7 @@
     }
 
     /// Returns the coordinator's time, once a coordinator has reported it.
-    pub fn common_time(&self) -> Option<CommonTime> {
+    pub fn common_time(&self) -> Option<CoordinatorTime> {
         self.coordinator.time()
     }
 
@@ -92,7 +92,7 @@
     }
 
     /// Returns the sender of the connection to the coordinator, if the coordinator is connected.
-    pub fn coordinator_link(&self) -> Option<&MessageSender> {
+    pub fn coordinator_sender(&self) -> Option<&MessageSender> {
         self.senders.get(&self.coordinator.ip()?)
     }
 
--- a/crates/proxy/src/coordinator.rs
+++ b/crates/proxy/src/coordinator.rs
@@ -11,7 +11,7 @@
 
 /// The common time as reported by a coordinator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct CommonTime {
+pub struct CoordinatorTime {
     /// When the report was received.
     pub received_at: Instant,
     /// Common time at receipt, in milliseconds.
@@ -20,7 +20,7 @@
     pub term: u64,
 }
 
-impl CommonTime {
+impl CoordinatorTime {
     /// Returns the current common time in milliseconds.
     pub fn now_ms(&self) -> u64 {
         self.time_ms + self.received_at.elapsed().as_millis() as u64
@@ -31,7 +31,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Coordinator {
     holder: Option<LeaseHolder>,
-    time: Option<CommonTime>,
+    time: Option<CoordinatorTime>,
 }
 
 impl Coordinator {
@@ -46,7 +46,7 @@
     }
 
     /// Returns the common time, or `None` if no coordinator has reported it.
-    pub fn time(&self) -> Option<CommonTime> {
+    pub fn time(&self) -> Option<CoordinatorTime> {
         self.time
     }
 
@@ -61,7 +61,7 @@
         let is_own = holder.ip == from && self.holder == Some(holder);
         let is_new_term = self.time.is_none_or(|time| time.term < holder.term);
         if is_own && heartbeat.coordinator_time_ms > 0 && is_new_term {
-            self.time = Some(CommonTime {
+            self.time = Some(CoordinatorTime {
                 received_at: now,
                 time_ms: heartbeat.coordinator_time_ms,
                 term: holder.term,
--- a/crates/proxy/src/dispatch/mod.rs
+++ b/crates/proxy/src/dispatch/mod.rs
@@ -103,7 +103,7 @@
 }
 
 /// State shared by all module instances.
-pub struct SharedParts {
+pub struct DispatchContext {
     /// Known backends.
     pub backend_pool: Rc<RefCell<BackendPool>>,
     /// Retry budget of this proxy.
@@ -122,7 +122,7 @@
 
 /// All module instances of this proxy.
 pub struct Dispatchers {
-    shared: SharedParts,
+    shared: DispatchContext,
     nearby_proxies: u32,
     plans: Vec<Plan>,
     dispatchers: HashMap<DispatcherKey, DispatcherHandle>,
@@ -130,7 +130,7 @@
 
 impl Dispatchers {
     /// Creates an empty set; module instances are started when requests need them.
-    pub fn new(shared: SharedParts) -> Self {
+    pub fn new(shared: DispatchContext) -> Self {
         Dispatchers {
             shared,
             nearby_proxies: 1,
@@ -284,7 +284,7 @@
 
     /// Sends all modules a message about the end of the process; returns receivers for their
     /// unanswered requests.
-    pub fn send_end(
+    pub fn send_shutdown_message(
         &self,
         message: impl Fn(oneshot::Sender<Unanswered>) -> ToDispatcher,
     ) -> Vec<oneshot::Receiver<Unanswered>> {
@@ -343,7 +343,7 @@
     }
 
     /// Sets the number of proxies in this region.
-    pub fn set_nearby_proxies(&mut self, proxies: u32) {
+    pub fn set_region_proxies(&mut self, proxies: u32) {
         if proxies != self.nearby_proxies {
             self.nearby_proxies = proxies;
             self.update_settings();
--- a/crates/proxy/src/freshness.rs
+++ b/crates/proxy/src/freshness.rs
@@ -20,11 +20,11 @@
 
 /// The state with which a proxy begins to serve.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Basis {
+pub enum ServingState {
     /// State confirmed by a registry in contact.
     Current,
     /// State from registries out of contact only.
-    PossiblyOld,
+    PossiblyStale,
 }
 
 /// What is known about the state of the registries.
@@ -51,14 +51,14 @@
 
     /// Returns whether to begin to serve, and with which state. `is_complete` says whether routes
     /// and backends are known.
-    pub fn may_serve(&mut self, is_complete: bool, now: Duration) -> Option<Basis> {
+    pub fn serving_state(&mut self, is_complete: bool, now: Duration) -> Option<ServingState> {
         if !is_complete {
             return None;
         }
         if self.is_current() {
-            return Some(Basis::Current);
+            return Some(ServingState::Current);
         }
         let since = *self.complete_since.get_or_insert(now);
-        (now >= since + FALLBACK_AFTER).then_some(Basis::PossiblyOld)
+        (now >= since + FALLBACK_AFTER).then_some(ServingState::PossiblyStale)
     }
 }
--- a/crates/proxy/src/load_reports.rs
+++ b/crates/proxy/src/load_reports.rs
@@ -8,7 +8,7 @@
 use damsonbeam_control::address::Ip;
 use damsonbeam_control::messages::Backend;
 use damsonbeam_load_reports::gossip::Gossip;
-use damsonbeam_load_reports::observation::{BackendKey, DeliveryEnd, backend_key};
+use damsonbeam_load_reports::observation::{AttemptEnd, BackendKey, backend_key};
 use damsonbeam_load_reports::weight::{BackendLoad, WeightFactors};
 
 /// Interval between updates of the weight factors: two gossip rounds.
@@ -90,12 +90,12 @@
         now: Duration,
     ) {
         let end = match outcome {
-            Outcome::Ok => DeliveryEnd::Answered,
-            Outcome::Full => DeliveryEnd::Full,
+            Outcome::Ok => AttemptEnd::Answered,
+            Outcome::Full => AttemptEnd::Full,
             // An attempt that this proxy cancelled or never sent says nothing about the backend's load.
-            Outcome::Canceled | Outcome::Ignored => DeliveryEnd::Cancelled,
+            Outcome::Canceled | Outcome::Ignored => AttemptEnd::Cancelled,
             Outcome::Failed | Outcome::TimedOut | Outcome::ConnectFailed | Outcome::Reset => {
-                DeliveryEnd::Failed
+                AttemptEnd::Failed
             }
         };
         if let Some(key) = self.keys.get(&backend) {
--- a/crates/proxy/src/mirroring.rs
+++ b/crates/proxy/src/mirroring.rs
@@ -14,7 +14,7 @@
 use damsonbeam_gateway::messages::ForwardedRequest;
 use damsonbeam_mirror::budget::{Budget, DropReason, MAX_BODY_BYTES};
 use damsonbeam_mirror::selection::{
-    ActiveRules, COPY_TIMEOUT, Caller, caller, instance, is_chosen,
+    ActiveRules, COPY_TIMEOUT, Caller, caller, instance, is_selected,
 };
 use damsonbeam_mirror::sessions::{Answer, Sessions, digest};
 use http_body_util::{BodyExt, Full, Limited};
@@ -207,7 +207,7 @@
         let rules = rules.filter(|rule| rule.route_kinds.contains(&kind));
         let selected = rules.filter_map(|rule| {
             let caller = caller(rule, tenant, api_key);
-            let rule = is_chosen(rule, caller).then(|| Rc::new(rule.clone()))?;
+            let rule = is_selected(rule, caller).then(|| Rc::new(rule.clone()))?;
             Some(SelectedRule { rule, caller })
         });
         selected.collect()
@@ -261,7 +261,7 @@
         };
         let is_home = |region: &str| home_regions.as_ref().is_none_or(|r| r.contains(region));
         let instance = instance(rule, caller, &is_home, is_real);
-        let (instance, address) = instance.ok_or(DropReason::Nowhere)?;
+        let (instance, address) = instance.ok_or(DropReason::NoInstance)?;
         let now = self.clock.now();
         let budget = &mut self.state.borrow_mut().budget;
         budget.admit(rule, body.len(), self.proxies.get(), now)?;
--- a/crates/proxy/src/process/counts.rs
+++ b/crates/proxy/src/process/counts.rs
@@ -56,11 +56,11 @@
         let now = self.clock.now();
         if !self
             .counter
-            .change_allotments(term, revision, allotments, now)
+            .apply_allotment_change(term, revision, allotments, now)
         {
             return;
         }
-        if let Some(sender) = self.control.borrow().coordinator_link() {
+        if let Some(sender) = self.control.borrow().coordinator_sender() {
             sender.send(&Message::AllotmentsAck { term, revision });
         }
     }
@@ -68,10 +68,11 @@
     /// Reports the held quota allotments to the coordinator where a report is due, which is after a coordinator was
     /// connected.
     fn report_held_allotments(&mut self) {
-        let Some((term, allotments)) = self.counter.take_holding_report(self.clock.now()) else {
+        let Some((term, allotments)) = self.counter.take_held_allotments_report(self.clock.now())
+        else {
             return;
         };
-        if let Some(sender) = self.control.borrow().coordinator_link() {
+        if let Some(sender) = self.control.borrow().coordinator_sender() {
             sender.send(&Message::AllotmentReport { term, allotments });
         }
     }
@@ -83,7 +84,7 @@
         if reports.is_empty() {
             return;
         }
-        let is_sent = match self.control.borrow().coordinator_link() {
+        let is_sent = match self.control.borrow().coordinator_sender() {
             Some(sender) => sender.send(&Message::CountReport(reports)),
             None => false,
         };
--- a/crates/proxy/src/process/proxy.rs
+++ b/crates/proxy/src/process/proxy.rs
@@ -24,7 +24,7 @@
 use crate::backend_pool::{BackendPool, RegionPosition};
 use crate::control_client::{ControlEvent, SharedControlState};
 use crate::dispatch::{CountCall, Dispatchers};
-use crate::freshness::Basis;
+use crate::freshness::ServingState;
 use crate::mirroring::SharedMirror;
 use crate::quota::is_proxy_count_usable;
 use crate::retry_budget::RetryBudget;
@@ -184,7 +184,7 @@
             self.unserved.borrow_mut().set_term(time.term);
             let quota = &mut self.quota_client.counter;
             quota.set_time_offset(offset_s, self.clock.now());
-            quota.set_coordinator(time.term, control.coordinator_link().is_some());
+            quota.set_coordinator(time.term, control.coordinator_sender().is_some());
         }
     }
 
@@ -214,7 +214,7 @@
         }
         self.region_position = position;
         let mut dispatchers = self.dispatchers.borrow_mut();
-        dispatchers.set_nearby_proxies(position.proxies);
+        dispatchers.set_region_proxies(position.proxies);
         dispatchers.send_backends();
     }
 
@@ -302,7 +302,7 @@
         step: ShutdownStep,
         message: impl Fn(oneshot::Sender<Unanswered>) -> ToDispatcher,
     ) {
-        let replies = self.dispatchers.borrow().send_end(message);
+        let replies = self.dispatchers.borrow().send_shutdown_message(message);
         let reports = self.shutdown_reports.clone();
         tokio::task::spawn_local(sum_unanswered(step, replies, reports));
     }
@@ -333,12 +333,12 @@
             .control
             .borrow_mut()
             .freshness()
-            .may_serve(is_complete, now);
+            .serving_state(is_complete, now);
         let may_start = self.accept_task.is_none() && self.shutdown.is_none();
         let Some(basis) = basis.filter(|_| may_start) else {
             return Ok(());
         };
-        if basis == Basis::PossiblyOld {
+        if basis == ServingState::PossiblyStale {
             log::warn!(
                 "proxy: no registry that answers is in contact with a majority of the core; \
                  serving with data that may be out of date."
--- a/crates/proxy/src/process/start.rs
+++ b/crates/proxy/src/process/start.rs
@@ -24,7 +24,7 @@
 use super::proxy::{Proxy, ShutdownReport};
 use crate::backend_pool::BackendPool;
 use crate::control_client::{self, ControlEvent, ControlState};
-use crate::dispatch::{CountCall, Dispatchers, SharedParts};
+use crate::dispatch::{CountCall, DispatchContext, Dispatchers};
 use crate::load_reports::LoadReports;
 use crate::mirroring::Mirror;
 use crate::protocol::{ProxyBackendProtocol, ProxyClientProtocol};
@@ -248,7 +248,7 @@
             capacity.body_bytes,
             &shared.figures,
         );
-        Rc::new(RefCell::new(Dispatchers::new(SharedParts {
+        Rc::new(RefCell::new(Dispatchers::new(DispatchContext {
             backend_pool: shared.backend_pool.clone(),
             retry_budget: retry_budget.clone(),
             connection_pools,
--- a/crates/proxy/src/protocol.rs
+++ b/crates/proxy/src/protocol.rs
@@ -132,7 +132,7 @@
     fn reject_unrouted(&self, id: &str, error: RoutingError) -> Rejection {
         let (cause, status) = match error {
             RoutingError::NoRoute => (Cause::NoRoute, StatusCode::NOT_FOUND),
-            RoutingError::NoTenant => (Cause::UnknownKey, StatusCode::UNAUTHORIZED),
+            RoutingError::InvalidApiKey => (Cause::UnknownKey, StatusCode::UNAUTHORIZED),
         };
         self.record_unserved(id, cause, false, &RouteAndTenant::default());
         rejection(status)
@@ -364,7 +364,7 @@
     ) -> Verdict {
         match headers.get(&REQUEST_ID) {
             // The answer belongs to another request.
-            Some(id) if Some(id) != request_headers.get(&REQUEST_ID) => Verdict::Misplaced,
+            Some(id) if Some(id) != request_headers.get(&REQUEST_ID) => Verdict::OtherRequest,
             // An answer without an id may be the rest of an earlier answer, and proves nothing about this request.
             None => Verdict::Failed,
             Some(_) if status == StatusCode::MISDIRECTED_REQUEST => {
--- a/crates/proxy/src/quota/share.rs
+++ b/crates/proxy/src/quota/share.rs
@@ -31,7 +31,7 @@
 impl QuotaCounter {
     /// Returns the allotments held here and the coordinator's term if the connected coordinator has
     /// not been told yet; `None` otherwise.
-    pub fn take_holding_report(&mut self, now: Duration) -> Option<(u64, Vec<Allotment>)> {
+    pub fn take_held_allotments_report(&mut self, now: Duration) -> Option<(u64, Vec<Allotment>)> {
         let is_connected_to_latest_term = self.is_connected && self.connected_term == self.term;
         if !is_connected_to_latest_term || !std::mem::take(&mut self.needs_holding_report) {
             return None;
@@ -40,7 +40,7 @@
     }
 
     /// Applies a change of the allotments held here; returns whether to acknowledge it.
-    pub fn change_allotments(
+    pub fn apply_allotment_change(
         &mut self,
         term: u64,
         revision: u64,
--- a/crates/proxy/src/routing_table.rs
+++ b/crates/proxy/src/routing_table.rs
@@ -38,7 +38,7 @@
     NoRoute,
     /// The route requires a tenant's API key, and the request has no valid one.
     #[error("no tenant has this key")]
-    NoTenant,
+    InvalidApiKey,
 }
 
 /// The route and tenant of a request.
@@ -131,7 +131,7 @@
         }
         let tenant = key.and_then(|key| self.tenants_by_key.get(key));
         if tenant.is_none() && !self.tenants.is_empty() {
-            return Err(RoutingError::NoTenant);
+            return Err(RoutingError::InvalidApiKey);
         }
         Ok(RouteMatch { route, tenant })
     }
--- a/crates/proxy/tests/data_plane.rs
+++ b/crates/proxy/tests/data_plane.rs
@@ -15,7 +15,7 @@
 use damsonbeam_gateway::messages::{ToDispatcher, Unanswered};
 use damsonbeam_gateway::phase::{CurrentPhase, Phase};
 use damsonbeam_proxy::backend_pool::{BackendPool, RegionPosition};
-use damsonbeam_proxy::dispatch::{Dispatchers, SharedParts};
+use damsonbeam_proxy::dispatch::{DispatchContext, Dispatchers};
 use damsonbeam_proxy::mirroring::Mirror;
 use damsonbeam_proxy::protocol::{ProxyBackendProtocol, ProxyClientProtocol};
 use damsonbeam_proxy::retry_budget::RetryBudget;
@@ -211,7 +211,7 @@
         1 << 24,
         &figures,
     );
-    let dispatchers = Rc::new(RefCell::new(Dispatchers::new(SharedParts {
+    let dispatchers = Rc::new(RefCell::new(Dispatchers::new(DispatchContext {
         backend_pool: Rc::new(RefCell::new(backend_pool)),
         retry_budget: Rc::new(RefCell::new(RetryBudget::new(retries, retries * 100.0))),
         connection_pools,
@@ -276,7 +276,7 @@
         let replies = self
             .dispatchers
             .borrow()
-            .send_end(ToDispatcher::RefuseUnsent);
+            .send_shutdown_message(ToDispatcher::RefuseUnsent);
         let mut total = Unanswered::default();
         for reply in replies {
             let unanswered = reply.await.unwrap();
--- a/crates/proxy/tests/quota.rs
+++ b/crates/proxy/tests/quota.rs
@@ -160,9 +160,9 @@
             .quota
             .receive_allotment_status(1, 0, &AbsentAllotments::default(), now);
     }
-    for change in ledger.rebalance(&totals.take_demands(), now) {
+    for change in ledger.rebalance(&totals.decay_and_read_demands(), now) {
         let quota = &mut proxies[change.incarnation as usize].quota;
-        if quota.change_allotments(1, change.revision, &change.allotments, now) {
+        if quota.apply_allotment_change(1, change.revision, &change.allotments, now) {
             ledger.acknowledge(change.incarnation, change.revision);
         }
     }
@@ -225,7 +225,7 @@
             }
         }
         if ms.is_multiple_of(50) && is_coordinator_up(ms) {
-            let updates = totals.take_updates();
+            let updates = totals.take_due_totals();
             if !updates.is_empty() {
                 let update = |proxy| InFlight {
                     due_ms: ms + LATENCY_MS,
@@ -371,9 +371,9 @@
             parts,
         }]
     };
-    assert!(counter.change_allotments(1, 1, &allotted(TOTAL_PARTS / 2), at(0)));
+    assert!(counter.apply_allotment_change(1, 1, &allotted(TOTAL_PARTS / 2), at(0)));
     assert!(
-        !counter.change_allotments(1, 1, &allotted(TOTAL_PARTS), at(0)),
+        !counter.apply_allotment_change(1, 1, &allotted(TOTAL_PARTS), at(0)),
         "a repeated revision is not applied"
     );
     counter.disconnect();
@@ -384,18 +384,18 @@
     // Another coordinator is told the holdings, and changes of the previous one are refused from
     // then on.
     counter.set_coordinator(2, true);
-    let held = counter.take_holding_report(at(20_000));
+    let held = counter.take_held_allotments_report(at(20_000));
     assert_eq!(held, Some((2, allotted(TOTAL_PARTS / 2).to_vec())));
     assert_eq!(
-        counter.take_holding_report(at(20_000)),
+        counter.take_held_allotments_report(at(20_000)),
         None,
         "reported only once"
     );
-    assert!(!counter.change_allotments(1, 2, &allotted(TOTAL_PARTS), at(20_001)));
+    assert!(!counter.apply_allotment_change(1, 2, &allotted(TOTAL_PARTS), at(20_001)));
     counter.set_coordinator(2, false);
     counter.set_coordinator(2, true);
     assert!(
-        counter.take_holding_report(at(20_100)).is_some(),
+        counter.take_held_allotments_report(at(20_100)).is_some(),
         "reported again after a reconnect"
     );
 }
--- a/crates/proxy/tests/quota_worlds/simulation.rs
+++ b/crates/proxy/tests/quota_worlds/simulation.rs
@@ -246,7 +246,7 @@
                 attached,
             } => self.receive_heartbeat(ms, message, *time_ms, (*known, *attached)),
             Body::SetAllotments(revision, allotments) => {
-                let is_applied = quota.change_allotments(term, *revision, allotments, now);
+                let is_applied = quota.apply_allotment_change(term, *revision, allotments, now);
                 let answer = is_applied.then_some(Body::AllotmentsSet(*revision));
                 answer
                     .into_iter()
@@ -313,7 +313,7 @@
             self.send_heartbeats(ms, term);
         }
         if ms.is_multiple_of(BROADCAST_INTERVAL_MS) {
-            let totals = self.counts.take_updates();
+            let totals = self.counts.take_due_totals();
             if !totals.is_empty() {
                 for proxy in 0..self.nodes.len() {
                     self.send(ms, proxy, term, Body::Totals(totals.clone()));
@@ -323,7 +323,7 @@
     }
 
     fn divide(&mut self, ms: u64, term: u64) {
-        let demands = self.counts.take_demands();
+        let demands = self.counts.decay_and_read_demands();
         for change in self.ledger.rebalance(&demands, Duration::from_millis(ms)) {
             let is_receiver = |node: &Node| node.incarnation == change.incarnation;
             let Some(proxy) = self.nodes.iter().position(is_receiver) else {
@@ -380,7 +380,7 @@
             if !ms.is_multiple_of(REPORT_INTERVAL_MS) {
                 continue;
             }
-            let holdings = node.metered_proxy.quota.take_holding_report(now);
+            let holdings = node.metered_proxy.quota.take_held_allotments_report(now);
             let reports = node.metered_proxy.quota.take_reports(now);
             if let Some((term, holdings)) = holdings {
                 self.send(ms, proxy, term, Body::HoldingReport(holdings));
--- a/crates/proxy/tests/routing_table.rs
+++ b/crates/proxy/tests/routing_table.rs
@@ -37,7 +37,7 @@
     assert_eq!(find_names("/x/y/z", None), Ok(("two".into(), None)));
     assert_eq!(
         find_names("/x/z", Some("other")),
-        Err(RoutingError::NoTenant)
+        Err(RoutingError::InvalidApiKey)
     );
     assert_eq!(find_names("/xy", Some("k")), Err(RoutingError::NoRoute));
     let long_prefix = table
--- a/crates/registry/src/allotments.rs
+++ b/crates/registry/src/allotments.rs
@@ -4,7 +4,7 @@
 
 use damsonbeam_control::messages::{Allotment, Message};
 
-use crate::proxies::LinkNumber;
+use crate::proxies::ConnectionId;
 use crate::registry::Registry;
 
 impl Registry {
@@ -12,7 +12,7 @@
     /// ignored.
     pub(crate) fn receive_allotments(
         &mut self,
-        link: LinkNumber,
+        link: ConnectionId,
         term: u64,
         allotments: &[Allotment],
     ) {
@@ -28,7 +28,7 @@
     }
 
     /// Records that a proxy has applied a change of its allotments.
-    pub(crate) fn acknowledge_allotments(&mut self, link: LinkNumber, term: u64, revision: u64) {
+    pub(crate) fn acknowledge_allotments(&mut self, link: ConnectionId, term: u64, revision: u64) {
         let Some(session) = self.proxies.get(link) else {
             return;
         };
--- a/crates/registry/src/common_time.rs
+++ b/crates/registry/src/common_time.rs
@@ -10,15 +10,15 @@
 
 /// The time since the start of this process, and the offset of the common time, if known.
 #[derive(Debug)]
-pub(crate) struct CommonTime {
+pub(crate) struct CoordinatorTime {
     started: Instant,
     /// The common time minus the time since the start of this process, in milliseconds.
     offset_ms: Option<i64>,
 }
 
-impl CommonTime {
+impl CoordinatorTime {
     pub(crate) fn start() -> Self {
-        CommonTime {
+        CoordinatorTime {
             started: Instant::now(),
             offset_ms: None,
         }
--- a/crates/registry/src/coordinator.rs
+++ b/crates/registry/src/coordinator.rs
@@ -142,7 +142,7 @@
             return None;
         }
         self.last_division = now;
-        let demands = self.counts.take_demands();
+        let demands = self.counts.decay_and_read_demands();
         Some((term, self.allotments.rebalance(&demands, now)))
     }
 
@@ -170,7 +170,7 @@
         now: Duration,
     ) -> Option<CountTotals> {
         let term = self.acting_term(lease, now)?;
-        let totals = self.counts.take_updates();
+        let totals = self.counts.take_due_totals();
         (!totals.is_empty()).then_some(CountTotals { term, totals })
     }
 }
--- a/crates/registry/src/counts.rs
+++ b/crates/registry/src/counts.rs
@@ -76,7 +76,7 @@
 pub struct SharedCounts {
     counts: HashMap<String, Count>,
     tenants: BTreeMap<String, RequestRate>,
-    /// Names of hot tenants with reports since the last call of `take_updates`.
+    /// Names of hot tenants with reports since the last call of `take_due_totals`.
     updated: BTreeSet<String>,
     last_sweep: Duration,
 }
@@ -133,7 +133,7 @@
     }
 
     /// Returns the totals that are due to be sent to all proxies; each update is returned once.
-    pub fn take_updates(&mut self) -> Vec<NamedCount> {
+    pub fn take_due_totals(&mut self) -> Vec<NamedCount> {
         let names = std::mem::take(&mut self.updated);
         let total = |name: String| {
             let count = self.counts.get(&name)?;
@@ -147,7 +147,7 @@
     }
 
     /// Decays the demands and returns them by proxy, for each tenant with a quota. Older requests weigh less.
-    pub fn take_demands(&mut self) -> Vec<TenantDemand> {
+    pub fn decay_and_read_demands(&mut self) -> Vec<TenantDemand> {
         let limited = self.tenants.iter_mut();
         let limited = limited.filter(|(_, rate)| rate.quota_per_s > 0.0);
         let demands = limited.map(|(tenant, rate)| {
--- a/crates/registry/src/host_homes.rs
+++ b/crates/registry/src/host_homes.rs
@@ -8,14 +8,14 @@
 
 /// The home regions of routes, by host.
 #[derive(Debug, Default)]
-pub struct HostHomes {
+pub struct HomeRegionIndex {
     /// The host of each route with home regions, by route name.
     hosts: BTreeMap<String, String>,
     /// The home regions of each of these routes, by host and route name.
     homes: BTreeMap<String, BTreeMap<String, BTreeSet<String>>>,
 }
 
-impl HostHomes {
+impl HomeRegionIndex {
     /// Applies a changed item of the configuration.
     pub fn update(&mut self, item: &Item) {
         if item.key.kind != ItemKind::Route {
--- a/crates/registry/src/proxies.rs
+++ b/crates/registry/src/proxies.rs
@@ -15,7 +15,7 @@
 const ATTACHED_TIMEOUT: Duration = Duration::from_millis(1300);
 
 /// Identifies a connection of a proxy.
-pub(crate) type LinkNumber = u64;
+pub(crate) type ConnectionId = u64;
 
 /// The session with a proxy over one connection.
 pub(crate) struct ProxySession {
@@ -74,12 +74,12 @@
 /// The sessions with proxies by connection, and the state of each proxy across its connections.
 #[derive(Default)]
 pub(crate) struct ProxySessions {
-    sessions: BTreeMap<LinkNumber, ProxySession>,
+    sessions: BTreeMap<ConnectionId, ProxySession>,
     known: KnownProxies,
 }
 
 impl ProxySessions {
-    pub(crate) fn all(&self) -> impl Iterator<Item = (LinkNumber, &ProxySession)> {
+    pub(crate) fn all(&self) -> impl Iterator<Item = (ConnectionId, &ProxySession)> {
         self.sessions.iter().map(|(link, session)| (*link, session))
     }
 
@@ -87,11 +87,11 @@
         self.sessions.len()
     }
 
-    pub(crate) fn get(&self, link: LinkNumber) -> Option<&ProxySession> {
+    pub(crate) fn get(&self, link: ConnectionId) -> Option<&ProxySession> {
         self.sessions.get(&link)
     }
 
-    pub(crate) fn get_mut(&mut self, link: LinkNumber) -> Option<&mut ProxySession> {
+    pub(crate) fn get_mut(&mut self, link: ConnectionId) -> Option<&mut ProxySession> {
         self.sessions.get_mut(&link)
     }
 
@@ -165,7 +165,7 @@
     /// Stores the status received over a connection; returns whether the connection is new.
     pub(crate) fn update_status(
         &mut self,
-        link: LinkNumber,
+        link: ConnectionId,
         status: ProxyStatus,
         sender: &MessageSender,
         now: Duration,
@@ -188,26 +188,26 @@
     }
 
     /// Records activity on a connection. Count reports also show that a proxy is attached.
-    pub(crate) fn record_activity(&mut self, link: LinkNumber, now: Duration) {
+    pub(crate) fn record_activity(&mut self, link: ConnectionId, now: Duration) {
         if let Some(session) = self.sessions.get_mut(&link) {
             session.last_seen = now;
         }
     }
 
-    pub(crate) fn acknowledge(&mut self, link: LinkNumber, update: u64) {
+    pub(crate) fn acknowledge(&mut self, link: ConnectionId, update: u64) {
         if let Some(session) = self.sessions.get_mut(&link) {
             session.acknowledged = session.acknowledged.max(update);
         }
     }
 
-    pub(crate) fn enable_load_reports(&mut self, link: LinkNumber) {
+    pub(crate) fn enable_load_reports(&mut self, link: ConnectionId) {
         if let Some(session) = self.sessions.get_mut(&link) {
             session.exchanges_load_reports = true;
         }
     }
 
     /// Processes a departure notice; returns the proxy's last status.
-    pub(crate) fn record_departure(&mut self, link: LinkNumber) -> Option<&ProxyStatus> {
+    pub(crate) fn record_departure(&mut self, link: ConnectionId) -> Option<&ProxyStatus> {
         let session = self.sessions.get(&link)?;
         self.known.record_departure(&session.status);
         Some(&session.status)
@@ -219,7 +219,7 @@
     }
 
     /// Removes the session of a closed connection.
-    pub(crate) fn remove(&mut self, link: LinkNumber) -> Option<ProxySession> {
+    pub(crate) fn remove(&mut self, link: ConnectionId) -> Option<ProxySession> {
         self.sessions.remove(&link)
     }
 
--- a/crates/registry/src/proxy_updates.rs
+++ b/crates/registry/src/proxy_updates.rs
@@ -16,7 +16,7 @@
 use crate::coordinator::CountTotals;
 use crate::directory::ProxyEndpoint;
 use crate::partners::{self, Partners};
-use crate::proxies::{LinkNumber, ProxySession};
+use crate::proxies::{ConnectionId, ProxySession};
 use crate::registry::Registry;
 
 /// A registry other than the coordinator sends a heartbeat to proxies of other regions only once in this many rounds,
@@ -54,7 +54,7 @@
     }
 
     /// Sends a heartbeat to a proxy that has just connected.
-    fn send_first_heartbeat(&mut self, link: LinkNumber) {
+    fn send_first_heartbeat(&mut self, link: ConnectionId) {
         let round = self.prepare_heartbeats();
         if let Some(session) = self.proxies.get(link) {
             self.send_heartbeat(session, &round);
@@ -117,7 +117,7 @@
     /// registry pushes updates to it.
     pub(crate) fn receive_status(
         &mut self,
-        link: LinkNumber,
+        link: ConnectionId,
         sender: &MessageSender,
         status: ProxyStatus,
     ) {
@@ -142,7 +142,7 @@
 
     /// Records a proxy's counts and answers with the totals. A registry that is not the coordinator does not answer;
     /// without totals, the proxy limits itself to its own share of each quota.
-    pub(crate) fn receive_counts(&mut self, link: LinkNumber, counts: &[NamedCount]) {
+    pub(crate) fn receive_counts(&mut self, link: ConnectionId, counts: &[NamedCount]) {
         let now = self.now();
         let Some(session) = self.proxies.get(link) else {
             return;
@@ -169,7 +169,7 @@
 
     /// Answers a configuration transfer request of a proxy. A registry that does not have all committed items does not
     /// answer, because the proxy would take the partial configuration for the whole.
-    pub(crate) fn answer_transfer(&mut self, link: LinkNumber, message: &TransferMessage) {
+    pub(crate) fn answer_transfer(&mut self, link: ConnectionId, message: &TransferMessage) {
         if !self.has_all_items {
             return;
         }
@@ -190,7 +190,7 @@
             .proxies
             .all()
             .filter(|(_, session)| self.pushes_to(session.status()));
-        let targets: Vec<LinkNumber> = targets.map(|(link, _)| link).collect();
+        let targets: Vec<ConnectionId> = targets.map(|(link, _)| link).collect();
         for link in targets {
             let Some(session) = self.proxies.get_mut(link) else {
                 continue;
@@ -207,7 +207,7 @@
 
     /// Sends the list of backends to one proxy, or to all. A registry that is not the coordinator sends a list read by
     /// another registry, even if it may be out of date: an old list is better than none.
-    pub(crate) fn send_backends(&mut self, link: Option<LinkNumber>) {
+    pub(crate) fn send_backends(&mut self, link: Option<ConnectionId>) {
         if self.backends.version.term == 0 || !self.role.may_send_list() {
             return;
         }
--- a/crates/registry/src/registry.rs
+++ b/crates/registry/src/registry.rs
@@ -1,7 +1,7 @@
 //! The state of one registry. Ticks and received messages are its inputs; outgoing datagrams are returned to the caller,
 //! and messages to proxies and to the store are written to their connections.
 //!
-//! The state is made of [`CommonTime`], [`Membership`], [`LeaseElection`], [`Contact`], [`CoordinatorRole`],
+//! The state is made of [`CoordinatorTime`], [`Membership`], [`LeaseElection`], [`Contact`], [`CoordinatorRole`],
 //! [`ProxySessions`] and [`StoreSession`]. [`Registry`] owns them and passes information between them.
 
 use std::cell::RefCell;
@@ -22,11 +22,11 @@
 use damsonbeam_control::settings::Settings;
 use tokio::sync::oneshot;
 
-use crate::common_time::CommonTime;
+use crate::common_time::CoordinatorTime;
 use crate::coordinator::{CoordinatorRole, ListOutcome};
 use crate::directory::{HomeRegions, Lookup, ProxyEndpoint};
-use crate::host_homes::HostHomes;
-use crate::proxies::{LinkNumber, ProxySessions};
+use crate::host_homes::HomeRegionIndex;
+use crate::proxies::{ConnectionId, ProxySessions};
 use crate::store_session::StoreSession;
 
 /// Interval between two heartbeats to a proxy: three heartbeats fit into the time after which a proxy looks for another
@@ -42,7 +42,7 @@
 pub(crate) struct Registry {
     pub(crate) settings: Rc<Settings>,
     pub(crate) own_ip: Ip,
-    pub(crate) time: CommonTime,
+    pub(crate) time: CoordinatorTime,
     pub(crate) membership: Membership,
     pub(crate) lease: LeaseElection,
     pub(crate) contact: Contact,
@@ -52,7 +52,7 @@
     pub(crate) config: ConfigSnapshot,
     /// Home regions by host, derived from `config`. Updated with each changed item instead of computed per lookup,
     /// because clients send many lookups a second.
-    pub(crate) host_homes: HostHomes,
+    pub(crate) host_homes: HomeRegionIndex,
     /// Whether the store has sent all items that it knows to be committed.
     pub(crate) has_all_items: bool,
     pub(crate) backends: BackendList,
@@ -71,7 +71,7 @@
         Registry {
             settings,
             own_ip,
-            time: CommonTime::start(),
+            time: CoordinatorTime::start(),
             membership: Membership::new(own_ip, seeds, Duration::ZERO),
             lease: LeaseElection::new(own_ip, Duration::ZERO),
             contact: Contact::new(own_ip),
@@ -79,7 +79,7 @@
             proxies: ProxySessions::default(),
             store: StoreSession::default(),
             config: ConfigSnapshot::default(),
-            host_homes: HostHomes::default(),
+            host_homes: HomeRegionIndex::default(),
             has_all_items: false,
             backends: BackendList::default(),
             was_in_contact: false,
@@ -319,7 +319,7 @@
     /// Processes a message of a proxy.
     pub(crate) fn receive_from_proxy(
         &mut self,
-        link: LinkNumber,
+        link: ConnectionId,
         sender: &MessageSender,
         message: Message,
     ) {
@@ -350,7 +350,7 @@
 
     /// Removes the session of a closed connection, and releases the allotments of a proxy process that has been
     /// replaced.
-    pub(crate) fn proxy_disconnected(&mut self, link: LinkNumber) {
+    pub(crate) fn proxy_disconnected(&mut self, link: ConnectionId) {
         let Some(session) = self.proxies.remove(link) else {
             return;
         };
@@ -362,7 +362,7 @@
     }
 
     /// Processes a proxy's departure notice: the proxy admits no more requests, so its allotments are released.
-    fn proxy_departed(&mut self, link: LinkNumber) {
+    fn proxy_departed(&mut self, link: ConnectionId) {
         if let Some(status) = self.proxies.record_departure(link) {
             log::info!("proxies: {} has left by plan.", status.node);
             self.role.allotments_mut().remove_holder(status.incarnation);
--- a/crates/registry/tests/coordinator.rs
+++ b/crates/registry/tests/coordinator.rs
@@ -164,7 +164,7 @@
         role.sync_with_lease(None, false, at(0))
             && role.sync_with_lease(Some(term + 2), false, at(0))
     );
-    assert_eq!(role.counts_mut().take_updates(), vec![]);
+    assert_eq!(role.counts_mut().take_due_totals(), vec![]);
 }
 
 #[test]
--- a/crates/registry/tests/counts.rs
+++ b/crates/registry/tests/counts.rs
@@ -43,14 +43,14 @@
             Duration::from_millis(500),
         );
     }
-    assert_eq!(counts.take_updates(), [count("1/x", 9.0, 9.0)]);
+    assert_eq!(counts.take_due_totals(), [count("1/x", 9.0, 9.0)]);
     assert!(
-        counts.take_updates().is_empty(),
+        counts.take_due_totals().is_empty(),
         "an update was returned twice"
     );
     counts.record(1, &count("9/x", 1.0, 1.0), Duration::from_millis(4000));
     assert!(
-        counts.take_updates().is_empty(),
+        counts.take_due_totals().is_empty(),
         "a tenant without recent requests is still hot"
     );
 }
--- a/crates/registry/tests/host_homes.rs
+++ b/crates/registry/tests/host_homes.rs
@@ -2,7 +2,7 @@
 
 use damsonbeam_control::config::{Item, ItemKey, ItemKind, ProposalNumber};
 use damsonbeam_registry::directory::HomeRegions;
-use damsonbeam_registry::host_homes::HostHomes;
+use damsonbeam_registry::host_homes::HomeRegionIndex;
 
 fn route(name: &str, host: &str, homes: &[&str]) -> Item {
     let homes: Vec<String> = homes.iter().map(|home| format!("\"{home}\"")).collect();
@@ -32,7 +32,7 @@
 
 #[test]
 fn home_regions_of_a_host_are_those_common_to_all_its_routes() {
-    let mut homes = HostHomes::default();
+    let mut homes = HomeRegionIndex::default();
     assert_eq!(homes.home_regions("h"), HomeRegions::Anywhere);
     homes.update(&route("free", "H", &[]));
     assert_eq!(homes.home_regions("h"), HomeRegions::Anywhere);
@@ -47,7 +47,7 @@
 
 #[test]
 fn home_regions_follow_a_route_that_changes_its_host_or_is_removed() {
-    let mut homes = HostHomes::default();
+    let mut homes = HomeRegionIndex::default();
     homes.update(&route("a", "h", &["x"]));
     homes.update(&route("a", "g", &["y"]));
     assert_eq!(homes.home_regions("h"), HomeRegions::Anywhere);
--- a/crates/registry/tests/start.rs
+++ b/crates/registry/tests/start.rs
@@ -4,5 +4,5 @@
 #[test]
 fn invalid_settings_are_reported_in_one_line_with_file_and_field() {
     let program = env!("CARGO_BIN_EXE_damsonbeam-registry").as_ref();
-    damsonbeam_lab::programs::says_what_is_wrong_with_its_settings(program, "registry");
+    damsonbeam_lab::programs::assert_reports_invalid_settings(program, "registry");
 }
