--- a/crates/load/src/run.rs
+++ b/crates/load/src/run.rs
@@ -51,7 +51,7 @@
 pub struct GeneratorStats {
     /// First tries per second that were due.
     pub due_per_s: f64,
-    /// First tries per second that began within [`MAX_START_LAG`] of their due time.
+    /// First tries per second that began within `MAX_START_LAG` of their due time.
     pub begun_per_s: f64,
     /// 99th percentile of the delay between the due time and the start of a first try.
     pub lag_p99: Duration,
