--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -78,7 +78,7 @@
                 facts,
             } => {
                 let settings =
-                    damsonbeam_settings::settings(&facts).map_err(LineError::Settings)?;
+                    damsonbeam_settings::to_settings(&facts).map_err(LineError::Settings)?;
                 let rules = Rules::new(rng_seed, settings, now);
                 self.instances.insert(gateway_id, rules);
                 Ok(())
--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -1,7 +1,7 @@
 //! The simulator's message format, one JSON object per line. The names of fields and variants are defined by the
 //! simulator.
 
-use damsonbeam_settings::Facts;
+use damsonbeam_settings::SettingsFile;
 use serde::{Deserialize, Serialize};
 
 /// An input line: a batch of events.
@@ -28,7 +28,7 @@
     Begin {
         gateway_id: u32,
         rng_seed: u64,
-        facts: Box<Facts>,
+        facts: Box<SettingsFile>,
     },
     Shutdown {
         gateway_id: u32,
--- a/crates/admin/src/calls.rs
+++ b/crates/admin/src/calls.rs
@@ -20,7 +20,7 @@
 use tokio::task::{AbortHandle, LocalSet};
 use tokio::time::{sleep, timeout};
 
-use crate::Figures;
+use crate::Metrics;
 
 /// Maximum number of open connections. A further one closes the oldest, which is the least likely to complete.
 const MAX_CONNECTIONS: usize = 8;
@@ -43,17 +43,17 @@
 }
 
 /// An order, and the sender for the gateway's reply whether it accepts the order.
-pub type Asked = (Order, oneshot::Sender<bool>);
+pub type OrderRequest = (Order, oneshot::Sender<bool>);
 
 /// The admin interface.
 #[derive(Clone)]
 pub struct Admin {
     /// The metrics.
-    pub figures: Figures,
+    pub metrics: Metrics,
     /// Returns whether the process is ready to serve.
     pub ready: Arc<dyn Fn() -> bool + Send + Sync>,
     /// Receives the orders.
-    pub orders: mpsc::Sender<Asked>,
+    pub orders: mpsc::Sender<OrderRequest>,
 }
 
 impl Admin {
@@ -121,7 +121,7 @@
             (&Method::GET, "/api/ready") if (self.ready)() => StatusCode::OK,
             (&Method::GET, "/api/ready") => StatusCode::SERVICE_UNAVAILABLE,
             (&Method::GET, "/api/telemetry") => {
-                let mut response = Response::new(Full::from(self.figures.text()));
+                let mut response = Response::new(Full::from(self.metrics.encode()));
                 let content_type =
                     HeaderValue::from_static("text/plain; version=0.0.4; charset=utf-8");
                 response.headers_mut().insert(CONTENT_TYPE, content_type);
--- a/crates/admin/src/figures.rs
+++ b/crates/admin/src/metrics.rs
@@ -14,7 +14,7 @@
 
 /// The gateway's metrics.
 #[derive(Clone)]
-pub struct Figures {
+pub struct Metrics {
     registry: Registry,
     /// Invocations that were served, by operation.
     pub answered: IntCounterVec,
@@ -53,7 +53,7 @@
     pub handovers: IntCounterVec,
 }
 
-impl Figures {
+impl Metrics {
     /// Creates and registers all metrics with the value 0.
     ///
     /// # Errors
@@ -83,7 +83,7 @@
         .buckets(ANSWER_TIME_BUCKETS.to_vec());
         let answer_seconds = Histogram::with_opts(options)?;
         registry.register(Box::new(answer_seconds.clone()))?;
-        Ok(Figures {
+        Ok(Metrics {
             answered: by("answered", "Invocations served, by operation", "group")?,
             deferred: by(
                 "deferred",
@@ -125,14 +125,14 @@
     }
 
     /// Creates an operation's metrics with the value 0, so that they are exported before its first invocation.
-    pub fn name(&self, operation: &str) {
+    pub fn register_operation(&self, operation: &str) {
         for counters in [&self.answered, &self.deferred, &self.errored] {
             counters.with_label_values(&[operation]);
         }
     }
 
     /// Returns the metrics in Prometheus's text format.
-    pub fn text(&self) -> Vec<u8> {
+    pub fn encode(&self) -> Vec<u8> {
         let mut text = Vec::new();
         // Writing to memory fails only for a metric without a name.
         TextEncoder::new()
--- a/crates/admin/tests/figures.rs
+++ b/crates/admin/tests/metrics.rs
@@ -1,19 +1,19 @@
 //! The exported text of the metrics.
 
-use damsonbeam_admin::Figures;
+use damsonbeam_admin::Metrics;
 
 #[test]
 fn text_has_each_metric_with_its_exported_name_and_value() {
-    let figures = Figures::new().unwrap();
-    figures.name("C");
-    figures
+    let metrics = Metrics::new().unwrap();
+    metrics.register_operation("C");
+    metrics
         .clone()
         .answered
         .with_label_values(&["C"])
         .inc_by(812);
-    figures.current.set(14);
-    figures.sends.inc();
-    let text = String::from_utf8(figures.text()).unwrap();
+    metrics.current.set(14);
+    metrics.sends.inc();
+    let text = String::from_utf8(metrics.encode()).unwrap();
     for line in [
         "gateway_answered{group=\"C\"} 812",
         "gateway_deferred{group=\"C\"} 0",
--- a/crates/cli/tests/sockets/harness.rs
+++ b/crates/cli/tests/sockets/harness.rs
@@ -10,7 +10,7 @@
 use std::thread;
 use std::time::Duration;
 
-pub use damsonbeam_lab::plain::{Message, answer};
+pub use damsonbeam_lab::http::{Message, answer};
 use serde_json::{Value, json};
 
 /// Time limit of a read or a wait; no operation of these tests takes that long unless it hangs.
--- a/crates/config-store/tests/worlds/main.rs
+++ b/crates/config-store/tests/fault_simulation/main.rs
@@ -7,7 +7,7 @@
 //!
 //! `WORLDS` sets the number of seeds, `FIRST` the first one; `WORLD` runs a single seed.
 
-mod world;
+mod simulation;
 
 use std::time::Duration;
 
@@ -17,7 +17,7 @@
 use damsonbeam_control::config::{ConfigChange, Item, ItemKey, ItemKind, ProposalNumber};
 use damsonbeam_control::messages::{Command, CommandReply, Message, encode};
 use rand::Rng;
-use world::{Event, Simulation, ip, millis, submit_service};
+use simulation::{Event, Simulation, ip, millis, submit_service};
 
 /// When faults and writes end, in ms.
 const FAULT_PERIOD_END: u64 = 25_000;
--- a/crates/ctl/tests/system/cluster.rs
+++ b/crates/ctl/tests/system/cluster.rs
@@ -12,7 +12,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use damsonbeam_lab::plain::{Message, answer};
+use damsonbeam_lab::http::{Message, answer};
 
 /// Limit for each condition that a test waits for.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
--- a/crates/ctl/tests/system/main.rs
+++ b/crates/ctl/tests/system/main.rs
@@ -17,7 +17,7 @@
 
 use cluster::*;
 use damsonbeam_ctl::{account, loads, mirror};
-use damsonbeam_lab::plain::Message;
+use damsonbeam_lab::http::Message;
 
 const TIMING_BOUNDS: [&str; 8] = [
     "drain_ms=4000",
--- a/crates/ctl/tests/system/operator.rs
+++ b/crates/ctl/tests/system/operator.rs
@@ -5,7 +5,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use damsonbeam_lab::plain::Message;
+use damsonbeam_lab::http::Message;
 
 use crate::cluster::{Cluster, call};
 use crate::{TENANT_JSON, initial_configuration, route};
--- a/crates/gateway/src/backends/attempt.rs
+++ b/crates/gateway/src/backends/attempt.rs
@@ -171,7 +171,7 @@
         let streamed = request.body.streamed();
         let body_ended = streamed.is_some_and(|body| body.is_complete());
         if body_ended && !connection.meter.is_complete() {
-            self.pools.figures.sends.inc();
+            self.pools.metrics.sends.inc();
         }
         Exchange {
             attempt,
--- a/crates/gateway/src/backends/connection.rs
+++ b/crates/gateway/src/backends/connection.rs
@@ -129,7 +129,7 @@
     let metered = MeteredSocket {
         socket: socket.clone(),
         meter: meter.clone(),
-        sends: pools.figures.sends.clone(),
+        sends: pools.metrics.sends.clone(),
         _open_guard: open_guard,
     };
     let (send, driver) = Builder::new()
--- a/crates/gateway/src/backends/connection_pools.rs
+++ b/crates/gateway/src/backends/connection_pools.rs
@@ -4,7 +4,7 @@
 use std::rc::{Rc, Weak};
 use std::time::Duration;
 
-use damsonbeam_admin::Figures;
+use damsonbeam_admin::Metrics;
 use tokio::time::Instant;
 
 use super::connection::BackendConnection;
@@ -36,7 +36,7 @@
     pub open: Rc<Cell<usize>>,
     /// Pools of all backends by backend name.
     pools: RefCell<Vec<(String, Weak<Pool>)>>,
-    pub(super) figures: Figures,
+    pub(super) metrics: Metrics,
     pub(super) response_memory: MemoryBudget,
 }
 
@@ -52,7 +52,7 @@
         protocol: Box<dyn BackendProtocol>,
         max_open: usize,
         body_bytes: usize,
-        figures: &Figures,
+        metrics: &Metrics,
     ) -> Rc<Self> {
         Rc::new(ConnectionPools {
             connect_timeout,
@@ -62,7 +62,7 @@
             max_open,
             open: Rc::default(),
             pools: RefCell::default(),
-            figures: figures.clone(),
+            metrics: metrics.clone(),
             response_memory: MemoryBudget::new(body_bytes),
         })
     }
--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 use damsonbeam::interface::{Invocation, InvocationId};
-use damsonbeam_admin::Figures;
+use damsonbeam_admin::Metrics;
 use hyper::header::HeaderMap;
 use hyper::http::request::Parts;
 use hyper::server::conn::http1;
@@ -123,7 +123,7 @@
 pub struct Clients {
     clock: Clock,
     phase: CurrentPhase,
-    figures: Figures,
+    metrics: Metrics,
     protocol: Rc<dyn ClientProtocol>,
     timeouts: Rc<Cell<ClientTimeouts>>,
     /// Current maximum number of connections.
@@ -154,12 +154,12 @@
         body_bytes: usize,
         clock: Clock,
         phase: CurrentPhase,
-        figures: &Figures,
+        metrics: &Metrics,
     ) -> Self {
         Clients {
             clock,
             phase,
-            figures: figures.clone(),
+            metrics: metrics.clone(),
             protocol,
             timeouts: Rc::default(),
             max_connections: Cell::new(max_connections),
@@ -277,12 +277,12 @@
         });
         self.connections.borrow_mut().insert(id, connection.clone());
         self.running_tasks.set(self.running_tasks.get() + 1);
-        self.figures.clients.inc();
+        self.metrics.clients.inc();
         tokio::task::spawn_local(async move {
             self.clone().serve(connection.clone(), over_limit).await;
             self.connections.borrow_mut().remove(&id);
             self.running_tasks.set(self.running_tasks.get() - 1);
-            self.figures.clients.dec();
+            self.metrics.clients.dec();
             self.connection_ended.notify_one();
         });
     }
--- a/crates/gateway/src/clients/invocation.rs
+++ b/crates/gateway/src/clients/invocation.rs
@@ -41,24 +41,24 @@
     ) {
         let status = answer.status();
         let counter = match status {
-            StatusCode::OK => &self.figures.answered,
+            StatusCode::OK => &self.metrics.answered,
             StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
-                &self.figures.deferred
+                &self.metrics.deferred
             }
-            _ => &self.figures.errored,
+            _ => &self.metrics.errored,
         };
         let ResponseBody::Streamed(body) = answer.body_mut() else {
             return counter.with_label_values(&[&**operation]).inc();
         };
         let (clients, operation) = (self.clone(), operation.clone());
-        clients.figures.current.inc();
+        clients.metrics.current.inc();
         body.on_end = Some(Box::new(move |end| {
-            clients.figures.current.dec();
-            let figures = &clients.figures;
+            clients.metrics.current.dec();
+            let metrics = &clients.metrics;
             let counter = if end == StreamEnd::Broken {
-                &figures.errored
+                &metrics.errored
             } else {
-                &figures.answered
+                &metrics.answered
             };
             counter.with_label_values(&[&*operation]).inc();
         }));
@@ -102,7 +102,7 @@
         let context = decoded.context.take();
         let answer = open_invocation.dispatch(decoded, forwarded).await?;
         let latency = self.clock.now().saturating_sub(received);
-        self.figures.answer_seconds.observe(latency.as_secs_f64());
+        self.metrics.answer_seconds.observe(latency.as_secs_f64());
         if let Some(streamed) = streamed.filter(|body| !body.is_complete()) {
             connection.request_body_unread.set(true);
             tokio::task::spawn_local(async move { streamed.drain().await });
@@ -121,7 +121,7 @@
             log!(warn, "invocation-twice", "{name}");
             return Err(rejection(StatusCode::CONFLICT));
         }
-        self.figures.current.inc();
+        self.metrics.current.inc();
         Ok(OpenInvocation {
             invocation_id: decoded.invocation.id,
             name,
@@ -237,7 +237,7 @@
             .open_invocations
             .borrow_mut()
             .remove(&self.name);
-        self.clients.figures.current.dec();
+        self.clients.metrics.current.dec();
         if !self.answered.get() {
             let message = ToDispatcher::ClientDisconnected {
                 invocation_id: self.invocation_id,
--- a/crates/gateway/src/config/mod.rs
+++ b/crates/gateway/src/config/mod.rs
@@ -1,17 +1,17 @@
 //! Reads and checks the configuration and sets its defaults; no other module does.
 //!
-//! `facts_check` checks the settings, `reload` checks a new configuration against the one in force, and `unknown_keys`
+//! `settings_file_check` checks the settings, `reload` checks a new configuration against the one in force, and `unknown_keys`
 //! finds keys that nothing reads.
 
-mod facts_check;
 mod reload;
+mod settings_file_check;
 mod unknown_keys;
 
 use std::io;
 use std::net::SocketAddr;
 
 use damsonbeam::interface::Settings;
-use damsonbeam_settings::Facts;
+use damsonbeam_settings::SettingsFile;
 use serde::{Deserialize, Deserializer};
 use serde_json::Value;
 
@@ -65,7 +65,7 @@
     /// The last known list of backends.
     pub known: DiscoveryPage,
     /// The settings as decoded from the file.
-    pub facts: Facts,
+    pub settings_file: SettingsFile,
     /// The whole file as JSON.
     pub source: Value,
     /// The settings in the form that the decision module uses.
@@ -202,9 +202,10 @@
         let seed = file
             .seed
             .ok_or_else(|| ConfigError::invalid("seed", "missing"))?;
-        let facts: Facts = decode(file.settings).map_err(|error| prefixed("settings", &error))?;
-        facts_check::check(&facts)?;
-        let settings = damsonbeam_settings::settings(&facts)
+        let settings_file: SettingsFile =
+            decode(file.settings).map_err(|error| prefixed("settings", &error))?;
+        settings_file_check::check(&settings_file)?;
+        let settings = damsonbeam_settings::to_settings(&settings_file)
             .map_err(|error| ConfigError::invalid("settings", error))?;
         let counter = optional_address("counter", file.counter.as_ref())?;
         if settings.counter.is_some() && counter.is_none() {
@@ -234,8 +235,8 @@
             witness: file.witness,
             seed: parse_seed(&seed)?,
             known: file.known,
-            notes: facts_check::notes(&facts),
-            facts,
+            notes: settings_file_check::notes(&settings_file),
+            settings_file,
             source: serde_json::from_str(text).unwrap_or_default(),
             settings,
             clients: capacity.clients,
--- a/crates/gateway/src/config/facts_check.rs
+++ b/crates/gateway/src/config/settings_file_check.rs
@@ -1,32 +1,32 @@
 //! Checks of the settings, and notes on settings that have no effect in this process.
 
-use damsonbeam_settings::{Facts, OperationSettings, PlanSettings};
+use damsonbeam_settings::{OperationSettings, PlanSettings, SettingsFile};
 
 use super::ConfigError;
 
 /// Returns an error for the first setting that is missing, inconsistent or out of range.
-pub(super) fn check(facts: &Facts) -> Result<(), ConfigError> {
-    check_durations(facts)?;
-    if facts.ceilings.try_limit == 0 {
+pub(super) fn check(settings_file: &SettingsFile) -> Result<(), ConfigError> {
+    check_durations(settings_file)?;
+    if settings_file.ceilings.try_limit == 0 {
         let key = "settings.ceilings.try-limit";
         return Err(ConfigError::invalid(key, "missing or 0"));
     }
-    let operations: Vec<_> = facts
+    let operations: Vec<_> = settings_file
         .request_classes
         .iter()
         .map(|operation| &operation.name)
         .collect();
     check_unique("request-classes", &operations)?;
-    let plans: Vec<_> = facts.plans.iter().map(|plan| &plan.name).collect();
+    let plans: Vec<_> = settings_file.plans.iter().map(|plan| &plan.name).collect();
     check_unique("plans", &plans)?;
-    if facts.self_index >= facts.siblings {
+    if settings_file.self_index >= settings_file.siblings {
         let problem = format!(
             "{} is not below siblings = {}",
-            facts.self_index, facts.siblings
+            settings_file.self_index, settings_file.siblings
         );
         return Err(ConfigError::invalid("settings.self-index", problem));
     }
-    let numbered = facts.request_classes.iter().enumerate();
+    let numbered = settings_file.request_classes.iter().enumerate();
     for (number, operation) in numbered.clone() {
         check_operation(number, operation)?;
     }
@@ -38,27 +38,27 @@
         check_non_negative(&format!("settings.request-classes[{number}]"), &values)?;
     }
     let values = [
-        ("most-units", facts.domain.most_units),
-        ("call-price", facts.domain.call_price),
+        ("most-units", settings_file.domain.most_units),
+        ("call-price", settings_file.domain.call_price),
     ];
     check_non_negative("settings.domain", &values)?;
-    for (number, plan) in facts.plans.iter().enumerate() {
+    for (number, plan) in settings_file.plans.iter().enumerate() {
         check_plan(number, plan)?;
     }
     Ok(())
 }
 
-fn check_durations(facts: &Facts) -> Result<(), ConfigError> {
+fn check_durations(settings_file: &SettingsFile) -> Result<(), ConfigError> {
     // Without a counter its time-out may be 0.
-    let without_counter = u64::from(!facts.domain.has_counter);
-    let counter_timeout_ns = facts.domain.counter_timeout_ns.max(without_counter);
+    let without_counter = u64::from(!settings_file.domain.has_counter);
+    let counter_timeout_ns = settings_file.domain.counter_timeout_ns.max(without_counter);
     let durations = [
-        ("tick-ns", facts.tick_ns),
+        ("tick-ns", settings_file.tick_ns),
         (
             "ceilings.connect-timeout-ns",
-            facts.ceilings.connect_timeout_ns,
+            settings_file.ceilings.connect_timeout_ns,
         ),
-        ("ceilings.conn-idle-ns", facts.ceilings.conn_idle_ns),
+        ("ceilings.conn-idle-ns", settings_file.ceilings.conn_idle_ns),
         ("domain.counter-timeout-ns", counter_timeout_ns),
     ];
     match durations.iter().find(|(_, duration)| *duration == 0) {
@@ -135,18 +135,18 @@
 
 /// Returns a note for each setting that has no effect because the clients' and backends' protocol carries no data for
 /// it. The decision module works without that data.
-pub(super) fn notes(facts: &Facts) -> Vec<String> {
+pub(super) fn notes(settings_file: &SettingsFile) -> Vec<String> {
     let unsupported = [
         (
-            facts.domain.settles,
+            settings_file.domain.settles,
             "domain.settles: responses don't report the units used; the estimates are kept",
         ),
         (
-            facts.domain.meter_ns > 0,
+            settings_file.domain.meter_ns > 0,
             "domain.meter-ns: responses don't report usage; only the counter does",
         ),
         (
-            facts.report.how == "on_probe",
+            settings_file.report.how == "on_probe",
             "report.how: no probes are sent, so no load is reported",
         ),
     ];
--- a/crates/gateway/src/config/unknown_keys.rs
+++ b/crates/gateway/src/config/unknown_keys.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use damsonbeam_settings::Facts;
+use damsonbeam_settings::SettingsFile;
 
 use super::{Config, ConfigFile};
 
@@ -14,10 +14,11 @@
     let raw: Result<ConfigFile, _> =
         serde_ignored::deserialize(&mut text, |path| own.push(path.to_string()));
     if let Ok(raw) = raw {
-        let facts: Result<Facts, _> = serde_ignored::deserialize(raw.settings, |path| {
-            settings.push(format!("settings.{path}"))
-        });
-        facts.ok();
+        let settings_file: Result<SettingsFile, _> =
+            serde_ignored::deserialize(raw.settings, |path| {
+                settings.push(format!("settings.{path}"))
+            });
+        settings_file.ok();
     }
     (own, settings)
 }
--- a/crates/gateway/src/dispatcher/actions.rs
+++ b/crates/gateway/src/dispatcher/actions.rs
@@ -94,9 +94,9 @@
         } else {
             BEFORE_ATTEMPT
         };
-        let figures = &self.figures;
-        figures.turned_away.with_label_values(&[when]).inc();
-        let reasons = &figures.turned_away_why;
+        let metrics = &self.metrics;
+        metrics.turned_away.with_label_values(&[when]).inc();
+        let reasons = &metrics.turned_away_why;
         reasons.with_label_values(&[reason.name()]).inc();
         let failure = Answer::Throttled {
             after: retry_after,
--- a/crates/gateway/src/dispatcher/mod.rs
+++ b/crates/gateway/src/dispatcher/mod.rs
@@ -19,7 +19,7 @@
     AttemptNumber, BackendId, Event, GatewayId, HandoverState, Health, InvocationId, ListUpdate,
     LoadReport, Outcome,
 };
-use damsonbeam_admin::Figures;
+use damsonbeam_admin::Metrics;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::sleep_until;
 
@@ -37,7 +37,7 @@
 /// Most messages taken from the mailbox at once.
 const MAX_BATCH: usize = 64;
 /// Interval at which the gauges that only the decision module knows are updated.
-const FIGURES_INTERVAL: Duration = Duration::from_millis(200);
+const METRICS_INTERVAL: Duration = Duration::from_millis(200);
 
 /// A request that is unanswered or has attempts in flight.
 struct PendingRequest {
@@ -76,7 +76,7 @@
     /// The report to the other gateways.
     PeerReport,
     /// The update of the gauges that only the decision module knows.
-    Figures,
+    Metrics,
 }
 
 /// Starts the actor of a backend with an address and a name.
@@ -108,11 +108,11 @@
     /// The open requests, backends and timers.
     pub state: DispatcherState,
     /// The metrics.
-    pub figures: Figures,
+    pub metrics: Metrics,
     /// The counts logged each second, if the log level asks for them.
     pub account: Option<Account>,
     /// Whether the metrics can be read, so that the gauges must be kept up to date.
-    pub reports_figures: bool,
+    pub reports_metrics: bool,
     /// Receives the state that the decision module hands over, while that is awaited.
     pub carry: Option<oneshot::Sender<Box<HandoverState>>>,
 }
@@ -137,8 +137,8 @@
                 Timer::PeerReport,
             ));
         }
-        if self.reports_figures {
-            self.state.timers.insert((self.clock.now(), Timer::Figures));
+        if self.reports_metrics {
+            self.state.timers.insert((self.clock.now(), Timer::Metrics));
         }
         let wake = sleep_until(self.clock.instant(Duration::ZERO));
         tokio::pin!(wake);
@@ -180,13 +180,13 @@
                 }
                 Timer::OverdueEnd(invocation_id) => self.overdue_timed_out(invocation_id),
                 Timer::PeerReport => self.report_to_peers(now),
-                Timer::Figures => {
+                Timer::Metrics => {
                     let (listed, avoided) = self.rules.backend_counts();
-                    self.figures.cluster_size.set(listed as i64);
-                    self.figures.cluster_unhealthy.set(avoided as i64);
+                    self.metrics.cluster_size.set(listed as i64);
+                    self.metrics.cluster_unhealthy.set(avoided as i64);
                     self.state
                         .timers
-                        .insert((now + FIGURES_INTERVAL, Timer::Figures));
+                        .insert((now + METRICS_INTERVAL, Timer::Metrics));
                 }
             }
         }
@@ -286,7 +286,7 @@
     }
 
     fn counter_total(&mut self, name: String, outcome: Outcome, total: f64, latency: Duration) {
-        let calls = &self.figures.counter_calls;
+        let calls = &self.metrics.counter_calls;
         calls.with_label_values(&[outcome_name(outcome)]).inc();
         let now = self.clock.now();
         let others = match &self.peer_admissions {
@@ -407,7 +407,7 @@
         outcome: Outcome,
         report: LoadReport,
     ) -> Event {
-        self.figures
+        self.metrics
             .deliveries
             .with_label_values(&[outcome_name(outcome)])
             .inc();
--- a/crates/gateway/src/platform_protocol.rs
+++ b/crates/gateway/src/platform_protocol.rs
@@ -11,7 +11,7 @@
 use damsonbeam::interface::{
     CustomerId, GatewayId, Invocation, InvocationId, OperationId, PlanId, RepeatMode, Settings,
 };
-use damsonbeam_admin::Figures;
+use damsonbeam_admin::Metrics;
 use hyper::header::{HeaderMap, HeaderValue, RETRY_AFTER};
 use hyper::http::request::Parts;
 use hyper::{Method, Response, StatusCode};
@@ -80,7 +80,7 @@
 /// The client protocol with the current settings.
 pub struct PlatformProtocol {
     tables: RefCell<Rc<DecodingTables>>,
-    figures: Figures,
+    metrics: Metrics,
     dispatcher: mpsc::Sender<ToDispatcher>,
 }
 
@@ -88,16 +88,16 @@
     /// Creates the protocol with these settings; requests are sent to `dispatcher`.
     pub fn new(
         settings: &Settings,
-        figures: &Figures,
+        metrics: &Metrics,
         dispatcher: mpsc::Sender<ToDispatcher>,
     ) -> Self {
         settings
             .operations
             .iter()
-            .for_each(|operation| figures.name(&operation.name));
+            .for_each(|operation| metrics.register_operation(&operation.name));
         PlatformProtocol {
             tables: RefCell::new(Rc::new(DecodingTables::new(settings))),
-            figures: figures.clone(),
+            metrics: metrics.clone(),
             dispatcher,
         }
     }
@@ -107,7 +107,7 @@
         settings
             .operations
             .iter()
-            .for_each(|operation| self.figures.name(&operation.name));
+            .for_each(|operation| self.metrics.register_operation(&operation.name));
         *self.tables.borrow_mut() = Rc::new(DecodingTables::new(settings));
     }
 
--- a/crates/gateway/src/server/error.rs
+++ b/crates/gateway/src/server/error.rs
@@ -46,7 +46,7 @@
     },
     /// The metrics can't be registered.
     #[error("figures: {0}")]
-    Figures(String),
+    Metrics(String),
     /// The admin interface can't be started.
     #[error("{0}")]
     Admin(String),
--- a/crates/gateway/src/server/running.rs
+++ b/crates/gateway/src/server/running.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use damsonbeam::interface::Settings;
-use damsonbeam_admin::{Asked, Figures};
+use damsonbeam_admin::{Metrics, OrderRequest};
 use damsonbeam_handover::HandoverMessage;
 use futures_util::stream::FuturesUnordered;
 use serde_json::Value;
@@ -49,8 +49,8 @@
     pub(super) addresses: ServiceAddresses,
     pub(super) list_watcher: mpsc::Sender<ToListWatcher>,
     pub(super) counter: Option<mpsc::Sender<ToCounter>>,
-    pub(super) figures: Figures,
-    pub(super) orders: mpsc::Receiver<Asked>,
+    pub(super) metrics: Metrics,
+    pub(super) orders: mpsc::Receiver<OrderRequest>,
     /// The current list of backends, which is handed over to a successor.
     pub(super) last_list: Rc<RefCell<DiscoveryPage>>,
     /// The connection to the predecessor, until that process has ended.
@@ -97,7 +97,7 @@
         match config {
             Ok(config) => self.apply(config).await,
             Err(reason) => {
-                self.figures.conf_invalid.inc();
+                self.metrics.conf_invalid.inc();
                 log!(
                     warn,
                     "reload-refused",
@@ -127,7 +127,7 @@
             send(counter, ToCounter::Move(address)).await?;
         }
         (self.addresses, self.source) = (new, config.source);
-        self.figures.conf_loaded.inc();
+        self.metrics.conf_loaded.inc();
         log!(info, "reload", "{}: new configuration in force", self.name);
         Ok(())
     }
--- a/crates/gateway/src/server/start.rs
+++ b/crates/gateway/src/server/start.rs
@@ -9,7 +9,7 @@
 
 use damsonbeam::Rules;
 use damsonbeam::interface::{GatewayId, ListUpdate};
-use damsonbeam_admin::{Admin, Asked, Figures};
+use damsonbeam_admin::{Admin, Metrics, OrderRequest};
 use damsonbeam_handover::{HandoverMessage, Successor};
 use futures_util::stream::FuturesUnordered;
 use tokio::signal::unix::{SignalKind, signal};
@@ -96,7 +96,7 @@
             }
         }
         log!(info, "handover", "{}: successor: {state:?}", running.name);
-        let counter = &running.figures.handovers;
+        let counter = &running.metrics.handovers;
         counter.with_label_values(&[&format!("{state:?}")]).inc();
         if state == Successor::Follows {
             running.clients.halve_connection_limit();
@@ -110,7 +110,7 @@
 /// The parts that the actors share.
 struct SharedParts {
     clock: Clock,
-    figures: Figures,
+    metrics: Metrics,
     dispatcher: mpsc::Sender<ToDispatcher>,
     actors: FuturesUnordered<JoinHandle<()>>,
 }
@@ -166,7 +166,7 @@
     /// Creates the clients' actor and the decoder of their requests.
     fn clients(&self, config: &Config, server: &Server) -> (Rc<PlatformProtocol>, Rc<Clients>) {
         let protocol =
-            PlatformProtocol::new(&config.settings, &self.figures, self.dispatcher.clone());
+            PlatformProtocol::new(&config.settings, &self.metrics, self.dispatcher.clone());
         let protocol = Rc::new(protocol);
         let clients = Clients::new(
             protocol.clone(),
@@ -174,7 +174,7 @@
             config.bodies,
             self.clock,
             server.phase.clone(),
-            &self.figures,
+            &self.metrics,
         );
         (protocol, Rc::new(clients))
     }
@@ -190,7 +190,10 @@
     ) -> Result<oneshot::Receiver<()>, ServerError> {
         let known = last_list.borrow().clone();
         let revision = known.revision;
-        let mut names = NameTable::new(config.facts.dcs.clone(), config.facts.kinds.clone());
+        let mut names = NameTable::new(
+            config.settings_file.dcs.clone(),
+            config.settings_file.kinds.clone(),
+        );
         let restored = names.to_update(known, ListUpdate::Restored);
         send(&self.dispatcher, ToDispatcher::BackendList(restored)).await?;
         self.start(dispatcher.run());
@@ -218,12 +221,12 @@
     ) -> Dispatcher {
         let connection_pools = ConnectionPools::new(
             config.settings.limits.connect_timeout,
-            Duration::from_nanos(config.facts.ceilings.conn_idle_ns),
-            config.facts.report.names.clone(),
+            Duration::from_nanos(config.settings_file.ceilings.conn_idle_ns),
+            config.settings_file.report.names.clone(),
             Box::new(Platform),
             config.backends,
             config.bodies,
-            &self.figures,
+            &self.metrics,
         );
         let settings = &config.settings;
         let peer_admissions = (config.witness && targets.peers.is_some())
@@ -242,9 +245,9 @@
             peers: targets.peers,
             peer_admissions,
             state: DispatcherState::default(),
-            figures: self.figures.clone(),
+            metrics: self.metrics.clone(),
             account: Account::new(settings.warm_up_time),
-            reports_figures: config.admin.is_some(),
+            reports_metrics: config.admin.is_some(),
             carry: None,
         }
     }
@@ -282,11 +285,11 @@
         let (dispatcher, dispatcher_mailbox) = mpsc::channel(DISPATCHER_MAILBOX_CAPACITY);
         let parts = SharedParts {
             clock: Clock::start(),
-            figures: Figures::new().map_err(|e| ServerError::Figures(e.to_string()))?,
+            metrics: Metrics::new().map_err(|e| ServerError::Metrics(e.to_string()))?,
             dispatcher,
             actors: FuturesUnordered::new(),
         };
-        let orders = self.serve_operators(&config, &parts.figures)?;
+        let orders = self.serve_operators(&config, &parts.metrics)?;
         let path = handover::path(&config.name);
         let mut takeover = Takeover::begin(path.as_ref(), &config.name).await;
         let known = takeover.receive_list(config.known.clone()).await;
@@ -328,7 +331,7 @@
             addresses: config.addresses,
             list_watcher,
             counter,
-            figures: parts.figures,
+            metrics: parts.metrics,
             orders,
             last_list,
             predecessor: None,
@@ -349,13 +352,13 @@
     fn serve_operators(
         &self,
         config: &Config,
-        figures: &Figures,
-    ) -> Result<mpsc::Receiver<Asked>, ServerError> {
+        metrics: &Metrics,
+    ) -> Result<mpsc::Receiver<OrderRequest>, ServerError> {
         let (sender, orders) = mpsc::channel(ORDER_QUEUE_CAPACITY);
         if let Some(address) = config.admin {
             let phase = self.phase.clone();
             let admin = Admin {
-                figures: figures.clone(),
+                metrics: metrics.clone(),
                 ready: Arc::new(move || phase.get().is_serving()),
                 orders: sender,
             };
--- a/crates/gateway/src/server/succession.rs
+++ b/crates/gateway/src/server/succession.rs
@@ -82,7 +82,7 @@
         action: PredecessorAction,
     ) -> Result<(), ServerError> {
         log!(info, "handover", "{}: {action:?}", running.name);
-        let counter = &running.figures.handovers;
+        let counter = &running.metrics.handovers;
         counter.with_label_values(&[&format!("{action:?}")]).inc();
         match action {
             PredecessorAction::TellKnown => {
--- a/crates/hollow/src/platform.rs
+++ b/crates/hollow/src/platform.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 
-use damsonbeam_lab::plain::{Message, answer};
+use damsonbeam_lab::http::{Message, answer};
 
 use crate::Error;
 use crate::topology::Topology;
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -7,7 +7,7 @@
 pub mod counter;
 pub mod discovery;
 pub mod gateways;
-pub mod plain;
+pub mod http;
 pub mod programs;
 pub mod script;
 
--- a/crates/migrate/src/lib.rs
+++ b/crates/migrate/src/lib.rs
@@ -138,7 +138,7 @@
 
 /// Copies the index and the zone of the gateway from the old configuration, since a shape is the same for all gateways.
 fn copy_index_and_zone(old: &Config, settings: &mut Object, notes: &mut Vec<String>) {
-    let self_index = old.facts.self_index;
+    let self_index = old.settings_file.self_index;
     let siblings = settings
         .get("siblings")
         .and_then(Value::as_u64)
@@ -150,7 +150,10 @@
             "not carried over: settings.self-index: {self_index} of {siblings}; set a different index for each gateway"
         ));
     }
-    let zone = old.facts.dcs.get(old.facts.locality as usize);
+    let zone = old
+        .settings_file
+        .dcs
+        .get(old.settings_file.locality as usize);
     let zone = zone.map(String::as_str);
     let zones = settings.get("dcs").and_then(Value::as_array);
     match zones.and_then(|zones| zones.iter().position(|name| name.as_str() == zone)) {
--- a/crates/proxy/src/dispatch/mod.rs
+++ b/crates/proxy/src/dispatch/mod.rs
@@ -11,7 +11,7 @@
 
 use damsonbeam::Rules;
 use damsonbeam::interface::{ListUpdate, OperationId, Plan, PlanId, Settings};
-use damsonbeam_admin::Figures;
+use damsonbeam_admin::Metrics;
 use damsonbeam_control::config::{Route, RouteKind};
 use damsonbeam_gateway::backends::{Backend, ConnectionPools};
 use damsonbeam_gateway::clock::Clock;
@@ -113,7 +113,7 @@
     /// Clock of the modules.
     pub clock: Clock,
     /// Counters for operators.
-    pub figures: Figures,
+    pub metrics: Metrics,
     /// Sender for calls to the shared counts.
     pub counts: mpsc::Sender<CountCall>,
     /// Phase of the process.
@@ -212,9 +212,9 @@
             peers: None,
             peer_admissions: None,
             state: DispatcherState::default(),
-            figures: shared.figures.clone(),
+            metrics: shared.metrics.clone(),
             account: None,
-            reports_figures: false,
+            reports_metrics: false,
             carry: None,
         };
         tokio::task::spawn_local(actor.run());
--- a/crates/proxy/src/process/mod.rs
+++ b/crates/proxy/src/process/mod.rs
@@ -44,7 +44,7 @@
     Signal(#[from] io::Error),
     /// The metrics cannot be registered.
     #[error("metrics cannot be registered: {0}")]
-    Figures(String),
+    Metrics(String),
     /// The UDP port for load reports cannot be bound.
     #[error("the UDP port for load reports cannot be bound: {0}")]
     LoadReports(io::Error),
--- a/crates/proxy/src/process/operator_calls.rs
+++ b/crates/proxy/src/process/operator_calls.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use damsonbeam_admin::Figures;
+use damsonbeam_admin::Metrics;
 use damsonbeam_gateway::clock::Clock;
 use damsonbeam_gateway::phase::CurrentPhase;
 use http_body_util::Full;
@@ -31,7 +31,7 @@
     pub(super) unserved: Rc<RefCell<UnservedLog>>,
     pub(super) backend_pool: Rc<RefCell<BackendPool>>,
     pub(super) mirror: SharedMirror,
-    pub(super) figures: Figures,
+    pub(super) metrics: Metrics,
     pub(super) clock: Clock,
     /// The coordinator's time minus this process's clock, in seconds.
     pub(super) time_offset_s: Rc<Cell<f64>>,
@@ -44,7 +44,7 @@
         match uri.path() {
             "/-/loads" => Some(self.load_reports_json()),
             "/-/copies" => Some(self.mirror.to_json()),
-            "/-/figures" => String::from_utf8(self.figures.text()).ok(),
+            "/-/figures" => String::from_utf8(self.metrics.encode()).ok(),
             "/-/account" => {
                 let request = uri.query().and_then(|query| query.strip_prefix("request="));
                 Some(self.unserved_json(request))
--- a/crates/proxy/src/process/proxy.rs
+++ b/crates/proxy/src/process/proxy.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use damsonbeam::interface::BackendId;
-use damsonbeam_admin::Figures;
+use damsonbeam_admin::Metrics;
 use damsonbeam_control::config::ConnectionLimits;
 use damsonbeam_control::link::{LinkError, listen};
 use damsonbeam_control::messages::{Backend, Heartbeat};
@@ -62,7 +62,7 @@
     pub(super) retry_budget: Rc<RefCell<RetryBudget>>,
     pub(super) mirror: SharedMirror,
     pub(super) unserved: Rc<RefCell<UnservedLog>>,
-    pub(super) figures: Figures,
+    pub(super) metrics: Metrics,
     pub(super) clients: Rc<Clients>,
     /// The idle timeout that clients are told, in seconds; 0 where they are told none.
     pub(super) advertised_idle_s: Rc<Cell<u64>>,
@@ -228,7 +228,7 @@
         self.quota_client.send_reports();
         let is_current = self.control.borrow_mut().freshness().is_current();
         let is_possibly_old = self.accept_task.is_some() && !is_current;
-        self.figures.possibly_old.set(i64::from(is_possibly_old));
+        self.metrics.possibly_old.set(i64::from(is_possibly_old));
         if let Some(line) = self.unserved.borrow_mut().log_line(self.clock.now()) {
             log::info!("account: {line}");
         }
--- a/crates/proxy/src/process/start.rs
+++ b/crates/proxy/src/process/start.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use damsonbeam_admin::Figures;
+use damsonbeam_admin::Metrics;
 use damsonbeam_control::link::listen;
 use damsonbeam_control::messages::ProxyStatus;
 use damsonbeam_control::settings::{InternalPort, Settings, SettingsError};
@@ -85,7 +85,7 @@
 /// Components that several others share.
 struct SharedComponents {
     clock: Clock,
-    figures: Figures,
+    metrics: Metrics,
     phase: CurrentPhase,
     /// The coordinator's time minus this process's clock, in seconds.
     time_offset_s: Rc<Cell<f64>>,
@@ -102,7 +102,7 @@
         let backend_pool = BackendPool::new(&settings.zone, &settings.region, regions);
         Ok(SharedComponents {
             clock,
-            figures: Figures::new().map_err(|e| ProxyError::Figures(e.to_string()))?,
+            metrics: Metrics::new().map_err(|e| ProxyError::Metrics(e.to_string()))?,
             phase: CurrentPhase::default(),
             mirror: Mirror::new(clock, time_offset_s.clone()),
             time_offset_s,
@@ -145,7 +145,7 @@
             capacity.body_bytes,
             shared.clock,
             shared.phase.clone(),
-            &shared.figures,
+            &shared.metrics,
         );
         Ok(Proxy {
             grace_period: self
@@ -163,7 +163,7 @@
             retry_budget,
             mirror: shared.mirror,
             unserved: shared.unserved,
-            figures: shared.figures,
+            metrics: shared.metrics,
             clients: Rc::new(clients),
             advertised_idle_s,
             time_offset_s: shared.time_offset_s,
@@ -181,7 +181,7 @@
             unserved: shared.unserved.clone(),
             backend_pool: shared.backend_pool.clone(),
             mirror: shared.mirror.clone(),
-            figures: shared.figures.clone(),
+            metrics: shared.metrics.clone(),
             clock: shared.clock,
             time_offset_s: shared.time_offset_s.clone(),
             phase: shared.phase.clone(),
@@ -246,14 +246,14 @@
             Box::new(ProxyBackendProtocol),
             capacity.backend_connections,
             capacity.body_bytes,
-            &shared.figures,
+            &shared.metrics,
         );
         Rc::new(RefCell::new(Dispatchers::new(DispatchContext {
             backend_pool: shared.backend_pool.clone(),
             retry_budget: retry_budget.clone(),
             connection_pools,
             clock: shared.clock,
-            figures: shared.figures.clone(),
+            metrics: shared.metrics.clone(),
             counts: self.count_calls.clone(),
             phase: shared.phase.clone(),
         })))
--- a/crates/proxy/tests/data_plane.rs
+++ b/crates/proxy/tests/data_plane.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use damsonbeam_admin::Figures;
+use damsonbeam_admin::Metrics;
 use damsonbeam_control::config::{ConfigChange, ConfigSnapshot};
 use damsonbeam_control::messages::Backend;
 use damsonbeam_gateway::backends::ConnectionPools;
@@ -177,10 +177,10 @@
         snapshot.merge(item);
     }
     let routing_table = RoutingTable::from_snapshot(&snapshot);
-    let (clock, phase, figures) = (
+    let (clock, phase, metrics) = (
         Clock::start(),
         CurrentPhase::default(),
-        Figures::new().unwrap(),
+        Metrics::new().unwrap(),
     );
     phase.enter(Phase::Serving, "test");
     let mut backend_pool = BackendPool::new("a", "x", [("a".into(), "x".into())].into());
@@ -209,14 +209,14 @@
         protocol,
         256,
         1 << 24,
-        &figures,
+        &metrics,
     );
     let dispatchers = Rc::new(RefCell::new(Dispatchers::new(DispatchContext {
         backend_pool: Rc::new(RefCell::new(backend_pool)),
         retry_budget: Rc::new(RefCell::new(RetryBudget::new(retries, retries * 100.0))),
         connection_pools,
         clock,
-        figures: figures.clone(),
+        metrics: metrics.clone(),
         counts: count_sender,
         phase: phase.clone(),
     })));
@@ -234,7 +234,7 @@
         1 << 24,
         clock,
         phase.clone(),
-        &figures,
+        &metrics,
     );
     let clients = Rc::new(clients);
     let listener = Rc::new(TcpListener::bind("127.0.0.1:0").await.unwrap());
--- a/crates/proxy/tests/quota_worlds/main.rs
+++ b/crates/proxy/tests/quota_simulation/main.rs
@@ -165,7 +165,7 @@
 /// Measures false refusals and overshoot. Each request goes to a random proxy, which is the hardest
 /// case for shares. `MODEL=all` prints the table of `docs/results/quota`.
 #[test]
-fn refusals_and_overshoot_by_number_of_proxies() {
+fn refusals_and_overshoot_stay_within_limits() {
     let is_full = std::env::var("MODEL").is_ok_and(|model| model == "all");
     let proxy_counts: &[usize] = if is_full { &[10, 30, 69] } else { &[10] };
     for proxies in proxy_counts {
--- a/crates/registry/src/operators.rs
+++ b/crates/registry/src/http_api.rs
@@ -17,7 +17,7 @@
 use tokio::time::{sleep, timeout};
 
 use crate::RETRY_PAUSE;
-use crate::calls::{Call, CallError};
+use crate::api_requests::{Call, CallError};
 use crate::registry::SharedRegistry;
 use crate::report::{self, ErrorReport, LookupReport};
 
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -5,26 +5,26 @@
 //!
 //! Modules in reading order:
 //!
-//! - [`coordinator`], [`counts`], [`backend_list`], [`directory`], [`host_homes`], [`known_proxies`], [`partners`],
-//!   [`calls`]: decisions, free of I/O
-//! - `common_time`, `proxies`, `store_session`: the parts of a registry's state
+//! - [`coordinator`], [`counts`], [`backend_list`], [`directory`], [`home_regions`], [`known_proxies`], [`partners`],
+//!   [`api_requests`]: decisions, free of I/O
+//! - `coordinator_time`, `proxies`, `store_session`: the parts of a registry's state
 //! - `registry`: the whole state and its transitions; `store_messages`: messages from the store; `proxy_updates`:
 //!   messages to proxies; `allotments`: messages about quota allotments; `state_report`: the state report for operators
-//! - `gossip`, `links`, `operators`, `platform`: sockets and connections; `report`: JSON response bodies
+//! - `gossip`, `links`, `http_api`, `platform`: sockets and connections; `report`: JSON response bodies
 #![warn(clippy::too_many_lines, unreachable_pub)]
 
 mod allotments;
+pub mod api_requests;
 pub mod backend_list;
-pub mod calls;
-mod common_time;
 pub mod coordinator;
+mod coordinator_time;
 pub mod counts;
 pub mod directory;
 mod gossip;
-pub mod host_homes;
+pub mod home_regions;
+mod http_api;
 pub mod known_proxies;
 mod links;
-mod operators;
 pub mod partners;
 mod platform;
 mod proxies;
@@ -122,7 +122,7 @@
     spawn_local(platform::poll(registry.clone()));
     for name in ["control", "directory"] {
         if let Ok(address) = settings.listen_address(name) {
-            spawn_local(operators::serve(registry.clone(), listen(address)?));
+            spawn_local(http_api::serve(registry.clone(), listen(address)?));
         }
     }
     Ok(())
--- a/crates/registry/src/registry.rs
+++ b/crates/registry/src/registry.rs
@@ -22,10 +22,10 @@
 use damsonbeam_control::settings::Settings;
 use tokio::sync::oneshot;
 
-use crate::common_time::CoordinatorTime;
 use crate::coordinator::{CoordinatorRole, ListOutcome};
+use crate::coordinator_time::CoordinatorTime;
 use crate::directory::{HomeRegions, Lookup, ProxyEndpoint};
-use crate::host_homes::HomeRegionIndex;
+use crate::home_regions::HomeRegionIndex;
 use crate::proxies::{ConnectionId, ProxySessions};
 use crate::store_session::StoreSession;
 
@@ -52,7 +52,7 @@
     pub(crate) config: ConfigSnapshot,
     /// Home regions by host, derived from `config`. Updated with each changed item instead of computed per lookup,
     /// because clients send many lookups a second.
-    pub(crate) host_homes: HomeRegionIndex,
+    pub(crate) home_regions: HomeRegionIndex,
     /// Whether the store has sent all items that it knows to be committed.
     pub(crate) has_all_items: bool,
     pub(crate) backends: BackendList,
@@ -79,7 +79,7 @@
             proxies: ProxySessions::default(),
             store: StoreSession::default(),
             config: ConfigSnapshot::default(),
-            host_homes: HomeRegionIndex::default(),
+            home_regions: HomeRegionIndex::default(),
             has_all_items: false,
             backends: BackendList::default(),
             was_in_contact: false,
@@ -136,7 +136,7 @@
     /// Returns the inputs of a directory lookup other than the proxies.
     pub(crate) fn lookup<'a>(&self, host: &str, region: &'a str, zone: &'a str) -> Lookup<'a> {
         let homes = if self.has_all_items {
-            self.host_homes.home_regions(host)
+            self.home_regions.home_regions(host)
         } else {
             HomeRegions::Unknown
         };
--- a/crates/registry/src/store_messages.rs
+++ b/crates/registry/src/store_messages.rs
@@ -71,7 +71,7 @@
         if new.is_empty() {
             return;
         }
-        new.iter().for_each(|item| self.host_homes.update(item));
+        new.iter().for_each(|item| self.home_regions.update(item));
         let is_tenant = |item: &&Item| item.key.kind == ItemKind::Tenant && !item.is_removed();
         for tenant in new.iter().filter(is_tenant) {
             if let Ok(tenant) = Tenant::try_from(tenant) {
--- a/crates/registry/tests/calls.rs
+++ b/crates/registry/tests/api_requests.rs
@@ -1,6 +1,6 @@
 //! Tests of the parser for request lines of the HTTP API.
 
-use damsonbeam_registry::calls::{Call, CallError};
+use damsonbeam_registry::api_requests::{Call, CallError};
 
 #[test]
 fn request_line_is_matched_by_path_then_method() {
--- a/crates/registry/tests/host_homes.rs
+++ b/crates/registry/tests/home_regions.rs
@@ -2,7 +2,7 @@
 
 use damsonbeam_control::config::{Item, ItemKey, ItemKind, ProposalNumber};
 use damsonbeam_registry::directory::HomeRegions;
-use damsonbeam_registry::host_homes::HomeRegionIndex;
+use damsonbeam_registry::home_regions::HomeRegionIndex;
 
 fn route(name: &str, host: &str, homes: &[&str]) -> Item {
     let homes: Vec<String> = homes.iter().map(|home| format!("\"{home}\"")).collect();
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -17,7 +17,7 @@
 /// The settings as decoded.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "kebab-case", default)]
-pub struct Facts {
+pub struct SettingsFile {
     /// The deployment's limits and permissions.
     pub ceilings: DeploymentLimits,
     /// Names of the zones, indexed by zone number.
@@ -180,7 +180,7 @@
     clippy::too_many_lines,
     reason = "a flat conversion of one field after the other"
 )]
-pub fn settings(facts: &Facts) -> Result<Settings, String> {
+pub fn to_settings(settings_file: &SettingsFile) -> Result<Settings, String> {
     let operation = |class: &OperationSettings| {
         let repeat = match class.idempotency.as_str() {
             "retryable" => RepeatMode::Idempotent,
@@ -220,20 +220,30 @@
         ceiling_burst: plan.never_over_depth,
         ceiling_slack: plan.hard_slack,
     };
-    if facts.request_classes.is_empty() {
+    if settings_file.request_classes.is_empty() {
         return Err("the settings name no request-classes".into());
     }
-    let (limits, domain, rules) = (&facts.ceilings, &facts.domain, &facts.rules);
+    let (limits, domain, rules) = (
+        &settings_file.ceilings,
+        &settings_file.domain,
+        &settings_file.rules,
+    );
     Ok(Settings {
-        gateways: facts.siblings,
-        own_id: GatewayId(facts.self_index),
-        zone: facts.locality,
-        tick: ns(facts.tick_ns),
-        operations: facts.request_classes.iter().map(operation).collect(),
-        plans: facts.plans.iter().map(plan).collect(),
+        gateways: settings_file.siblings,
+        own_id: GatewayId(settings_file.self_index),
+        zone: settings_file.locality,
+        tick: ns(settings_file.tick_ns),
+        operations: settings_file
+            .request_classes
+            .iter()
+            .map(operation)
+            .collect(),
+        plans: settings_file.plans.iter().map(plan).collect(),
         in_force: InForce {
-            operations: (0..facts.request_classes.len()).map(OperationId).collect(),
-            plans: (0..facts.plans.len()).map(PlanId).collect(),
+            operations: (0..settings_file.request_classes.len())
+                .map(OperationId)
+                .collect(),
+            plans: (0..settings_file.plans.len()).map(PlanId).collect(),
         },
         limits: InvocationLimits {
             may_cancel: limits.cancel,
@@ -252,7 +262,7 @@
         units_are_estimates: domain.settles,
         max_units: domain.most_units,
         meter_period: ns(domain.meter_ns),
-        discovery: if facts.discovery == "subscribe" {
+        discovery: if settings_file.discovery == "subscribe" {
             Discovery::Subscribed
         } else {
             Discovery::Pushed
