--- a/crates/account/src/lib.rs
+++ b/crates/account/src/lib.rs
@@ -41,7 +41,7 @@
     /// Counts by name, then by second (Unix time).
     pub counts: BTreeMap<String, BTreeMap<u64, u64>>,
     /// The first `MAX_REPORTED_LINES` faulty lines, as `file:line: reason`.
-    pub faulty: Vec<String>,
+    pub malformed_line_errors: Vec<String>,
     /// Number of all faulty lines.
     pub malformed_line_count: usize,
 }
@@ -105,7 +105,7 @@
 ///
 /// # Errors
 /// Returns an error if the folder or a file can't be read, or if there are no files or no valid `account` lines.
-pub fn read(folder: &Path) -> Result<Account, AccountError> {
+pub fn read_folder(folder: &Path) -> Result<Account, AccountError> {
     let mut paths = Vec::new();
     for entry in fs::read_dir(folder).map_err(|source| unreadable(folder, source))? {
         let path = entry.map_err(|source| unreadable(folder, source))?.path();
@@ -141,9 +141,10 @@
         for (position, line) in text.lines().enumerate() {
             if let Err(error) = self.add_line(line) {
                 self.malformed_line_count += 1;
-                if self.faulty.len() < MAX_REPORTED_LINES {
+                if self.malformed_line_errors.len() < MAX_REPORTED_LINES {
                     let number = position + 1;
-                    self.faulty.push(format!("{name}:{number}: {error}"));
+                    self.malformed_line_errors
+                        .push(format!("{name}:{number}: {error}"));
                 }
             }
         }
--- a/crates/account/tests/account.rs
+++ b/crates/account/tests/account.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::fs;
 
-use damsonbeam_account::{Account, read};
+use damsonbeam_account::{Account, read_folder};
 
 const VALID_LINE: &str = r#"{"level":"DEBUG","fields":{"message":"","code":"account","version":1,"second":7,"counts":"{\"sent.cold\":2,\"turned.line\":1}"}}"#;
 
@@ -64,10 +64,10 @@
         (4, "not a JSON line"),
     ] {
         let found = account
-            .faulty
+            .malformed_line_errors
             .iter()
             .any(|line| line.starts_with(&format!("n1.log:{n}: ")) && line.contains(reason));
-        assert!(found, "{reason} in {:?}", account.faulty);
+        assert!(found, "{reason} in {:?}", account.malformed_line_errors);
     }
 }
 
@@ -75,7 +75,7 @@
 fn folder_without_account_lines_is_rejected_with_a_hint() {
     let folder = tempfile::tempdir().unwrap();
     assert!(
-        read(folder.path())
+        read_folder(folder.path())
             .unwrap_err()
             .to_string()
             .contains("no log files")
@@ -86,10 +86,10 @@
     )
     .unwrap();
     assert!(
-        read(folder.path())
+        read_folder(folder.path())
             .unwrap_err()
             .to_string()
             .contains("DAMSONBEAM_LOG=debug")
     );
-    assert!(read(&folder.path().join("none")).is_err());
+    assert!(read_folder(&folder.path().join("none")).is_err());
 }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -239,8 +239,11 @@
 
 /// Prints the summary of the gateways' logs in `folder` and writes the per-second table to `csv`.
 fn print_account(folder: &Path, csv: Option<PathBuf>) -> Result<(), String> {
-    let account = damsonbeam_account::read(folder).map_err(|error| error.to_string())?;
-    account.faulty.iter().for_each(|fault| eprintln!("{fault}"));
+    let account = damsonbeam_account::read_folder(folder).map_err(|error| error.to_string())?;
+    account
+        .malformed_line_errors
+        .iter()
+        .for_each(|fault| eprintln!("{fault}"));
     print!("{}", account.summary());
     if account.malformed_line_count > 0 {
         println!(
--- a/crates/cli/tests/sockets/main.rs
+++ b/crates/cli/tests/sockets/main.rs
@@ -13,7 +13,7 @@
 
 use damsonbeam::interface::ListUpdate;
 use damsonbeam_gateway::backend_list::NameTable;
-use damsonbeam_gateway::log::Site;
+use damsonbeam_gateway::log::RateLimitedSite;
 use damsonbeam_gateway::request_heads::HeadScanner;
 use damsonbeam_gateway::write_meter::WriteMeter;
 use harness::*;
@@ -731,7 +731,7 @@
         let page = serde_json::from_value(page(1, complete, members)).unwrap();
         (
             names.to_update(page, form).entries[0].backend_id,
-            names.known(),
+            names.len(),
         )
     };
     let (first, _) = apply_page(
@@ -1059,22 +1059,22 @@
     let text = b"POST / HTTP/1.1\r\na: b\r\n\r\nbody\r\n\r\n";
     for cut in 0..=text.len() {
         let meter = WriteMeter::default();
-        meter.begin(8);
+        meter.start_request(8);
         assert!(!meter.is_complete());
-        meter.wrote(&text[..cut]);
+        meter.record_written(&text[..cut]);
         assert_eq!(meter.is_complete(), cut == text.len(), "{cut}");
-        meter.wrote(&text[cut..]);
+        meter.record_written(&text[cut..]);
         assert!(meter.is_complete());
     }
 }
 
 #[test]
 fn log_site_is_limited_to_10_lines_per_second() {
-    let (site, start) = (Site::new(), Instant::now());
-    let passed = (0..100).filter(|_| site.pass(start).is_some()).count();
+    let (site, start) = (RateLimitedSite::new(), Instant::now());
+    let passed = (0..100).filter(|_| site.admit(start).is_some()).count();
     assert!((1..=10).contains(&passed));
     assert_eq!(
-        site.pass(start + Duration::from_secs(1)),
+        site.admit(start + Duration::from_secs(1)),
         Some(100 - passed as u32)
     );
 }
--- a/crates/gateway/src/attempts.rs
+++ b/crates/gateway/src/attempts.rs
@@ -1,6 +1,6 @@
 //! Rules for sending a request to a backend again, enforced by types.
 //!
-//! Sending an attempt to a backend requires a [`SendPermit`]. Only [`Attempts::permit`] creates one: for the first
+//! Sending an attempt to a backend requires a [`SendPermit`]. Only [`Attempts::start_attempt`] creates one: for the first
 //! attempt of a request, for a request that may be executed more than once ([`Repeatable`]), or if each earlier attempt
 //! has ended with a [`NotExecuted`]. None of the three types has a public constructor and permits cannot be copied, so
 //! code that sends an attempt without permission does not compile.
@@ -14,7 +14,7 @@
 //! use damsonbeam_gateway::attempts::{Attempts, SendPermit};
 //! fn use_permit_twice(permit: SendPermit, meter: std::rc::Rc<damsonbeam_gateway::write_meter::WriteMeter>) {
 //!     let sent = permit.start_sending(meter);
-//!     let proof = permit.unused();
+//!     let proof = permit.give_up();
 //! }
 //! ```
 
@@ -30,7 +30,7 @@
 
 impl Repeatable {
     /// Returns the proof for an operation with this repeat mode; `None` if a request may be executed at most once.
-    pub fn by(repeat: RepeatMode) -> Option<Self> {
+    pub fn from_repeat_mode(repeat: RepeatMode) -> Option<Self> {
         match repeat {
             RepeatMode::Idempotent | RepeatMode::Deduplicated { .. } => Some(Repeatable(())),
             RepeatMode::NonIdempotent => None,
@@ -56,7 +56,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
     /// The backend has no free capacity.
-    Full,
+    NoCapacity,
     /// The request was addressed to another backend.
     WrongBackend,
 }
@@ -94,7 +94,9 @@
             Ending::Succeeded => Outcome::Ok,
             Ending::Failed => Outcome::Failed,
             Ending::Unknown => Outcome::Reset,
-            Ending::NotExecuted(NotExecuted(Evidence::Declined(Refusal::Full))) => Outcome::Full,
+            Ending::NotExecuted(NotExecuted(Evidence::Declined(Refusal::NoCapacity))) => {
+                Outcome::Full
+            }
             Ending::NotExecuted(_) => Outcome::ConnectFailed,
         }
     }
@@ -107,7 +109,7 @@
 
 impl SendPermit {
     /// Gives up the attempt before any part of it was handed to a connection.
-    pub fn unused(self) -> NotExecuted {
+    pub fn give_up(self) -> NotExecuted {
         NotExecuted(Evidence::NotSent)
     }
 
@@ -171,12 +173,12 @@
     }
 
     /// Returns the number of the next attempt.
-    pub fn next(&self) -> AttemptNumber {
+    pub fn next_number(&self) -> AttemptNumber {
         AttemptNumber(self.states.len() as u32)
     }
 
     /// Counts an attempt. Returns the permit to send it, or `None` if the request may not be sent again.
-    pub fn permit(&mut self) -> Option<SendPermit> {
+    pub fn start_attempt(&mut self) -> Option<SendPermit> {
         let allowed = self.repeatable.is_some() || self.none_executed();
         self.states.push(if allowed {
             AttemptState::MayRun
@@ -187,7 +189,7 @@
     }
 
     /// Records that an attempt has ended without being executed.
-    pub fn not_executed(&mut self, number: AttemptNumber, _proof: NotExecuted) {
+    pub fn record_not_executed(&mut self, number: AttemptNumber, _proof: NotExecuted) {
         self.states[number.0 as usize] = AttemptState::NotExecuted;
     }
 
--- a/crates/gateway/src/backend_list/name_table.rs
+++ b/crates/gateway/src/backend_list/name_table.rs
@@ -31,7 +31,7 @@
     }
 
     /// Returns the number of known backend names.
-    pub fn known(&self) -> usize {
+    pub fn len(&self) -> usize {
         self.ids.len()
     }
 
--- a/crates/gateway/src/backend_list/watcher.rs
+++ b/crates/gateway/src/backend_list/watcher.rs
@@ -29,13 +29,13 @@
 /// Actor that watches the list of backends.
 pub struct BackendListWatcher {
     /// Address of the discovery service.
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     /// Numeric ids for the names that the discovery service uses.
     pub names: NameTable,
     /// How the list is obtained.
     pub mode: Discovery,
     /// Revision of the list with which this process started.
-    pub known: u64,
+    pub initial_revision: u64,
     /// The current whole list, handed over to a successor process.
     pub last_list: Rc<RefCell<DiscoveryPage>>,
     /// Receives the lists.
@@ -43,7 +43,7 @@
     /// Messages to the watcher.
     pub mailbox: mpsc::Receiver<ToListWatcher>,
     /// Notified once the dispatcher has received the first page from the discovery service.
-    pub first: Option<oneshot::Sender<()>>,
+    pub first_page_sender: Option<oneshot::Sender<()>>,
 }
 
 /// Result of a request to the discovery service.
@@ -65,15 +65,15 @@
         let mut connection = DiscoveryConnection::default();
         // A subscription since the known revision returns all missed changes in one request. Fetching the whole list
         // first would take two requests to a service that all gateways call when they start.
-        let mut revision = (self.mode == Discovery::Subscribed).then_some(self.known);
+        let mut revision = (self.mode == Discovery::Subscribed).then_some(self.initial_revision);
         loop {
             if !watching {
                 match self.mailbox.recv().await {
                     None => return,
-                    Some(ToListWatcher::Watch { on }) => watching = on,
+                    Some(ToListWatcher::Watch { is_watched }) => watching = is_watched,
                     Some(ToListWatcher::Fetch) => {}
-                    Some(ToListWatcher::Move(address)) => {
-                        self.at = address;
+                    Some(ToListWatcher::SetAddress(address)) => {
+                        self.address = address;
                         connection = DiscoveryConnection::default();
                         revision = None;
                         continue;
@@ -86,7 +86,7 @@
             let handled = match result {
                 RequestResult::Moved(address) => {
                     // The watch restarts with the whole list, so that no change in between is missed.
-                    self.at = address;
+                    self.address = address;
                     connection = DiscoveryConnection::default();
                     revision = None;
                     Ok(())
@@ -113,7 +113,7 @@
         connection: &mut DiscoveryConnection,
         revision: Option<u64>,
     ) -> Result<RequestResult, ActorEnded> {
-        let fetch = connection.fetch(self.at, revision, WATCH_HOLD);
+        let fetch = connection.fetch(self.address, revision, WATCH_HOLD);
         let mut fetch = Box::pin(timeout(WATCH_HOLD + WATCH_GRACE, fetch));
         loop {
             tokio::select! {
@@ -122,10 +122,10 @@
                 }
                 message = self.mailbox.recv() => match message {
                     None => return Err(ActorEnded),
-                    Some(ToListWatcher::Watch { on: false }) if self.mode == Discovery::Subscribed => {
+                    Some(ToListWatcher::Watch { is_watched: false }) if self.mode == Discovery::Subscribed => {
                         return Ok(RequestResult::WatchEnded);
                     }
-                    Some(ToListWatcher::Move(address)) => return Ok(RequestResult::Moved(address)),
+                    Some(ToListWatcher::SetAddress(address)) => return Ok(RequestResult::Moved(address)),
                     Some(_) => {}
                 }
             }
@@ -144,7 +144,7 @@
             let update = self.names.to_update(page, form);
             self.send(update).await?;
         }
-        if let Some(sender) = self.first.take() {
+        if let Some(sender) = self.first_page_sender.take() {
             sender.send(()).ok();
         }
         Ok(())
@@ -161,7 +161,7 @@
             warn,
             "list-unavailable",
             "{}: {error}; keeping the last list",
-            self.at
+            self.address
         );
         if self.mode != Discovery::Subscribed {
             sleep(RETRY_DELAY).await;
--- a/crates/gateway/src/backends/attempt.rs
+++ b/crates/gateway/src/backends/attempt.rs
@@ -85,19 +85,19 @@
     let reporter = AttemptReporter {
         invocation_id: outgoing.invocation_id,
         number: outgoing.number,
-        dispatcher: outgoing.to,
+        dispatcher: outgoing.reply_to,
     };
     let OutgoingAttempt {
         permit,
         request,
         time_left,
         cancel_handle,
-        replaces,
+        overdue_attempt,
         ..
     } = outgoing;
     let Some(mut connection) = target.connection(idle).await else {
         reporter
-            .report_failure(Ending::NotExecuted(permit.unused()))
+            .report_failure(Ending::NotExecuted(permit.give_up()))
             .await;
         return None;
     };
@@ -108,11 +108,11 @@
     // The backend began to drain while the connection was being opened.
     if target.closed.get() {
         reporter
-            .report_failure(Ending::NotExecuted(permit.unused()))
+            .report_failure(Ending::NotExecuted(permit.give_up()))
             .await;
         return None;
     }
-    if let Some(overdue) = replaces {
+    if let Some(overdue) = overdue_attempt {
         overdue.cancel();
     }
     *cancel_handle.socket.borrow_mut() = connection.socket.clone();
@@ -159,7 +159,7 @@
         // With an unknown length, the last byte of a body is known only at the end of its stream.
         let length = request.body.length();
         let body_bytes = length.map_or(usize::MAX, |length| length as usize);
-        connection.meter.begin(body_bytes);
+        connection.meter.start_request(body_bytes);
         let attempt = permit.start_sending(connection.meter.clone());
         let sent = connection
             .send
@@ -237,7 +237,7 @@
             self.pools.set_idle_timeout(timeout);
         }
         let closes_connection = has_connection_close(&headers);
-        let report = load_report(&headers, &self.pools.reports);
+        let report = load_report(&headers, &self.pools.load_report_fields);
         let may_forward = protocol.may_forward(verdict, status, &headers);
         let response = may_forward.then(|| {
             protocol.strip_response_headers(&mut headers);
--- a/crates/gateway/src/backends/connection.rs
+++ b/crates/gateway/src/backends/connection.rs
@@ -19,7 +19,7 @@
 use super::connection_pools::ConnectionPools;
 use crate::bodies::Upload;
 use crate::messages::Socket;
-use crate::sizes::HEAD;
+use crate::sizes::MAX_HEAD;
 use crate::write_meter::WriteMeter;
 
 /// The socket that hyper reads and writes. Attempts hold weak references only, so the socket closes as soon as
@@ -61,7 +61,7 @@
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context, bytes: &[u8]) -> Poll<io::Result<usize>> {
         let n = ready!(Pin::new(&mut *self.socket.borrow_mut()).poll_write(cx, bytes))?;
         let was_complete = self.meter.is_complete();
-        self.meter.wrote(&bytes[..n]);
+        self.meter.record_written(&bytes[..n]);
         if !was_complete && self.meter.is_complete() {
             self.sends.inc();
         }
@@ -117,9 +117,9 @@
     address: SocketAddr,
 ) -> Result<BackendConnection, ConnectError> {
     if !pools.make_room().await {
-        return Err(ConnectError::TooManyConnections(pools.max_open));
+        return Err(ConnectError::TooManyConnections(pools.max_connections));
     }
-    let open_guard = OpenConnectionGuard::new(&pools.open);
+    let open_guard = OpenConnectionGuard::new(&pools.open_connections);
     let socket = timeout(pools.connect_timeout, TcpStream::connect(address))
         .await
         .map_err(|_| ConnectError::TimedOut)??;
@@ -133,7 +133,7 @@
         _open_guard: open_guard,
     };
     let (send, driver) = Builder::new()
-        .max_buf_size(HEAD)
+        .max_buf_size(MAX_HEAD)
         .handshake(TokioIo::new(metered))
         .await?;
     tokio::task::spawn_local(async move { driver.await.ok() });
--- a/crates/gateway/src/backends/connection_pools.rs
+++ b/crates/gateway/src/backends/connection_pools.rs
@@ -28,12 +28,12 @@
     /// Time after which idle connections are closed.
     pub idle_timeout: Cell<Duration>,
     /// Names of the fields in the load reports of backends, in the order of the settings.
-    pub reports: Vec<String>,
+    pub load_report_fields: Vec<String>,
     pub(super) protocol: Box<dyn BackendProtocol>,
     /// Maximum number of open connections.
-    pub max_open: usize,
+    pub max_connections: usize,
     /// Number of open connections.
-    pub open: Rc<Cell<usize>>,
+    pub open_connections: Rc<Cell<usize>>,
     /// Pools of all backends by backend name.
     pools: RefCell<Vec<(String, Weak<Pool>)>>,
     pub(super) metrics: Metrics,
@@ -43,24 +43,24 @@
 impl ConnectionPools {
     /// Creates empty pools.
     ///
-    /// `platform_idle_timeout` is the time after which backends close idle connections, `max_open` the maximum number
+    /// `platform_idle_timeout` is the time after which backends close idle connections, `max_connections` the maximum number
     /// of open connections, and `body_bytes` the memory limit for responses of unknown length.
     pub fn new(
         connect_timeout: Duration,
         platform_idle_timeout: Duration,
-        reports: Vec<String>,
+        load_report_fields: Vec<String>,
         protocol: Box<dyn BackendProtocol>,
-        max_open: usize,
+        max_connections: usize,
         body_bytes: usize,
         metrics: &Metrics,
     ) -> Rc<Self> {
         Rc::new(ConnectionPools {
             connect_timeout,
             idle_timeout: Cell::new(platform_idle_timeout * IDLE_FRACTION.0 / IDLE_FRACTION.1),
-            reports,
+            load_report_fields,
             protocol,
-            max_open,
-            open: Rc::default(),
+            max_connections,
+            open_connections: Rc::default(),
             pools: RefCell::default(),
             metrics: metrics.clone(),
             response_memory: MemoryBudget::new(body_bytes),
@@ -94,16 +94,16 @@
     /// At the limit, closes the connection that has been idle longest, of any backend: a pool of idle connections must
     /// not occupy file descriptors that requests to another backend need.
     pub(super) async fn make_room(&self) -> bool {
-        if self.open.get() >= self.max_open {
+        if self.open_connections.get() >= self.max_connections {
             self.close_longest_idle();
             for _ in 0..CLOSE_YIELDS {
-                if self.open.get() < self.max_open {
+                if self.open_connections.get() < self.max_connections {
                     break;
                 }
                 tokio::task::yield_now().await;
             }
         }
-        self.open.get() < self.max_open
+        self.open_connections.get() < self.max_connections
     }
 
     fn close_longest_idle(&self) {
--- a/crates/gateway/src/backends/mod.rs
+++ b/crates/gateway/src/backends/mod.rs
@@ -19,7 +19,9 @@
 use self::connection::BackendConnection;
 pub use self::connection_pools::ConnectionPools;
 use self::connection_pools::Pool;
-pub use self::protocol::{BackendProtocol, CORRELATION_ID, Platform, TIME_LEFT, keep_end_to_end};
+pub use self::protocol::{
+    BackendProtocol, CORRELATION_ID, PlatformBackends, TIME_LEFT, keep_end_to_end,
+};
 use crate::messages::{BackendHandle, ToBackend};
 
 /// Capacity of a backend's mailbox, larger than the number of attempts that a backend has at any time.
@@ -53,7 +55,7 @@
         };
         tokio::task::spawn_local(backend.run());
         BackendHandle {
-            at: address,
+            address: address,
             mailbox: sender,
             closed,
         }
--- a/crates/gateway/src/backends/protocol.rs
+++ b/crates/gateway/src/backends/protocol.rs
@@ -32,9 +32,9 @@
 }
 
 /// Protocol of the backends in the deployments in service.
-pub struct Platform;
+pub struct PlatformBackends;
 
-impl BackendProtocol for Platform {
+impl BackendProtocol for PlatformBackends {
     fn add_request_headers(&self, headers: &mut HeaderMap, time_left: Duration, _: &str) {
         headers.insert(&TIME_LEFT, HeaderValue::from(time_left.as_millis() as u64));
     }
@@ -44,7 +44,7 @@
         match status {
             StatusCode::OK => Verdict::Succeeded,
             StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if unprocessed => {
-                Verdict::Declined(Refusal::Full)
+                Verdict::Declined(Refusal::NoCapacity)
             }
             // Any other status leaves open whether the request was executed.
             _ => Verdict::Failed,
--- a/crates/gateway/src/backends/response.rs
+++ b/crates/gateway/src/backends/response.rs
@@ -10,7 +10,7 @@
 
 use crate::bodies::{self, ResponseBody, StreamEnd, StreamedResponse};
 use crate::memory_budget::MemoryBudget;
-use crate::sizes::{BODY, LARGE};
+use crate::sizes::{MAX_BODY, MAX_BUFFERED_BODY};
 
 /// Maximum time for which a response of unknown length is buffered, counted from its head. A response buffered to its
 /// end can be told from a truncated one; a long, slow response must start to flow before the client times out.
@@ -51,7 +51,7 @@
         return Err(ResponseError::UnknownLength);
     }
     match body.size_hint().exact() {
-        Some(length) if length > LARGE as u64 => Err(ResponseError::TooLarge(length)),
+        Some(length) if length > MAX_BODY as u64 => Err(ResponseError::TooLarge(length)),
         length => Ok(length),
     }
 }
@@ -64,11 +64,13 @@
     let (head, mut body) = response.into_parts();
     let length = known_length(&head.headers, &body)?;
     let (beginning, is_whole) = match length {
-        Some(length) if length > BODY as u64 => (Bytes::new(), false),
+        Some(length) if length > MAX_BUFFERED_BODY as u64 => (Bytes::new(), false),
         Some(_) => bodies::read_start(&mut body, None).await?,
         None => {
             // A body of unknown length may need the whole buffer, so memory is reserved from the common limit.
-            let reservation = memory.reserve(BODY).ok_or(ResponseError::NoMemory)?;
+            let reservation = memory
+                .reserve(MAX_BUFFERED_BODY)
+                .ok_or(ResponseError::NoMemory)?;
             let (beginning, is_whole) =
                 bodies::read_start(&mut body, Some(BUFFERING_TIMEOUT)).await?;
             (reservation.keep(beginning), is_whole)
--- a/crates/gateway/src/bodies.rs
+++ b/crates/gateway/src/bodies.rs
@@ -1,6 +1,6 @@
 //! Buffered and streamed bodies.
 //!
-//! A body of up to [`BODY`] bytes is buffered, so that another attempt can send it again and a truncated response never
+//! A body of up to [`MAX_BUFFERED_BODY`] bytes is buffered, so that another attempt can send it again and a truncated response never
 //! reaches a client. A larger body is streamed from one socket to the other. Reading waits for writing, so the memory in
 //! use at a time is one chunk and the buffer of a socket.
 
@@ -16,7 +16,7 @@
 use tokio::sync::oneshot;
 use tokio::time::{Instant, Sleep, sleep, timeout, timeout_at};
 
-use crate::sizes::{BODY, LARGE};
+use crate::sizes::{MAX_BODY, MAX_BUFFERED_BODY};
 
 type Error = Box<dyn std::error::Error + Send + Sync>;
 
@@ -31,7 +31,7 @@
 
 /// Reads the beginning of a body. Returns it with whether the body is complete.
 ///
-/// Reading ends with the body, with more than [`BODY`] bytes, or once `within` has passed and at least one byte has been
+/// Reading ends with the body, with more than [`MAX_BUFFERED_BODY`] bytes, or once `within` has passed and at least one byte has been
 /// received.
 ///
 /// # Errors
@@ -42,7 +42,7 @@
 ) -> Result<(Bytes, bool), hyper::Error> {
     let mut parts: Vec<u8> = Vec::new();
     let until = within.map(|within| Instant::now() + within);
-    while parts.len() <= BODY {
+    while parts.len() <= MAX_BUFFERED_BODY {
         let frame = match until {
             Some(until) => match timeout_at(until, body.frame()).await {
                 Ok(frame) => frame,
@@ -122,7 +122,7 @@
             let mut read = 0;
             while let Ok(Some(Ok(frame))) = timeout(CLIENT_SILENCE_TIMEOUT, rest.frame()).await {
                 read += frame.data_ref().map_or(0, Bytes::len);
-                if read > LARGE {
+                if read > MAX_BODY {
                     return;
                 }
             }
@@ -140,7 +140,7 @@
             self.consumed.set(true);
             self.received
                 .set(self.received.get() + frame.data_ref().map_or(0, Bytes::len) as u64);
-            if self.received.get() > LARGE as u64 {
+            if self.received.get() > MAX_BODY as u64 {
                 return Poll::Ready(Some(Err("the request body is too large".into())));
             }
         }
--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -39,7 +39,7 @@
 use crate::messages::{Answer, ForwardedRequest, ToDispatcher};
 use crate::phase::CurrentPhase;
 use crate::shutdown_admission::ShutdownAdmission;
-use crate::sizes::HEAD;
+use crate::sizes::MAX_HEAD;
 
 /// Pause after a failed accept; retrying at once would not free any file descriptors.
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(20);
@@ -105,16 +105,16 @@
 #[derive(Clone, Copy)]
 pub struct ClientTimeouts {
     /// Time in which a request head has to be complete.
-    pub head: Duration,
+    pub request_head: Duration,
     /// Time after which an idle connection is closed.
-    pub idle: Duration,
+    pub idle_connection: Duration,
 }
 
 impl Default for ClientTimeouts {
     fn default() -> Self {
         ClientTimeouts {
-            head: HEAD_TIMEOUT,
-            idle: IDLE_TIMEOUT,
+            request_head: HEAD_TIMEOUT,
+            idle_connection: IDLE_TIMEOUT,
         }
     }
 }
@@ -181,12 +181,12 @@
     }
 
     /// Sets the time at which the process ends. Requests that cannot be answered by `end` are rejected immediately.
-    pub fn end_by(&self, end: Duration) {
-        self.shutdown_admission.end_by(end);
+    pub fn set_shutdown_deadline(&self, end: Duration) {
+        self.shutdown_admission.start_shutdown(end);
     }
 
     /// Returns the number of connections on which a request or its response is still in progress.
-    pub fn unanswered(&self) -> usize {
+    pub fn pending_requests(&self) -> usize {
         self.connections
             .borrow()
             .values()
@@ -306,12 +306,12 @@
         };
         let serving = http1::Builder::new()
             .auto_date_header(false)
-            .max_buf_size(HEAD)
+            .max_buf_size(MAX_HEAD)
             .serve_connection(TokioIo::new(observed), service);
         let mut serving = pin!(serving);
         let mut armed_deadline = connection.deadline();
         let mut timer = pin!(sleep_until(
-            clock.instant(armed_deadline.unwrap_or_default())
+            clock.to_instant(armed_deadline.unwrap_or_default())
         ));
         let mut close = pin!(connection.close.notified());
         let mut is_closing = false;
@@ -331,7 +331,7 @@
             if deadline.is_some() && deadline != armed_deadline {
                 timer
                     .as_mut()
-                    .reset(clock.instant(deadline.unwrap_or_default()));
+                    .reset(clock.to_instant(deadline.unwrap_or_default()));
                 armed_deadline = deadline;
             }
             // The connection is dropped with its unfinished request; a head that never ends would otherwise keep the
@@ -392,7 +392,7 @@
     }
 
     /// Closes all connections, each after its pending response.
-    pub fn close(&self) {
+    pub fn close_connections(&self) {
         self.connections
             .borrow()
             .values()
@@ -412,12 +412,12 @@
 }
 
 /// Returns an empty response with this status as a [`Rejection`].
-pub fn rejection(status: StatusCode) -> Rejection {
-    Box::new(plain(status))
+pub fn empty_rejection(status: StatusCode) -> Rejection {
+    Box::new(empty_response(status))
 }
 
 /// Returns an empty response with this status.
-pub fn plain(status: StatusCode) -> ClientResponse {
+pub fn empty_response(status: StatusCode) -> ClientResponse {
     let mut response = Response::new(ResponseBody::Buffered(None));
     *response.status_mut() = status;
     response
--- a/crates/gateway/src/clients/connection.rs
+++ b/crates/gateway/src/clients/connection.rs
@@ -87,7 +87,7 @@
     pub(super) fn deadline(&self) -> Option<Duration> {
         match self.state.get() {
             ConnectionState::New | ConnectionState::ReadingHead => {
-                Some(self.state_since.get() + self.timeouts.get().head)
+                Some(self.state_since.get() + self.timeouts.get().request_head)
             }
             ConnectionState::ReadingBody => {
                 let transfer_time = Duration::from_millis(
@@ -99,7 +99,9 @@
                 )
             }
             ConnectionState::WritingResponse => Some(self.state_since.get() + WRITE_TIMEOUT),
-            ConnectionState::Idle => Some(self.state_since.get() + self.timeouts.get().idle),
+            ConnectionState::Idle => {
+                Some(self.state_since.get() + self.timeouts.get().idle_connection)
+            }
             ConnectionState::AwaitingResponse => None,
         }
     }
--- a/crates/gateway/src/clients/invocation.rs
+++ b/crates/gateway/src/clients/invocation.rs
@@ -11,12 +11,12 @@
 use tokio::sync::{mpsc, oneshot};
 
 use super::connection::{ClientConnection, ConnectionState};
-use super::{ClientResponse, Clients, DecodedRequest, Rejection, rejection};
+use super::{ClientResponse, Clients, DecodedRequest, Rejection, empty_rejection};
 use crate::bodies::{self, RequestBody, ResponseBody, StreamEnd, StreamedBody};
 use crate::log::log;
 use crate::messages::{Answer, ForwardedRequest, ToDispatcher};
 use crate::shutdown_admission::SHUTDOWN_RETRY_DELAY;
-use crate::sizes::{BODY, LARGE};
+use crate::sizes::{MAX_BODY, MAX_BUFFERED_BODY};
 
 /// Time limit for an invocation whose body is still arriving. The time limit of the client starts only with the last
 /// byte of the body.
@@ -26,7 +26,7 @@
     /// Returns the response to a request that is rejected because the process is shutting down.
     pub(super) fn shutdown_response(&self) -> ClientResponse {
         let answer = Answer::Throttled {
-            after: Some(SHUTDOWN_RETRY_DELAY),
+            retry_after: Some(SHUTDOWN_RETRY_DELAY),
             reason: RejectReason::QueueTooLong,
             none_executed: true,
         };
@@ -76,7 +76,7 @@
         let body = self
             .receive_body(connection, &head.method, body, &decoded)
             .await
-            .map_err(rejection)?;
+            .map_err(empty_rejection)?;
         let streamed = body.streamed().cloned();
         decoded.invocation.body_pending = streamed.is_some();
         // The time limit of the client starts with the last byte of the request.
@@ -119,7 +119,7 @@
     ) -> Result<OpenInvocation<'_>, Rejection> {
         if !self.open_invocations.borrow_mut().insert(name.clone()) {
             log!(warn, "invocation-twice", "{name}");
-            return Err(rejection(StatusCode::CONFLICT));
+            return Err(empty_rejection(StatusCode::CONFLICT));
         }
         self.metrics.current.inc();
         Ok(OpenInvocation {
@@ -146,10 +146,12 @@
             return Err(StatusCode::BAD_REQUEST);
         }
         let length = body.size_hint().exact();
-        if length.is_some_and(|length| length > LARGE as u64) {
+        if length.is_some_and(|length| length > MAX_BODY as u64) {
             return Err(StatusCode::PAYLOAD_TOO_LARGE);
         }
-        let buffered = length.map_or(BODY, |length| BODY.min(length as usize));
+        let buffered = length.map_or(MAX_BUFFERED_BODY, |length| {
+            MAX_BUFFERED_BODY.min(length as usize)
+        });
         let Some(reservation) = self.body_memory.reserve(buffered) else {
             log!(
                 warn,
@@ -212,18 +214,18 @@
         decoded: DecodedRequest,
         request: Rc<ForwardedRequest>,
     ) -> Result<Answer, Rejection> {
-        let (answer, answered) = oneshot::channel();
+        let (reply_to, answered) = oneshot::channel();
         let message = ToDispatcher::Invocation {
             invocation: decoded.invocation,
             time_left: decoded.time_left,
             repeatable: decoded.repeatable,
             request,
-            answer,
+            reply_to,
         };
         let sent = self.dispatcher.send(message).await;
         if sent.is_err() {
             self.answered.set(true);
-            return Err(rejection(StatusCode::SERVICE_UNAVAILABLE));
+            return Err(empty_rejection(StatusCode::SERVICE_UNAVAILABLE));
         }
         let answer = answered.await.unwrap_or(Answer::Errored);
         self.answered.set(true);
--- a/crates/gateway/src/clients/services.rs
+++ b/crates/gateway/src/clients/services.rs
@@ -14,7 +14,7 @@
 use tower::Service;
 
 use super::connection::{ClientConnection, ConnectionState};
-use super::{ClientResponse, Clients, plain};
+use super::{ClientResponse, Clients, empty_response};
 use crate::bodies::ResponseBody;
 
 type ResponseFuture = Pin<Box<dyn Future<Output = Result<ClientResponse, Infallible>>>>;
@@ -55,7 +55,7 @@
                 Ok(inner) => {
                     let response = inner.await?;
                     let latency = clients.clock.now().saturating_sub(started);
-                    clients.shutdown_admission.answered(latency);
+                    clients.shutdown_admission.record_latency(latency);
                     response
                 }
                 Err(reason) => clients.local_response(reason),
@@ -103,7 +103,7 @@
             .has_conflicting_length()
         {
             Some(OwnReply::ConflictingLength)
-        } else if !clients.shutdown_admission.takes(now) {
+        } else if !clients.shutdown_admission.admits(now) {
             Some(OwnReply::ShuttingDown)
         } else if clients.protocol.is_readiness_check(request.uri()) {
             Some(OwnReply::Readiness)
@@ -118,10 +118,12 @@
 impl Clients {
     fn local_response(&self, reason: OwnReply) -> ClientResponse {
         match reason {
-            OwnReply::ConflictingLength => plain(StatusCode::BAD_REQUEST),
+            OwnReply::ConflictingLength => empty_response(StatusCode::BAD_REQUEST),
             OwnReply::ShuttingDown => self.shutdown_response(),
-            OwnReply::Readiness if self.phase.get().is_serving() => plain(StatusCode::OK),
-            OwnReply::Readiness | OwnReply::OverLimit => plain(StatusCode::SERVICE_UNAVAILABLE),
+            OwnReply::Readiness if self.phase.get().is_serving() => empty_response(StatusCode::OK),
+            OwnReply::Readiness | OwnReply::OverLimit => {
+                empty_response(StatusCode::SERVICE_UNAVAILABLE)
+            }
         }
     }
 
--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -37,7 +37,7 @@
     }
 
     /// Converts the Unix time `at` to the clock of the runtime's timers.
-    pub fn instant(&self, at: Duration) -> tokio::time::Instant {
+    pub fn to_instant(&self, at: Duration) -> tokio::time::Instant {
         (self.start + at.saturating_sub(self.unix)).into()
     }
 }
--- a/crates/gateway/src/config/mod.rs
+++ b/crates/gateway/src/config/mod.rs
@@ -18,7 +18,7 @@
 pub use self::unknown_keys::{check_file, unknown_keys};
 
 use crate::backend_list::DiscoveryPage;
-use crate::sizes::{BODY, CONNECTION};
+use crate::sizes::{CONNECTION_MEMORY, MAX_BUFFERED_BODY};
 
 /// File descriptors reserved for other uses than client and backend connections: listener, counter, discovery, peers,
 /// the runtime, and dropped connections whose descriptors close within one turn of the event loop.
@@ -59,11 +59,11 @@
     pub peers_all: Option<SocketAddr>,
     /// Whether gateways report to each other the units they added to the counter (docs/counter-failure.md); needs
     /// `peers`.
-    pub witness: bool,
+    pub reports_to_peers: bool,
     /// Seed of the random number generator.
     pub seed: u64,
     /// The last known list of backends.
-    pub known: DiscoveryPage,
+    pub known_backends: DiscoveryPage,
     /// The settings as decoded from the file.
     pub settings_file: SettingsFile,
     /// The whole file as JSON.
@@ -71,15 +71,15 @@
     /// The settings in the form that the decision module uses.
     pub settings: Settings,
     /// Maximum number of client connections.
-    pub clients: usize,
+    pub max_client_connections: usize,
     /// Maximum number of backend connections.
-    pub backends: usize,
+    pub max_backend_connections: usize,
     /// Memory in bytes for request bodies, and the same amount again for responses larger than one body buffer.
-    pub bodies: usize,
+    pub body_memory_bytes: usize,
     /// Notes on settings that have no effect because the protocol carries no data for them, one line each.
     pub notes: Vec<String>,
     /// Unknown keys outside `settings`; `config check` rejects them, `serve` logs them.
-    pub unknown: Vec<String>,
+    pub unknown_keys: Vec<String>,
 }
 
 #[derive(Deserialize)]
@@ -168,8 +168,8 @@
         let quarter = (memory_mb << 20) / 4;
         let usable = sockets - RESERVED_SOCKETS;
         let capacity = Capacity {
-            clients: (usable * 3 / 5).min(quarter / CONNECTION),
-            backends: (usable * 2 / 5).min(quarter / (CONNECTION + BODY)),
+            clients: (usable * 3 / 5).min(quarter / CONNECTION_MEMORY),
+            backends: (usable * 2 / 5).min(quarter / (CONNECTION_MEMORY + MAX_BUFFERED_BODY)),
             body_bytes: quarter,
         };
         if capacity.backends.min(capacity.clients) < MIN_CONNECTIONS {
@@ -232,17 +232,17 @@
             peer_listen: optional_address("peer_listen", file.peer_listen.as_ref())?,
             peers: peers.collect::<Result<_, _>>()?,
             peers_all: optional_address("peers_all", file.peers_all.as_ref())?,
-            witness: file.witness,
+            reports_to_peers: file.witness,
             seed: parse_seed(&seed)?,
-            known: file.known,
+            known_backends: file.known,
             notes: settings_file_check::notes(&settings_file),
             settings_file,
             source: serde_json::from_str(text).unwrap_or_default(),
             settings,
-            clients: capacity.clients,
-            backends: capacity.backends,
-            bodies: capacity.body_bytes,
-            unknown: unknown_keys(text).0,
+            max_client_connections: capacity.clients,
+            max_backend_connections: capacity.backends,
+            body_memory_bytes: capacity.body_bytes,
+            unknown_keys: unknown_keys(text).0,
         })
     }
 }
--- a/crates/gateway/src/counter_client/call_stream.rs
+++ b/crates/gateway/src/counter_client/call_stream.rs
@@ -45,16 +45,17 @@
 impl CallStream {
     /// Encodes a call for writing.
     pub(super) fn encode(&mut self, call: CounterCall) {
-        let (length_before, retention_ms) = (self.unwritten.len(), call.keep.as_millis().max(1));
+        let (length_before, retention_ms) =
+            (self.unwritten.len(), call.retention.as_millis().max(1));
         write!(
             self.unwritten,
             "tally {} {} {retention_ms}\r\n",
-            call.name, call.add
+            call.name, call.units
         )
         .expect("writing to a Vec does not fail");
         self.end_offset += (self.unwritten.len() - length_before) as u64;
         self.sent.push_back(SentCall {
-            at: call.at,
+            at: call.called_at,
             call: Some(call),
             end_offset: self.end_offset,
         });
--- a/crates/gateway/src/counter_client/mod.rs
+++ b/crates/gateway/src/counter_client/mod.rs
@@ -30,7 +30,7 @@
 /// Actor that sends calls to the counter.
 pub struct CounterClient {
     /// Address of the counter.
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     /// Timeout of a call.
     pub timeout: Duration,
     /// Timeout for opening a connection.
@@ -69,7 +69,7 @@
             if waiting.is_empty() {
                 match self.mailbox.recv().await {
                     Some(ToCounter::Call(call)) => waiting.push_back(call),
-                    Some(ToCounter::Move(at)) => self.at = at,
+                    Some(ToCounter::SetAddress(at)) => self.address = at,
                     None => return,
                 }
                 continue;
@@ -78,13 +78,13 @@
                 Ok(socket) => {
                     let reason = self.serve(socket, &mut waiting, &mut silence_limit).await;
                     if let Disconnected::Broken(e) = &reason {
-                        log!(warn, "counter-lost", "{}: {e}", self.at);
+                        log!(warn, "counter-lost", "{}: {e}", self.address);
                     }
                     reason
                 }
                 Err(reason) => {
                     if let Disconnected::Broken(e) = &reason {
-                        log!(warn, "counter-unreachable", "{}: {e}", self.at);
+                        log!(warn, "counter-unreachable", "{}: {e}", self.address);
                         for call in waiting.drain(..) {
                             self.report(call, Outcome::ConnectFailed, 0.0).await;
                         }
@@ -103,11 +103,11 @@
         &mut self,
         waiting: &mut VecDeque<CounterCall>,
     ) -> Result<TcpStream, Disconnected> {
-        let connect = timeout(self.connect_timeout, TcpStream::connect(self.at));
+        let connect = timeout(self.connect_timeout, TcpStream::connect(self.address));
         tokio::pin!(connect);
         loop {
-            let deadline = waiting.front().map(|call| call.at + self.timeout);
-            let expiry = self.clock.instant(deadline.unwrap_or_default());
+            let deadline = waiting.front().map(|call| call.called_at + self.timeout);
+            let expiry = self.clock.to_instant(deadline.unwrap_or_default());
             tokio::select! {
                 biased;
                 connected = &mut connect => {
@@ -117,8 +117,8 @@
                 }
                 message = self.mailbox.recv() => match message {
                     Some(ToCounter::Call(call)) => waiting.push_back(call),
-                    Some(ToCounter::Move(at)) => {
-                        self.at = at;
+                    Some(ToCounter::SetAddress(at)) => {
+                        self.address = at;
                         return Err(Disconnected::Moved);
                     }
                     None => return Err(Disconnected::ActorEnded),
@@ -188,7 +188,7 @@
         // Reads from the owned half, which skips the next `read` system call after a read that did not fill the buffer.
         let (mut reader, writer) = socket.into_split();
         stream.write(&writer)?;
-        let deadline = sleep_until(self.clock.instant(self.clock.now() + self.timeout));
+        let deadline = sleep_until(self.clock.to_instant(self.clock.now() + self.timeout));
         tokio::pin!(deadline);
         let mut timer_armed = true;
         let mut moved = false;
@@ -216,7 +216,7 @@
                     if !timer_armed {
                         timer_armed = true;
                         let at = self.clock.now() + self.timeout;
-                        deadline.as_mut().reset(self.clock.instant(at));
+                        deadline.as_mut().reset(self.clock.to_instant(at));
                     }
                 }
                 _ = writer.writable(), if !stream.unwritten.is_empty() => stream.write(&writer)?,
@@ -233,8 +233,8 @@
         while let Some(message) = next {
             match message {
                 ToCounter::Call(call) => stream.encode(call),
-                ToCounter::Move(at) => {
-                    self.at = at;
+                ToCounter::SetAddress(at) => {
+                    self.address = at;
                     return true;
                 }
             }
@@ -271,14 +271,14 @@
         }
         let next = stream.next_deadline(self.timeout);
         if let Some(at) = next {
-            deadline.reset(self.clock.instant(at));
+            deadline.reset(self.clock.to_instant(at));
         }
         Ok(next.is_some())
     }
 
     async fn report(&self, call: CounterCall, outcome: Outcome, total: f64) {
         let message = ToDispatcher::CounterTotal {
-            latency: self.clock.now().saturating_sub(call.at),
+            latency: self.clock.now().saturating_sub(call.called_at),
             name: call.name,
             outcome,
             total,
--- a/crates/gateway/src/dispatcher/actions.rs
+++ b/crates/gateway/src/dispatcher/actions.rs
@@ -38,13 +38,13 @@
             }
             Action::AddToCounter {
                 name,
-                units: add,
-                retention: keep,
+                units,
+                retention,
             } => self.call_counter(CounterCall {
                 name,
-                add,
-                keep,
-                at: self.clock.now(),
+                units,
+                retention,
+                called_at: self.clock.now(),
             }),
             Action::CloseIdleConnections { backend_id } => {
                 if let Some(backend) = self.state.backends.get(&backend_id) {
@@ -58,7 +58,9 @@
                 }
             }
             Action::WatchBackendList { on } => {
-                self.list_watcher.try_send(ToListWatcher::Watch { on }).ok();
+                self.list_watcher
+                    .try_send(ToListWatcher::Watch { is_watched: on })
+                    .ok();
             }
             Action::FetchBackendList => {
                 self.list_watcher.try_send(ToListWatcher::Fetch).ok();
@@ -99,7 +101,7 @@
         let reasons = &metrics.turned_away_why;
         reasons.with_label_values(&[reason.name()]).inc();
         let failure = Answer::Throttled {
-            after: retry_after,
+            retry_after,
             reason,
             none_executed,
         };
--- a/crates/gateway/src/dispatcher/attempt_policy.rs
+++ b/crates/gateway/src/dispatcher/attempt_policy.rs
@@ -28,7 +28,7 @@
 /// An [`AttemptPolicy`]'s decision on an attempt.
 pub struct AttemptDecision {
     /// Whether the attempt may be sent.
-    pub allowed: bool,
+    pub is_allowed: bool,
     /// The backend's new entry in the list, if its health changes.
     pub health_change: Option<BackendEntry>,
 }
--- a/crates/gateway/src/dispatcher/mod.rs
+++ b/crates/gateway/src/dispatcher/mod.rs
@@ -140,14 +140,14 @@
         if self.reports_metrics {
             self.state.timers.insert((self.clock.now(), Timer::Metrics));
         }
-        let wake = sleep_until(self.clock.instant(Duration::ZERO));
+        let wake = sleep_until(self.clock.to_instant(Duration::ZERO));
         tokio::pin!(wake);
         let mut wake_at: Option<Duration> = None;
         let mut batch = Vec::with_capacity(MAX_BATCH);
         loop {
             let next = self.state.timers.first().map(|(at, _)| *at);
             if let Some(at) = next.filter(|_| next != wake_at) {
-                wake.as_mut().reset(self.clock.instant(at));
+                wake.as_mut().reset(self.clock.to_instant(at));
             }
             wake_at = next;
             tokio::select! {
@@ -199,13 +199,13 @@
                 time_left,
                 repeatable,
                 request,
-                answer,
+                reply_to,
             } => {
                 let request = PendingRequest {
                     request,
                     deadline: invocation.deadline,
                     timeout_after_body: invocation.body_pending.then_some(time_left),
-                    answer: Some(answer),
+                    answer: Some(reply_to),
                     fallback: None,
                     attempts: Attempts::new(repeatable),
                     overdue: None,
@@ -273,7 +273,7 @@
         let outcome = ending.outcome();
         let request = self.state.requests.get_mut(&invocation_id);
         if let (Ending::NotExecuted(proof), Some(request)) = (ending, request) {
-            request.attempts.not_executed(number, proof);
+            request.attempts.record_not_executed(number, proof);
         }
         match (response, self.state.requests.get_mut(&invocation_id)) {
             (Some(response), _) if outcome == Outcome::Ok => {
@@ -339,7 +339,7 @@
                 continue;
             }
             let known = self.state.backends.get(&id);
-            if known.is_none_or(|backend| backend.at != address) {
+            if known.is_none_or(|backend| backend.address != address) {
                 let name = names.get(position).unwrap_or(&no_name);
                 let backend = (self.spawn_backend)(address, name);
                 self.state.backends.insert(id, backend);
--- a/crates/gateway/src/dispatcher/overdue.rs
+++ b/crates/gateway/src/dispatcher/overdue.rs
@@ -169,7 +169,7 @@
         let answer = match (ending, response) {
             (Ending::Succeeded, Some(response)) => Some(Answer::Succeeded(response)),
             (Ending::NotExecuted(proof), _) => {
-                request.attempts.not_executed(number, proof);
+                request.attempts.record_not_executed(number, proof);
                 known_failure.map(|failure| with_known_attempts(failure, request))
             }
             // The backend's error response tells the client more than the gateway's own.
@@ -199,8 +199,12 @@
 /// Updates `none_executed` of a failure that was held back to the current state of the request's attempts.
 fn with_known_attempts(failure: Answer, request: &PendingRequest) -> Answer {
     match failure {
-        Answer::Throttled { after, reason, .. } => Answer::Throttled {
-            after,
+        Answer::Throttled {
+            retry_after,
+            reason,
+            ..
+        } => Answer::Throttled {
+            retry_after,
             reason,
             none_executed: request.attempts.none_executed(),
         },
--- a/crates/gateway/src/dispatcher/peer_reports.rs
+++ b/crates/gateway/src/dispatcher/peer_reports.rs
@@ -7,7 +7,7 @@
 use super::{Dispatcher, Timer};
 use crate::messages::PeerDatagram;
 use crate::peer_admissions;
-use crate::sizes::DATAGRAM;
+use crate::sizes::MAX_DATAGRAM;
 
 impl Dispatcher {
     /// Sends this gateway's report to the other gateways, and passes the reports received from them to the decision
@@ -18,7 +18,7 @@
             return;
         };
         let admitted = self.rules.admitted_units(now);
-        for bytes in peer_admissions.report(&admitted, DATAGRAM) {
+        for bytes in peer_admissions.report(&admitted, MAX_DATAGRAM) {
             for gateway in to.iter() {
                 let datagram = PeerDatagram {
                     to: Some(*gateway),
--- a/crates/gateway/src/dispatcher/send_attempt.rs
+++ b/crates/gateway/src/dispatcher/send_attempt.rs
@@ -22,7 +22,7 @@
         let Some(request) = self.state.requests.get_mut(&invocation_id) else {
             return;
         };
-        let number = request.attempts.next();
+        let number = request.attempts.next_number();
         let time_left = request.deadline.saturating_sub(now);
         let wait = timeout.map_or(time_left, |timeout| timeout.min(time_left));
         let attempt = InFlightAttempt {
@@ -32,7 +32,7 @@
             cancel_handle: Rc::default(),
         };
         request.in_flight.push(None);
-        let Some(permit) = request.attempts.permit() else {
+        let Some(permit) = request.attempts.start_attempt() else {
             log!(
                 error,
                 "repeat-refused",
@@ -41,11 +41,13 @@
             return self.queue_ended(invocation_id, number, &attempt, Outcome::Ignored);
         };
         if request.answer.is_none() || time_left.is_zero() {
-            request.attempts.not_executed(number, permit.unused());
+            request
+                .attempts
+                .record_not_executed(number, permit.give_up());
             return self.queue_ended(invocation_id, number, &attempt, Outcome::Ignored);
         }
         if let Some(refusal) = self.refused_by_policy(invocation_id, backend_id, number, now) {
-            self.mark_not_executed(invocation_id, number, permit.unused());
+            self.mark_not_executed(invocation_id, number, permit.give_up());
             return self.queue_ended(invocation_id, number, &attempt, refusal);
         }
         self.hand_to_backend(invocation_id, number, attempt, permit, wait);
@@ -66,7 +68,7 @@
             return Some(Outcome::Ignored);
         }
         let AttemptDecision {
-            allowed,
+            is_allowed,
             health_change,
         } = policy.before_attempt(backend_id, now);
         if let Some(entry) = health_change {
@@ -75,7 +77,7 @@
                 entries: [entry].into(),
             });
         }
-        (!allowed).then_some(Outcome::ConnectFailed)
+        (!is_allowed).then_some(Outcome::ConnectFailed)
     }
 
     fn mark_not_executed(
@@ -85,7 +87,7 @@
         proof: NotExecuted,
     ) {
         if let Some(request) = self.state.requests.get_mut(&invocation_id) {
-            request.attempts.not_executed(number, proof);
+            request.attempts.record_not_executed(number, proof);
         }
     }
 
@@ -109,8 +111,8 @@
             // timeout.
             time_left: request.timeout_after_body.unwrap_or(wait),
             cancel_handle: attempt.cancel_handle.clone(),
-            replaces: request.overdue.as_ref().map(Overdue::cancel_handle),
-            to: self.own_mailbox.clone(),
+            overdue_attempt: request.overdue.as_ref().map(Overdue::cancel_handle),
+            reply_to: self.own_mailbox.clone(),
         };
         let Some(refused) = self.send_to_backend(attempt.backend_id, outgoing) else {
             let timer = Timer::AttemptTimeout(invocation_id, number);
@@ -125,7 +127,7 @@
             "backend-crowded",
             "attempt not sent: the backend has no actor or its mailbox is full"
         );
-        self.mark_not_executed(invocation_id, number, refused.permit.unused());
+        self.mark_not_executed(invocation_id, number, refused.permit.give_up());
         self.notify_policy(&attempt, Outcome::Ignored);
         self.queue_ended(invocation_id, number, &attempt, Outcome::ConnectFailed);
     }
--- a/crates/gateway/src/dispatcher/shutdown.rs
+++ b/crates/gateway/src/dispatcher/shutdown.rs
@@ -52,7 +52,7 @@
 
 fn refusal() -> Answer {
     Answer::Throttled {
-        after: Some(SHUTDOWN_RETRY_DELAY),
+        retry_after: Some(SHUTDOWN_RETRY_DELAY),
         reason: RejectReason::QueueTooLong,
         none_executed: true,
     }
--- a/crates/gateway/src/log.rs
+++ b/crates/gateway/src/log.rs
@@ -15,16 +15,16 @@
 /// Rate limiter of one call site: the window's start, the lines logged in it, and the lines suppressed since the last
 /// logged line.
 #[derive(Default)]
-pub struct Site(Mutex<Option<(Instant, u32, u32)>>);
+pub struct RateLimitedSite(Mutex<Option<(Instant, u32, u32)>>);
 
-impl Site {
+impl RateLimitedSite {
     /// Creates a limiter for a call site that hasn't logged yet.
     pub const fn new() -> Self {
-        Site(Mutex::new(None))
+        RateLimitedSite(Mutex::new(None))
     }
 
     /// Returns the number of lines suppressed since the last logged line, or `None` if this line must be suppressed too.
-    pub fn pass(&self, now: Instant) -> Option<u32> {
+    pub fn admit(&self, now: Instant) -> Option<u32> {
         let mut state = self.0.lock().unwrap_or_else(|e| e.into_inner());
         let (window_start, lines, suppressed) = state.get_or_insert((now, 0, 0));
         if now.duration_since(*window_start) >= RATE_LIMIT_WINDOW {
@@ -56,8 +56,8 @@
 /// `log!(warn, "code", "text {}", value)`: logs one rate-limited event at that level with the code as a field.
 macro_rules! log {
     ($level:ident, $code:literal, $($text:tt)*) => {{
-        static SITE: $crate::log::Site = $crate::log::Site::new();
-        match SITE.pass(std::time::Instant::now()) {
+        static SITE: $crate::log::RateLimitedSite = $crate::log::RateLimitedSite::new();
+        match SITE.admit(std::time::Instant::now()) {
             Some(0) => tracing::$level!(code = $code, "{}", format_args!($($text)*)),
             Some(n) => tracing::$level!(code = $code, left_out = n, "{}", format_args!($($text)*)),
             None => {}
--- a/crates/gateway/src/messages.rs
+++ b/crates/gateway/src/messages.rs
@@ -34,7 +34,7 @@
         /// The request as it is sent to a backend.
         request: Rc<ForwardedRequest>,
         /// Receives the final answer.
-        answer: oneshot::Sender<Answer>,
+        reply_to: oneshot::Sender<Answer>,
     },
     /// The last byte of a body has arrived after its invocation was announced.
     BodyComplete {
@@ -104,7 +104,7 @@
     /// The invocation was rejected and may be tried again.
     Throttled {
         /// The retry delay for the client.
-        after: Option<Duration>,
+        retry_after: Option<Duration>,
         /// The reason, for metrics.
         reason: RejectReason,
         /// No attempt was executed or still can be.
@@ -159,9 +159,9 @@
     /// Cancels the attempt.
     pub cancel_handle: Rc<CancelHandle>,
     /// An overdue attempt, cancelled once this one is written.
-    pub replaces: Option<Rc<CancelHandle>>,
+    pub overdue_attempt: Option<Rc<CancelHandle>>,
     /// Receives the result.
-    pub to: mpsc::Sender<ToDispatcher>,
+    pub reply_to: mpsc::Sender<ToDispatcher>,
 }
 
 /// The result of an attempt.
@@ -205,7 +205,7 @@
 /// The dispatcher's handle on a backend's actor.
 pub struct BackendHandle {
     /// The backend's address.
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     /// The actor's mailbox.
     pub mailbox: mpsc::Sender<ToBackend>,
     /// Set once the backend drains or is gone: attempts not yet written to it are no longer written.
@@ -236,12 +236,12 @@
     /// Start or stop watching the list.
     Watch {
         /// Whether the list is watched.
-        on: bool,
+        is_watched: bool,
     },
     /// Fetch the whole list.
     Fetch,
     /// Use this address of discovery from now on.
-    Move(SocketAddr),
+    SetAddress(SocketAddr),
 }
 
 /// A call to the counter.
@@ -249,11 +249,11 @@
     /// The counter's name.
     pub name: String,
     /// Units to add; 0 only reads the total.
-    pub add: f64,
+    pub units: f64,
     /// Time after which the counter deletes the name.
-    pub keep: Duration,
+    pub retention: Duration,
     /// When the call was made, as Unix time.
-    pub at: Duration,
+    pub called_at: Duration,
 }
 
 /// A message to the counter's client.
@@ -261,7 +261,7 @@
     /// Call the counter.
     Call(CounterCall),
     /// Use this address of the counter from now on.
-    Move(SocketAddr),
+    SetAddress(SocketAddr),
 }
 
 /// A message to other gateways.
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -9,7 +9,7 @@
 
 use crate::log::log;
 use crate::messages::{PeerDatagram, ToDispatcher};
-use crate::sizes::DATAGRAM;
+use crate::sizes::MAX_DATAGRAM;
 
 /// Actor that exchanges datagrams with the other gateways.
 pub struct Peers {
@@ -18,7 +18,7 @@
     /// Addresses of the gateways, indexed by gateway number.
     pub peers: Vec<SocketAddr>,
     /// Address at which a datagram reaches all other gateways, if there is one.
-    pub all: Option<SocketAddr>,
+    pub broadcast_address: Option<SocketAddr>,
     /// Receives the messages of the other gateways.
     pub dispatcher: mpsc::Sender<ToDispatcher>,
     /// Datagrams to send.
@@ -40,16 +40,16 @@
 
     /// Runs until the mailbox is closed or the dispatcher has ended.
     pub async fn run(mut self) {
-        let mut bytes = [0; DATAGRAM + 1];
+        let mut bytes = [0; MAX_DATAGRAM + 1];
         loop {
             tokio::select! {
                 message = self.mailbox.recv() => {
                     let Some(PeerDatagram { to, bytes }) = message else { return };
                     let address = match to {
                         Some(gateway) => self.peers.get(gateway.0 as usize).copied(),
-                        None => self.all,
+                        None => self.broadcast_address,
                     };
-                    if bytes.len() > DATAGRAM {
+                    if bytes.len() > MAX_DATAGRAM {
                         log!(warn, "peer-message-too-long", "datagram of {} bytes exceeds the limit and was not sent", bytes.len());
                     } else if let Some(address) = address {
                         self.socket.send_to(&bytes, address).await.ok();
@@ -57,7 +57,7 @@
                 }
                 Ok((n, sender)) = self.socket.recv_from(&mut bytes) => {
                     let from = self.peers.iter().position(|peer| *peer == sender);
-                    if let Some(from) = from.filter(|_| n <= DATAGRAM) {
+                    if let Some(from) = from.filter(|_| n <= MAX_DATAGRAM) {
                         let (from, bytes) = (GatewayId(from as u32), bytes[..n].to_vec());
                         if self.dispatcher.send(ToDispatcher::PeerMessage { from, bytes }).await.is_err() {
                             return;
--- a/crates/gateway/src/platform_protocol.rs
+++ b/crates/gateway/src/platform_protocol.rs
@@ -20,7 +20,8 @@
 use crate::attempts::Repeatable;
 use crate::backends::{CORRELATION_ID, TIME_LEFT, keep_end_to_end};
 use crate::clients::{
-    ClientProtocol, ClientResponse, DecodedRequest, Rejection, RequestContext, plain, rejection,
+    ClientProtocol, ClientResponse, DecodedRequest, Rejection, RequestContext, empty_rejection,
+    empty_response,
 };
 use crate::log::log;
 use crate::messages::{Answer, ToDispatcher};
@@ -148,7 +149,7 @@
         keep_end_to_end(&mut forwarded, name);
         Some(DecodedRequest {
             invocation,
-            repeatable: Repeatable::by(operation.repeat),
+            repeatable: Repeatable::from_repeat_mode(operation.repeat),
             name: name.to_owned(),
             context: None,
             // The timeout of the operation limits the time that the client states.
@@ -248,7 +249,7 @@
         self.decode_request(invocation_id, &head.method, &head.uri, &head.headers)
             .ok_or_else(|| {
                 log!(warn, "invocation-malformed", "{} {}", head.method, head.uri);
-                rejection(StatusCode::BAD_REQUEST)
+                empty_rejection(StatusCode::BAD_REQUEST)
             })
     }
 
@@ -260,16 +261,16 @@
                 *answer.headers_mut() = response.headers;
                 answer
             }
-            Answer::Throttled { after, .. } => {
-                let mut answer = plain(StatusCode::TOO_MANY_REQUESTS);
-                if let Some(after) = after
+            Answer::Throttled { retry_after, .. } => {
+                let mut answer = empty_response(StatusCode::TOO_MANY_REQUESTS);
+                if let Some(after) = retry_after
                     && let Ok(value) = HeaderValue::from_str(&format!("{:.3}", after.as_secs_f64()))
                 {
                     answer.headers_mut().insert(RETRY_AFTER, value);
                 }
                 answer
             }
-            Answer::Errored => plain(StatusCode::BAD_GATEWAY),
+            Answer::Errored => empty_response(StatusCode::BAD_GATEWAY),
         }
     }
 }
--- a/crates/gateway/src/server/mod.rs
+++ b/crates/gateway/src/server/mod.rs
@@ -46,7 +46,7 @@
         for note in &config.notes {
             log!(info, "not-on-sockets", "{note}");
         }
-        for key in &config.unknown {
+        for key in &config.unknown_keys {
             log!(warn, "key-unknown", "{key}: unknown key, ignored");
         }
         let mut running = self.start(config).await?;
@@ -88,7 +88,7 @@
                 _ = close_idle.tick(),
                     if self.phase.get().closes_connections() && Instant::now() >= close_idle_from =>
                 {
-                    running.clients.close();
+                    running.clients.close_connections();
                 }
                 event = running.succession.next_event(&name) => {
                     for action in running.succession.state.handle(event) {
@@ -127,7 +127,7 @@
             loop {
                 tokio::select! {
                     () = running.clients.wait_until_closed() => return,
-                    _ = close_idle.tick() => running.clients.close(),
+                    _ = close_idle.tick() => running.clients.close_connections(),
                 }
             }
         };
--- a/crates/gateway/src/server/running.rs
+++ b/crates/gateway/src/server/running.rs
@@ -119,12 +119,12 @@
         send(&self.dispatcher, ToDispatcher::Settings(settings)).await?;
         self.protocol.set_settings(&self.settings);
         if new.discovery != old.discovery {
-            send(&self.list_watcher, ToListWatcher::Move(new.discovery)).await?;
+            send(&self.list_watcher, ToListWatcher::SetAddress(new.discovery)).await?;
         }
         if let (Some(counter), Some(address)) = (&self.counter, new.counter)
             && new.counter != old.counter
         {
-            send(counter, ToCounter::Move(address)).await?;
+            send(counter, ToCounter::SetAddress(address)).await?;
         }
         (self.addresses, self.source) = (new, config.source);
         self.metrics.conf_loaded.inc();
--- a/crates/gateway/src/server/start.rs
+++ b/crates/gateway/src/server/start.rs
@@ -23,7 +23,7 @@
 use super::{Server, ServerError};
 use crate::account::Account;
 use crate::backend_list::{BackendListWatcher, DiscoveryPage, NameTable};
-use crate::backends::{Backend, ConnectionPools, Platform};
+use crate::backends::{Backend, ConnectionPools, PlatformBackends};
 use crate::clients::Clients;
 use crate::clock::Clock;
 use crate::config::Config;
@@ -127,7 +127,7 @@
         let address = config.addresses.counter?;
         let (sender, mailbox) = mpsc::channel(MAILBOX_CAPACITY);
         let client = CounterClient {
-            at: address,
+            address: address,
             timeout: counter_settings.timeout,
             connect_timeout: config.settings.limits.connect_timeout,
             clock: self.clock,
@@ -155,7 +155,7 @@
         let peers = Peers {
             socket,
             peers: config.peers.clone(),
-            all: config.peers_all,
+            broadcast_address: config.peers_all,
             dispatcher: self.dispatcher.clone(),
             mailbox,
         };
@@ -170,8 +170,8 @@
         let protocol = Rc::new(protocol);
         let clients = Clients::new(
             protocol.clone(),
-            config.clients,
-            config.bodies,
+            config.max_client_connections,
+            config.body_memory_bytes,
             self.clock,
             server.phase.clone(),
             &self.metrics,
@@ -199,14 +199,14 @@
         self.start(dispatcher.run());
         let (first_list, listed) = oneshot::channel();
         let watcher = BackendListWatcher {
-            at: config.addresses.discovery,
+            address: config.addresses.discovery,
             names,
             mode: config.settings.discovery,
-            known: revision,
+            initial_revision: revision,
             last_list: last_list.clone(),
             dispatcher: self.dispatcher.clone(),
             mailbox,
-            first: Some(first_list),
+            first_page_sender: Some(first_list),
         };
         self.start(watcher.run());
         Ok(listed)
@@ -223,13 +223,13 @@
             config.settings.limits.connect_timeout,
             Duration::from_nanos(config.settings_file.ceilings.conn_idle_ns),
             config.settings_file.report.names.clone(),
-            Box::new(Platform),
-            config.backends,
-            config.bodies,
+            Box::new(PlatformBackends),
+            config.max_backend_connections,
+            config.body_memory_bytes,
             &self.metrics,
         );
         let settings = &config.settings;
-        let peer_admissions = (config.witness && targets.peers.is_some())
+        let peer_admissions = (config.reports_to_peers && targets.peers.is_some())
             .then(|| (PeerAdmissions::default(), other_gateways(config)));
         Dispatcher {
             rules: Rules::new(config.seed, settings.clone(), self.clock.now()),
@@ -292,7 +292,7 @@
         let orders = self.serve_operators(&config, &parts.metrics)?;
         let path = handover::path(&config.name);
         let mut takeover = Takeover::begin(path.as_ref(), &config.name).await;
-        let known = takeover.receive_list(config.known.clone()).await;
+        let known = takeover.receive_list(config.known_backends.clone()).await;
 
         let (protocol, clients) = parts.clients(&config, self);
         let counter = parts.start_counter_client(&config);
--- a/crates/gateway/src/shutdown_admission.rs
+++ b/crates/gateway/src/shutdown_admission.rs
@@ -19,18 +19,18 @@
 
 impl ShutdownAdmission {
     /// Records the latency of a response.
-    pub fn answered(&self, latency: Duration) {
+    pub fn record_latency(&self, latency: Duration) {
         self.slow_latency
             .set(latency.max(self.slow_latency.get().mul_f64(SLOW_LATENCY_DECAY)));
     }
 
     /// Starts the shutdown: all responses must be sent by `deadline`.
-    pub fn end_by(&self, deadline: Duration) {
+    pub fn start_shutdown(&self, deadline: Duration) {
         self.deadline.set(Some(deadline));
     }
 
     /// Returns whether a request that arrives now can be expected to be answered before the deadline.
-    pub fn takes(&self, now: Duration) -> bool {
+    pub fn admits(&self, now: Duration) -> bool {
         self.deadline
             .get()
             .is_none_or(|deadline| now + self.slow_latency.get() * SLOW_LATENCY_FACTOR <= deadline)
--- a/crates/gateway/src/write_meter.rs
+++ b/crates/gateway/src/write_meter.rs
@@ -15,14 +15,14 @@
 
 impl WriteMeter {
     /// Starts tracking a request with a body of `body_left` bytes; `usize::MAX` stands for an unknown length.
-    pub fn begin(&self, body_left: usize) {
+    pub fn start_request(&self, body_left: usize) {
         self.body_left.set(body_left);
         self.in_head.set(true);
         self.head_end_matched.set(0);
     }
 
     /// Records that `bytes` were written to the socket.
-    pub fn wrote(&self, mut bytes: &[u8]) {
+    pub fn record_written(&self, mut bytes: &[u8]) {
         while self.in_head.get() {
             let Some((&b, rest)) = bytes.split_first() else {
                 return;
--- a/crates/gateway/tests/attempts.rs
+++ b/crates/gateway/tests/attempts.rs
@@ -10,12 +10,12 @@
 /// request was not executed.
 fn endings(written: &[u8]) -> impl Iterator<Item = (Ending, bool)> {
     let meter = Rc::new(WriteMeter::default());
-    meter.begin(4);
-    meter.wrote(written);
+    meter.start_request(4);
+    meter.record_written(written);
     let is_complete = meter.is_complete();
     let ending = move |case| {
         let permit = Attempts::new(None)
-            .permit()
+            .start_attempt()
             .expect("the first attempt always gets a permit");
         let sent = permit.start_sending(meter.clone());
         match case {
@@ -25,7 +25,7 @@
             3 => (sent.end_with_response(Verdict::Failed), false),
             4 => (sent.end_with_response(Verdict::OtherRequest), false),
             5 => (
-                sent.end_with_response(Verdict::Declined(Refusal::Full)),
+                sent.end_with_response(Verdict::Declined(Refusal::NoCapacity)),
                 true,
             ),
             _ => (
@@ -45,11 +45,12 @@
         b"POST / HTTP/1.1\r\n\r\nbody",
     ] {
         for (ending, is_proof) in endings(written) {
-            let mut attempts = Attempts::new(Repeatable::by(RepeatMode::NonIdempotent));
-            let first = attempts.next();
-            assert!(attempts.permit().is_some());
+            let mut attempts =
+                Attempts::new(Repeatable::from_repeat_mode(RepeatMode::NonIdempotent));
+            let first = attempts.next_number();
+            assert!(attempts.start_attempt().is_some());
             assert!(
-                attempts.permit().is_none(),
+                attempts.start_attempt().is_none(),
                 "the first attempt is in progress"
             );
             assert_eq!(
@@ -58,26 +59,26 @@
                 "{ending:?}"
             );
             if let Ending::NotExecuted(proof) = ending {
-                attempts.not_executed(first, proof);
+                attempts.record_not_executed(first, proof);
             }
             assert_eq!(attempts.none_executed(), is_proof);
-            assert_eq!(attempts.permit().is_some(), is_proof);
+            assert_eq!(attempts.start_attempt().is_some(), is_proof);
         }
     }
 }
 
 #[test]
 fn repeatable_request_gets_a_permit_for_each_attempt() {
-    let mut attempts = Attempts::new(Repeatable::by(RepeatMode::Idempotent));
+    let mut attempts = Attempts::new(Repeatable::from_repeat_mode(RepeatMode::Idempotent));
     assert!(attempts.none_executed());
-    assert!(attempts.permit().is_some() && attempts.permit().is_some());
+    assert!(attempts.start_attempt().is_some() && attempts.start_attempt().is_some());
     assert!(!attempts.none_executed());
     assert_eq!(
         Ending::NotExecuted(
             attempts
-                .permit()
+                .start_attempt()
                 .expect("a repeatable request gets a permit")
-                .unused()
+                .give_up()
         )
         .outcome(),
         Outcome::ConnectFailed
--- a/crates/proxy/src/dispatch/limits.rs
+++ b/crates/proxy/src/dispatch/limits.rs
@@ -28,8 +28,8 @@
     fn before_attempt(&mut self, backend: BackendId, now: Duration) -> AttemptDecision {
         let mut pool = self.backend_pool.borrow_mut();
         let was_warming_up = pool.slow_start().is_warming_up(backend, now);
-        let allowed = pool.slow_start().take_turn(backend, now);
-        if let Some(load_reports) = pool.load_reports().filter(|_| allowed) {
+        let is_allowed = pool.slow_start().take_turn(backend, now);
+        if let Some(load_reports) = pool.load_reports().filter(|_| is_allowed) {
             load_reports.attempt_sent(backend, now);
         }
         let health_change = if was_warming_up {
@@ -38,7 +38,7 @@
             None
         };
         AttemptDecision {
-            allowed,
+            is_allowed,
             health_change,
         }
     }
--- a/crates/proxy/src/process/counts.rs
+++ b/crates/proxy/src/process/counts.rs
@@ -35,16 +35,22 @@
 
     /// Adds a module's count to the quota counter, and sends the module the total.
     pub(super) fn answer(&mut self, CountCall { call, answer_to }: CountCall) {
-        let ToCounter::Call(CounterCall { name, add, at, .. }) = call else {
+        let ToCounter::Call(CounterCall {
+            name,
+            units,
+            called_at,
+            ..
+        }) = call
+        else {
             return;
         };
         let now = self.clock.now();
-        let total = self.counter.add(&name, add, now);
+        let total = self.counter.add(&name, units, now);
         let answer = ToDispatcher::CounterTotal {
             name,
             outcome: Outcome::Ok,
             total,
-            latency: now.saturating_sub(at),
+            latency: now.saturating_sub(called_at),
         };
         if let Err(TrySendError::Full(answer)) = answer_to.try_send(answer) {
             tokio::task::spawn_local(async move { answer_to.send(answer).await.ok() });
--- a/crates/proxy/src/process/proxy.rs
+++ b/crates/proxy/src/process/proxy.rs
@@ -148,8 +148,8 @@
             .set(idle.as_secs().saturating_sub(ADVERTISED_IDLE_MARGIN_S));
         let header = Duration::from_millis(limits.header_timeout_ms);
         self.clients.set_timeouts(ClientTimeouts {
-            head: header.max(MIN_HEADER_TIMEOUT),
-            idle: idle.max(MIN_IDLE_TIMEOUT),
+            request_head: header.max(MIN_HEADER_TIMEOUT),
+            idle_connection: idle.max(MIN_IDLE_TIMEOUT),
         });
     }
 
@@ -263,7 +263,7 @@
         log::info!("proxy: SIGTERM received; draining, clients are sent to other proxies.");
         self.shutdown = Some((Instant::now(), Shutdown::new(self.grace_period)));
         self.clients
-            .end_by(self.clock.now() + Shutdown::time_to_answer(self.grace_period));
+            .set_shutdown_deadline(self.clock.now() + Shutdown::time_to_answer(self.grace_period));
         self.phase.enter(Phase::Draining, &self.node_name);
         self.control.borrow_mut().set_ready(false);
     }
@@ -273,7 +273,7 @@
         let Some((sigterm_at, shutdown)) = &mut self.shutdown else {
             return false;
         };
-        match shutdown.step(sigterm_at.elapsed(), self.clients.unanswered()) {
+        match shutdown.step(sigterm_at.elapsed(), self.clients.pending_requests()) {
             None => {}
             Some(step @ ShutdownStep::RefuseUnsent) => {
                 self.notify_all(step, ToDispatcher::RefuseUnsent)
@@ -284,11 +284,11 @@
                 if let Some(accept_task) = self.accept_task.take() {
                     accept_task.abort();
                 }
-                self.clients.close();
+                self.clients.close_connections();
             }
             Some(ShutdownStep::AnnounceDeparture) => self.control.borrow().send_departed(),
             Some(ShutdownStep::Exit) => {
-                let unanswered = self.clients.unanswered();
+                let unanswered = self.clients.pending_requests();
                 log::info!("proxy: exiting with {unanswered} answers not written in full.");
                 return true;
             }
--- a/crates/proxy/src/process/start.rs
+++ b/crates/proxy/src/process/start.rs
@@ -12,7 +12,7 @@
 use damsonbeam_gateway::clients::Clients;
 use damsonbeam_gateway::clock::Clock;
 use damsonbeam_gateway::phase::CurrentPhase;
-use damsonbeam_gateway::sizes::CONNECTION;
+use damsonbeam_gateway::sizes::CONNECTION_MEMORY;
 use tokio::net::UdpSocket;
 use tokio::sync::mpsc;
 use tokio::task::spawn_local;
@@ -66,7 +66,7 @@
             .max(MIN_CONNECTIONS);
         let memory = (settings.memory_mb as usize) << 20;
         Capacity {
-            client_connections: (connections * 3 / 5).min(memory / 4 / CONNECTION),
+            client_connections: (connections * 3 / 5).min(memory / 4 / CONNECTION_MEMORY),
             backend_connections: connections * 2 / 5,
             body_bytes: memory / 6,
         }
--- a/crates/proxy/src/protocol.rs
+++ b/crates/proxy/src/protocol.rs
@@ -13,7 +13,8 @@
 use damsonbeam_gateway::backends::{BackendProtocol, keep_end_to_end};
 use damsonbeam_gateway::bodies::ResponseBody;
 use damsonbeam_gateway::clients::{
-    ClientProtocol, ClientResponse, DecodedRequest, Rejection, RequestContext, plain, rejection,
+    ClientProtocol, ClientResponse, DecodedRequest, Rejection, RequestContext, empty_rejection,
+    empty_response,
 };
 use damsonbeam_gateway::clock::Clock;
 use damsonbeam_gateway::messages::{Answer, ForwardedRequest};
@@ -135,7 +136,7 @@
             RoutingError::InvalidApiKey => (Cause::UnknownKey, StatusCode::UNAUTHORIZED),
         };
         self.record_unserved(id, cause, false, &RouteAndTenant::default());
-        rejection(status)
+        empty_rejection(status)
     }
 
     /// Chooses the service and the decision module for a request whose route is known, and returns the request in the
@@ -185,7 +186,7 @@
         };
         Ok(DecodedRequest {
             invocation,
-            repeatable: Repeatable::by(repeat(route.kind)),
+            repeatable: Repeatable::from_repeat_mode(repeat(route.kind)),
             name: head.id.to_owned(),
             context: Some(Box::new(context) as Box<dyn Any>),
             time_left: Duration::from_millis(head.deadline_ms.min(route.timeout_ms)),
@@ -235,7 +236,8 @@
         head: &Parts,
     ) -> Result<DecodedRequest, Rejection> {
         let table = self.routing_table.borrow().clone();
-        let request = RequestHead::parse(head).ok_or_else(|| rejection(StatusCode::BAD_REQUEST))?;
+        let request =
+            RequestHead::parse(head).ok_or_else(|| empty_rejection(StatusCode::BAD_REQUEST))?;
         if table.is_empty() {
             // Without a configuration, 503 makes the client retry; 404 would state that the route does not exist.
             let status = StatusCode::SERVICE_UNAVAILABLE;
@@ -317,27 +319,27 @@
             response
         }
         Answer::Throttled {
-            after,
+            retry_after,
             reason: RejectReason::Quota | RejectReason::WindowFull,
             none_executed: true,
-        } => retry_later(StatusCode::TOO_MANY_REQUESTS, after),
+        } => retry_later(StatusCode::TOO_MANY_REQUESTS, retry_after),
         Answer::Throttled {
-            after,
+            retry_after,
             none_executed: true,
             ..
-        } => retry_later(StatusCode::SERVICE_UNAVAILABLE, after),
+        } => retry_later(StatusCode::SERVICE_UNAVAILABLE, retry_after),
         Answer::Throttled {
             none_executed: false,
             reason: RejectReason::DeadlineReached,
             ..
-        } => plain(StatusCode::GATEWAY_TIMEOUT),
-        Answer::Throttled { .. } | Answer::Errored => plain(StatusCode::BAD_GATEWAY),
+        } => empty_response(StatusCode::GATEWAY_TIMEOUT),
+        Answer::Throttled { .. } | Answer::Errored => empty_response(StatusCode::BAD_GATEWAY),
     }
 }
 
 /// Returns an empty response with a `Retry-After` header, in seconds with three decimals, where a delay is given.
 fn retry_later(status: StatusCode, after: Option<Duration>) -> Response<ResponseBody> {
-    let mut response = plain(status);
+    let mut response = empty_response(status);
     let seconds = after.map(|after| format!("{:.3}", after.as_secs_f64()));
     if let Some(value) = seconds.and_then(|seconds| HeaderValue::from_str(&seconds).ok()) {
         response.headers_mut().insert(RETRY_AFTER, value);
@@ -370,7 +372,9 @@
             Some(_) if status == StatusCode::MISDIRECTED_REQUEST => {
                 Verdict::Declined(Refusal::WrongBackend)
             }
-            Some(_) if headers.contains_key(&NOT_EXECUTED) => Verdict::Declined(Refusal::Full),
+            Some(_) if headers.contains_key(&NOT_EXECUTED) => {
+                Verdict::Declined(Refusal::NoCapacity)
+            }
             Some(_) if status.is_success() && headers.contains_key(&RESPONSE_SEAL) => {
                 Verdict::Succeeded
             }
--- a/crates/proxy/tests/data_plane.rs
+++ b/crates/proxy/tests/data_plane.rs
@@ -379,7 +379,7 @@
             "{:?}",
             began.elapsed()
         );
-        wait_until(|| proxy.clients.unanswered() == 0).await;
+        wait_until(|| proxy.clients.pending_requests() == 0).await;
     });
 }
 
@@ -443,9 +443,13 @@
         let proxy = start_proxy(&[&slow], 1.0).await;
         assert_eq!(proxy.send_and_read("/fields/", "one").await.0, 200);
         let now = || proxy.clock.now();
-        proxy.clients.end_by(now() + Duration::from_secs(5));
+        proxy
+            .clients
+            .set_shutdown_deadline(now() + Duration::from_secs(5));
         assert_eq!(proxy.send_and_read("/fields/", "two").await.0, 200);
-        proxy.clients.end_by(now() + Duration::from_millis(500));
+        proxy
+            .clients
+            .set_shutdown_deadline(now() + Duration::from_millis(500));
         assert_eq!(proxy.send_and_read("/fields/", "three").await.0, 503);
         assert_eq!(slow.arrivals.borrow().len(), 2);
     });
@@ -583,7 +587,7 @@
         let socket = proxy.send("/fields/", "one", 15_000).await;
         wait_until(|| slow.arrivals.borrow().len() == 1).await;
         drop(socket);
-        wait_until(|| proxy.clients.unanswered() == 0).await;
+        wait_until(|| proxy.clients.pending_requests() == 0).await;
         assert_eq!(
             proxy.send_and_read("/fields/", "two").await,
             (200, "next".into())
