--- a/crates/hollow/src/proxies.rs
+++ b/crates/hollow/src/proxies.rs
@@ -288,23 +288,23 @@
 
     fn take(&mut self, event: ControlEvent) {
         match event {
-            ControlEvent::Config => self.take_items(),
-            ControlEvent::Backends(backends) => {
+            ControlEvent::ConfigChanged => self.take_items(),
+            ControlEvent::BackendListReceived(backends) => {
                 self.backends = backends.len();
                 self.progress.lists.fetch_add(1, Ordering::Relaxed);
             }
             ControlEvent::CoordinatorHeartbeat(heartbeat) if heartbeat.known_proxy_count > 0 => {
                 let now = self.now();
-                self.quota.set_proxies(
+                self.quota.set_proxy_count(
                     heartbeat.known_proxy_count,
                     heartbeat.connected_proxy_count,
                     now,
                 );
                 let known = self.known.borrow();
-                if let Some(time) = known.common_time() {
-                    let common = Duration::from_millis(time.now_ms());
+                if let Some(time) = known.coordinator_time() {
+                    let coordinator_time = Duration::from_millis(time.now_ms());
                     self.quota.set_time_offset(
-                        common.as_secs_f64() - self.began.elapsed().as_secs_f64(),
+                        coordinator_time.as_secs_f64() - self.began.elapsed().as_secs_f64(),
                         self.began.elapsed(),
                     );
                     self.quota
@@ -315,7 +315,7 @@
                 self.quota
                     .receive_totals(term, &totals, self.began.elapsed());
             }
-            ControlEvent::CoordinatorLost => self.quota.disconnect(),
+            ControlEvent::CoordinatorLost => self.quota.record_coordinator_disconnect(),
             _ => {}
         }
         self.become_ready();
@@ -369,7 +369,8 @@
                 .min(self.progress.tenants - 1);
             let name = tenant_name(tenant);
             if self.limited.insert(tenant) {
-                self.quota.set_rate(&name, TENANT_RATE, SLOT.as_secs_f64());
+                self.quota
+                    .set_tenant_quota(&name, TENANT_RATE, SLOT.as_secs_f64());
             }
             let slot = (now.as_secs_f64() / SLOT.as_secs_f64()) as u64;
             self.quota.add(&format!("{slot}/{name}"), 1.0, now);
--- a/crates/mirror/src/selection.rs
+++ b/crates/mirror/src/selection.rs
@@ -30,7 +30,7 @@
     (caller as f64) < rule.share * 2f64.powi(64)
 }
 
-/// The rules in force. A new version replaces the old one at its start by the common time (the coordinator's clock), so
+/// The rules in force. A new version replaces the old one at its start by the coordinator time (the coordinator's clock), so
 /// that all proxies that know the version switch together. A proxy that learns of it late marks mirrored requests with
 /// the version that it still uses.
 #[derive(Debug, Default)]
@@ -41,7 +41,7 @@
 
 impl ActiveRules {
     /// Applies the configured rules. A new version takes effect at its start; a removed rule ends at once.
-    pub fn update(&mut self, rules: Vec<MirrorRule>, common_ms: u64) {
+    pub fn update(&mut self, rules: Vec<MirrorRule>, coordinator_ms: u64) {
         self.rules
             .retain(|name, _| rules.iter().any(|rule| rule.name == *name));
         for rule in rules {
@@ -51,7 +51,10 @@
                 .flatten()
                 .any(|known| known.version >= rule.version);
             if !known {
-                if next.as_ref().is_some_and(|next| next.from_ms <= common_ms) {
+                if next
+                    .as_ref()
+                    .is_some_and(|next| next.from_ms <= coordinator_ms)
+                {
                     *current = next.take();
                 }
                 *next = Some(rule);
@@ -59,10 +62,13 @@
         }
     }
 
-    /// Returns the rules by which requests of a service are mirrored at the given common time.
-    pub fn rules_for(&mut self, service: &str, common_ms: u64) -> Vec<&MirrorRule> {
+    /// Returns the rules by which requests of a service are mirrored at the given coordinator time.
+    pub fn rules_for(&mut self, service: &str, coordinator_ms: u64) -> Vec<&MirrorRule> {
         for (current, next) in self.rules.values_mut() {
-            if next.as_ref().is_some_and(|next| next.from_ms <= common_ms) {
+            if next
+                .as_ref()
+                .is_some_and(|next| next.from_ms <= coordinator_ms)
+            {
                 *current = next.take();
             }
         }
@@ -71,7 +77,7 @@
             .values()
             .filter_map(|versions| versions.0.as_ref());
         let is_active = |rule: &&MirrorRule| {
-            rule.service == service && (rule.until_ms == 0 || common_ms < rule.until_ms)
+            rule.service == service && (rule.until_ms == 0 || coordinator_ms < rule.until_ms)
         };
         rules.filter(is_active).collect()
     }
--- a/crates/proxy/src/backend_pool.rs
+++ b/crates/proxy/src/backend_pool.rs
@@ -40,7 +40,7 @@
     /// Zero-based position in the order of the proxies' names.
     pub position: u32,
     /// Number of ready proxies in the region.
-    pub proxies: u32,
+    pub proxy_count: u32,
 }
 
 /// The backends known to this proxy.
@@ -116,7 +116,7 @@
 
     /// Sets the evacuated zones. Backends of a zone that is returned to service are treated as
     /// warming up until the platform's list has had time to report their warm-up.
-    pub fn evacuate(
+    pub fn set_evacuated_zones(
         &mut self,
         routing_table: &RoutingTable,
         now: Duration,
@@ -124,7 +124,7 @@
     ) {
         let before = std::mem::take(&mut self.evacuated_zones);
         let is_rejoining =
-            |zone: &String| before.contains(zone) && !routing_table.evacuated.contains(zone);
+            |zone: &String| before.contains(zone) && !routing_table.evacuated_zones.contains(zone);
         for backend in self
             .backends
             .iter()
@@ -137,12 +137,12 @@
             self.slow_start
                 .record_warm_up(self.ids[&backend.id], warm_up, random(), now);
         }
-        self.evacuated_zones = routing_table.evacuated.iter().cloned().collect();
+        self.evacuated_zones = routing_table.evacuated_zones.iter().cloned().collect();
     }
 
     /// Sets the number of proxies that share the request rates of backends that warm up.
-    pub fn set_proxies(&mut self, proxies: u32) {
-        self.slow_start.set_proxies(proxies);
+    pub fn set_proxy_count(&mut self, proxies: u32) {
+        self.slow_start.set_proxy_count(proxies);
     }
 
     /// Returns the slow start of backends that warm up.
@@ -222,8 +222,11 @@
             .iter()
             .map(|(_, backend)| f64::from(backend.capacity_slots))
             .sum();
-        let RegionPosition { position, proxies } = self.region_position;
-        let share = SUBSET_HEADROOM * slots / f64::from(proxies.max(1));
+        let RegionPosition {
+            position,
+            proxy_count,
+        } = self.region_position;
+        let share = SUBSET_HEADROOM * slots / f64::from(proxy_count.max(1));
         let size = (share.ceil() as usize)
             .max(MIN_SUBSET_BACKENDS)
             .min(ring.len());
--- a/crates/proxy/src/control_client/mod.rs
+++ b/crates/proxy/src/control_client/mod.rs
@@ -39,9 +39,9 @@
 /// An event from the registries, to be handled by the proxy process.
 pub enum ControlEvent {
     /// The merged configuration has changed.
-    Config,
+    ConfigChanged,
     /// A newer backend list was received in full.
-    Backends(Vec<Backend>),
+    BackendListReceived(Vec<Backend>),
     /// A heartbeat of the coordinator.
     CoordinatorHeartbeat(Heartbeat),
     /// A heartbeat of a registry that is not the coordinator.
--- a/crates/proxy/src/control_client/session.rs
+++ b/crates/proxy/src/control_client/session.rs
@@ -50,7 +50,7 @@
                 self.sender.send(&Message::UpdateAck { number });
                 let has_changed = state.merge(items);
                 let is_snapshot_complete = state.config_transfer.has_first_snapshot();
-                (has_changed && is_snapshot_complete).then_some(ControlEvent::Config)
+                (has_changed && is_snapshot_complete).then_some(ControlEvent::ConfigChanged)
             }
             Message::ConfigChanged => {
                 self.begin_transfer(state);
@@ -190,7 +190,7 @@
         for request in progress.requests {
             self.sender.send(&Message::Transfer(request));
         }
-        progress.changed.then_some(ControlEvent::Config)
+        progress.changed.then_some(ControlEvent::ConfigChanged)
     }
 }
 
@@ -208,5 +208,5 @@
     }
     let backends = state.backend_pages.add(list, page, pages)?;
     state.backend_list = version;
-    Some(ControlEvent::Backends(backends))
+    Some(ControlEvent::BackendListReceived(backends))
 }
--- a/crates/proxy/src/control_client/state.rs
+++ b/crates/proxy/src/control_client/state.rs
@@ -82,7 +82,7 @@
     }
 
     /// Returns the coordinator's time, once a coordinator has reported it.
-    pub fn common_time(&self) -> Option<CoordinatorTime> {
+    pub fn coordinator_time(&self) -> Option<CoordinatorTime> {
         self.coordinator.time()
     }
 
@@ -113,7 +113,7 @@
     fn status_message(&self) -> Message {
         Message::Status {
             status: self.status.clone(),
-            coordinator_time_ms: self.common_time().map(|time| time.now_ms()),
+            coordinator_time_ms: self.coordinator_time().map(|time| time.now_ms()),
         }
     }
 
--- a/crates/proxy/src/coordinator.rs
+++ b/crates/proxy/src/coordinator.rs
@@ -1,4 +1,4 @@
-//! Tracks the coordinator and the common time (its clock) from the heartbeats of all registries.
+//! Tracks the coordinator and the coordinator time (its clock) from the heartbeats of all registries.
 //! Free of I/O.
 //!
 //! Terms only increase. A report of a term lower than the highest known one comes from a registry
@@ -9,19 +9,19 @@
 use damsonbeam_control::messages::{Heartbeat, LeaseHolder};
 use tokio::time::Instant;
 
-/// The common time as reported by a coordinator.
+/// The coordinator time as reported by a coordinator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CoordinatorTime {
     /// When the report was received.
     pub received_at: Instant,
-    /// Common time at receipt, in milliseconds.
+    /// Coordinator time at receipt, in milliseconds.
     pub time_ms: u64,
     /// Term of the coordinator.
     pub term: u64,
 }
 
 impl CoordinatorTime {
-    /// Returns the current common time in milliseconds.
+    /// Returns the current coordinator time in milliseconds.
     pub fn now_ms(&self) -> u64 {
         self.time_ms + self.received_at.elapsed().as_millis() as u64
     }
@@ -45,7 +45,7 @@
         self.holder.map_or(0, |holder| holder.term)
     }
 
-    /// Returns the common time, or `None` if no coordinator has reported it.
+    /// Returns the coordinator time, or `None` if no coordinator has reported it.
     pub fn time(&self) -> Option<CoordinatorTime> {
         self.time
     }
--- a/crates/proxy/src/dispatch/mod.rs
+++ b/crates/proxy/src/dispatch/mod.rs
@@ -24,7 +24,7 @@
 use crate::retry_budget::RetryBudget;
 use crate::routing_table::{HomeRegions, RoutingTable};
 use limits::SharedLimits;
-pub use module_settings::repeat;
+pub use module_settings::repeatability;
 use module_settings::{TICK, module_settings, operation_settings};
 
 /// Capacity of a module's event queue.
@@ -36,11 +36,11 @@
 pub const NO_PLAN: PlanId = PlanId(usize::MAX);
 
 /// A module's call to the shared counts, with the recipient of the answer.
-pub struct CountCall {
+pub struct QuotaCounterCall {
     /// The call to the counts.
     pub call: ToCounter,
     /// The module that made the call.
-    pub answer_to: mpsc::Sender<ToDispatcher>,
+    pub reply_to: mpsc::Sender<ToDispatcher>,
 }
 
 /// Key of a module instance.
@@ -115,7 +115,7 @@
     /// Counters for operators.
     pub metrics: Metrics,
     /// Sender for calls to the shared counts.
-    pub counts: mpsc::Sender<CountCall>,
+    pub counter_calls: mpsc::Sender<QuotaCounterCall>,
     /// Phase of the process.
     pub phase: CurrentPhase,
 }
@@ -140,7 +140,7 @@
     }
 
     /// Returns whether a backend in the current list has this address.
-    pub fn is_real(&self, address: std::net::SocketAddr) -> bool {
+    pub fn is_backend_address(&self, address: std::net::SocketAddr) -> bool {
         self.shared.backend_pool.borrow().has_address(address)
     }
 
@@ -238,11 +238,15 @@
     /// Starts a task that adds the answer's recipient to a module's calls to the counts.
     fn forward_count_calls(&self, module: mpsc::Sender<ToDispatcher>) -> mpsc::Sender<ToCounter> {
         let (sender, mut calls) = mpsc::channel(EVENT_QUEUE_CAPACITY);
-        let counts = self.shared.counts.clone();
+        let counter_calls = self.shared.counter_calls.clone();
         tokio::task::spawn_local(async move {
             while let Some(call) = calls.recv().await {
-                let answer_to = module.clone();
-                if counts.send(CountCall { call, answer_to }).await.is_err() {
+                let reply_to = module.clone();
+                if counter_calls
+                    .send(QuotaCounterCall { call, reply_to })
+                    .await
+                    .is_err()
+                {
                     return;
                 }
             }
@@ -304,7 +308,7 @@
 
     /// Applies a new configuration. Plans keep their positions because requests in progress refer
     /// to plans by position.
-    pub fn follow(&mut self, table: &RoutingTable) {
+    pub fn apply_config(&mut self, table: &RoutingTable) {
         for tenant in &table.tenants {
             let is_limited = tenant.rate_per_s > 0.0;
             let burst = if tenant.burst > 0.0 {
@@ -331,7 +335,7 @@
 
     /// Returns the tenants with quotas, each with its rate and the length in seconds of the slots
     /// in which the module counts it.
-    pub fn slots(&self) -> Vec<(String, f64, f64)> {
+    pub fn tenant_quota_slots(&self) -> Vec<(String, f64, f64)> {
         let limited = self.plans.iter().filter(|plan| plan.rate > 0.0);
         let slot_s = |plan: &Plan| {
             let window_s = plan.burst / plan.rate;
--- a/crates/proxy/src/dispatch/module_settings.rs
+++ b/crates/proxy/src/dispatch/module_settings.rs
@@ -19,7 +19,7 @@
 const LATE_VALUE: f64 = 0.5;
 
 /// Returns whether a request on a route of this kind may run more than once.
-pub fn repeat(kind: RouteKind) -> RepeatMode {
+pub fn repeatability(kind: RouteKind) -> RepeatMode {
     match kind {
         RouteKind::ReadOnly => RepeatMode::Idempotent,
         RouteKind::Mutating | RouteKind::Upload => RepeatMode::NonIdempotent,
@@ -33,7 +33,7 @@
     );
     Operation {
         name: name.as_str().into(),
-        repeat: repeat(route.kind),
+        repeat: repeatability(route.kind),
         latency_objective: Duration::from_millis(route.latency_target_ms),
         integration_timeout: Duration::from_millis(route.timeout_ms),
         billed_value: 1.0,
--- a/crates/proxy/src/mirroring.rs
+++ b/crates/proxy/src/mirroring.rs
@@ -166,7 +166,7 @@
     }
 
     /// Sets the number of proxies that share the rules' budgets.
-    pub fn set_proxies(&self, proxies: u32) {
+    pub fn set_proxy_count(&self, proxies: u32) {
         self.proxies.set(proxies);
     }
 
--- a/crates/proxy/src/process/counts.rs
+++ b/crates/proxy/src/process/counts.rs
@@ -8,7 +8,7 @@
 use tokio::sync::mpsc::error::TrySendError;
 
 use crate::control_client::SharedControlState;
-use crate::dispatch::CountCall;
+use crate::dispatch::QuotaCounterCall;
 use crate::quota::{QuotaCounter, QuotaTolerance};
 
 /// The quota counter, with its connection to the coordinator.
@@ -34,7 +34,7 @@
     }
 
     /// Adds a module's count to the quota counter, and sends the module the total.
-    pub(super) fn answer(&mut self, CountCall { call, answer_to }: CountCall) {
+    pub(super) fn answer(&mut self, QuotaCounterCall { call, reply_to }: QuotaCounterCall) {
         let ToCounter::Call(CounterCall {
             name,
             units,
@@ -52,8 +52,8 @@
             total,
             latency: now.saturating_sub(called_at),
         };
-        if let Err(TrySendError::Full(answer)) = answer_to.try_send(answer) {
-            tokio::task::spawn_local(async move { answer_to.send(answer).await.ok() });
+        if let Err(TrySendError::Full(answer)) = reply_to.try_send(answer) {
+            tokio::task::spawn_local(async move { reply_to.send(answer).await.ok() });
         }
     }
 
@@ -95,7 +95,7 @@
             None => false,
         };
         if !is_sent {
-            self.counter.disconnect();
+            self.counter.record_coordinator_disconnect();
         }
     }
 }
--- a/crates/proxy/src/process/proxy.rs
+++ b/crates/proxy/src/process/proxy.rs
@@ -23,7 +23,7 @@
 use super::counts::QuotaClient;
 use crate::backend_pool::{BackendPool, RegionPosition};
 use crate::control_client::{ControlEvent, SharedControlState};
-use crate::dispatch::{CountCall, Dispatchers};
+use crate::dispatch::{Dispatchers, QuotaCounterCall};
 use crate::freshness::ServingState;
 use crate::mirroring::SharedMirror;
 use crate::quota::is_proxy_count_usable;
@@ -85,8 +85,8 @@
 impl Proxy {
     pub(super) fn handle_control_event(&mut self, event: ControlEvent) {
         match event {
-            ControlEvent::Config => self.handle_config(),
-            ControlEvent::Backends(backends) => self.handle_backends(backends),
+            ControlEvent::ConfigChanged => self.handle_config(),
+            ControlEvent::BackendListReceived(backends) => self.handle_backends(backends),
             ControlEvent::CoordinatorHeartbeat(heartbeat) => {
                 self.handle_coordinator_heartbeat(&heartbeat);
             }
@@ -111,7 +111,9 @@
                 let quota = &mut self.quota_client.counter;
                 quota.receive_allotment_status(term, departed_proxies, &absent, now);
             }
-            ControlEvent::CoordinatorLost => self.quota_client.counter.disconnect(),
+            ControlEvent::CoordinatorLost => {
+                self.quota_client.counter.record_coordinator_disconnect()
+            }
             ControlEvent::Partners { near, far } => {
                 if let Some(load_reports) = self.backend_pool.borrow_mut().load_reports() {
                     load_reports.set_partners(near, far);
@@ -124,19 +126,21 @@
     fn handle_config(&mut self) {
         let table = RoutingTable::from_snapshot(self.control.borrow().snapshot());
         let table = Rc::new(table);
-        if let Some(limits) = &table.limits {
+        if let Some(limits) = &table.connection_limits {
             self.apply_limits(limits);
         }
         let now = self.clock.now();
         self.backend_pool
             .borrow_mut()
-            .evacuate(&table, now, &mut random_fraction);
+            .set_evacuated_zones(&table, now, &mut random_fraction);
         *self.routing_table.borrow_mut() = table.clone();
         self.mirror.update_rules(table.mirror_rules.clone());
         let mut dispatchers = self.dispatchers.borrow_mut();
-        dispatchers.follow(&table);
-        for (tenant, rate, slot_s) in dispatchers.slots() {
-            self.quota_client.counter.set_rate(&tenant, rate, slot_s);
+        dispatchers.apply_config(&table);
+        for (tenant, rate, slot_s) in dispatchers.tenant_quota_slots() {
+            self.quota_client
+                .counter
+                .set_tenant_quota(&tenant, rate, slot_s);
         }
         dispatchers.send_backends();
     }
@@ -169,17 +173,17 @@
     /// Updates the number of proxies, this proxy's position in its region, and the coordinator's time and term.
     fn handle_coordinator_heartbeat(&mut self, heartbeat: &Heartbeat) {
         if heartbeat.known_proxy_count > 0 {
-            self.set_proxies(heartbeat.known_proxy_count, heartbeat.connected_proxy_count);
+            self.set_proxy_count(heartbeat.known_proxy_count, heartbeat.connected_proxy_count);
             self.set_region_position(RegionPosition {
                 position: heartbeat.region_position,
-                proxies: heartbeat.region_proxy_count,
+                proxy_count: heartbeat.region_proxy_count,
             });
         }
         let control = self.control.borrow();
-        if let Some(time) = control.common_time() {
+        if let Some(time) = control.coordinator_time() {
             let since_report = time.received_at.elapsed();
-            let common = Duration::from_millis(time.time_ms) + since_report;
-            let offset_s = common.as_secs_f64() - self.clock.now().as_secs_f64();
+            let coordinator_time = Duration::from_millis(time.time_ms) + since_report;
+            let offset_s = coordinator_time.as_secs_f64() - self.clock.now().as_secs_f64();
             self.time_offset_s.set(offset_s);
             self.unserved.borrow_mut().set_term(time.term);
             let quota = &mut self.quota_client.counter;
@@ -190,21 +194,21 @@
 
     /// Uses the number of proxies that another registry reports, until the more accurate one of a coordinator is known.
     fn handle_other_heartbeat(&mut self, heartbeat: &Heartbeat) {
-        let has_coordinators = self.control.borrow().common_time().is_some();
+        let has_coordinators = self.control.borrow().coordinator_time().is_some();
         if !has_coordinators && is_proxy_count_usable(heartbeat) {
-            self.set_proxies(heartbeat.known_proxy_count, heartbeat.known_proxy_count);
+            self.set_proxy_count(heartbeat.known_proxy_count, heartbeat.known_proxy_count);
         }
     }
 
     /// Sets the number of proxies that share the quotas and budgets which apply to all proxies together.
-    fn set_proxies(&mut self, known: u32, attached: u32) {
+    fn set_proxy_count(&mut self, known: u32, attached: u32) {
         let proxies = self
             .quota_client
             .counter
-            .set_proxies(known, attached, self.clock.now());
-        self.mirror.set_proxies(proxies);
-        self.retry_budget.borrow_mut().set_proxies(proxies);
-        self.backend_pool.borrow_mut().set_proxies(proxies);
+            .set_proxy_count(known, attached, self.clock.now());
+        self.mirror.set_proxy_count(proxies);
+        self.retry_budget.borrow_mut().set_proxy_count(proxies);
+        self.backend_pool.borrow_mut().set_proxy_count(proxies);
     }
 
     fn set_region_position(&mut self, position: RegionPosition) {
@@ -214,11 +218,11 @@
         }
         self.region_position = position;
         let mut dispatchers = self.dispatchers.borrow_mut();
-        dispatchers.set_region_proxies(position.proxies);
+        dispatchers.set_region_proxies(position.proxy_count);
         dispatchers.send_backends();
     }
 
-    pub(super) fn handle_count_call(&mut self, call: CountCall) {
+    pub(super) fn handle_count_call(&mut self, call: QuotaCounterCall) {
         self.quota_client.answer(call);
     }
 
--- a/crates/proxy/src/process/start.rs
+++ b/crates/proxy/src/process/start.rs
@@ -24,7 +24,7 @@
 use super::proxy::{Proxy, ShutdownReport};
 use crate::backend_pool::BackendPool;
 use crate::control_client::{self, ControlEvent, ControlState};
-use crate::dispatch::{CountCall, DispatchContext, Dispatchers};
+use crate::dispatch::{DispatchContext, Dispatchers, QuotaCounterCall};
 use crate::load_reports::LoadReports;
 use crate::mirroring::Mirror;
 use crate::protocol::{ProxyBackendProtocol, ProxyClientProtocol};
@@ -78,7 +78,7 @@
     pub(super) settings: Rc<Settings>,
     pub(super) exchanges_load_reports: bool,
     pub(super) control_events: mpsc::Sender<ControlEvent>,
-    pub(super) count_calls: mpsc::Sender<CountCall>,
+    pub(super) count_calls: mpsc::Sender<QuotaCounterCall>,
     pub(super) shutdown_reports: mpsc::Sender<ShutdownReport>,
 }
 
@@ -227,8 +227,8 @@
     fn quota_tolerance(&self) -> QuotaTolerance {
         QuotaTolerance {
             window_s: self.settings.timing_bound("quota_window_s", 0.0),
-            overage: self.settings.timing_bound("quota_overage", 0.0),
-            slack: self.settings.timing_bound("quota_slack", 0.0),
+            overage_fraction: self.settings.timing_bound("quota_overage", 0.0),
+            slack_units: self.settings.timing_bound("quota_slack", 0.0),
         }
     }
 
@@ -254,7 +254,7 @@
             connection_pools,
             clock: shared.clock,
             metrics: shared.metrics.clone(),
-            counts: self.count_calls.clone(),
+            counter_calls: self.count_calls.clone(),
             phase: shared.phase.clone(),
         })))
     }
--- a/crates/proxy/src/protocol.rs
+++ b/crates/proxy/src/protocol.rs
@@ -24,7 +24,7 @@
 use hyper::{Response, StatusCode, Uri};
 use rand::Rng;
 
-use crate::dispatch::{DispatchTarget, Dispatchers, NO_PLAN, repeat};
+use crate::dispatch::{DispatchTarget, Dispatchers, NO_PLAN, repeatability};
 use crate::mirroring::{RealAnswerRecorder, SelectedRule, SharedMirror};
 use crate::routing_table::{RouteMatch, RoutingError, RoutingTable};
 use crate::unserved::{Cause, RouteAndTenant, UnservedLog};
@@ -186,7 +186,7 @@
         };
         Ok(DecodedRequest {
             invocation,
-            repeatable: Repeatable::from_repeat_mode(repeat(route.kind)),
+            repeatable: Repeatable::from_repeat_mode(repeatability(route.kind)),
             name: head.id.to_owned(),
             context: Some(Box::new(context) as Box<dyn Any>),
             time_left: Duration::from_millis(head.deadline_ms.min(route.timeout_ms)),
@@ -263,7 +263,7 @@
             let home_regions =
                 RoutingTable::home_regions(route, context.route_and_tenant.tenant.as_deref());
             let dispatchers = self.dispatchers.borrow();
-            let is_real = |address| dispatchers.is_real(address);
+            let is_real = |address| dispatchers.is_backend_address(address);
             let mirror_rules = std::mem::take(&mut context.mirror_rules);
             context.answer_recorders =
                 self.mirror
--- a/crates/proxy/src/quota/mod.rs
+++ b/crates/proxy/src/quota/mod.rs
@@ -165,7 +165,7 @@
 
     /// Records the number of proxies reported by the coordinator; returns the number that the
     /// quotas are shared among.
-    pub fn set_proxies(&mut self, proxies: u32, attached: u32, now: Duration) -> u32 {
+    pub fn set_proxy_count(&mut self, proxies: u32, attached: u32, now: Duration) -> u32 {
         let proxies = self.proxy_number.set_known(proxies, now);
         self.known_proxies = f64::from(proxies.max(1));
         self.attached_proxies = f64::from(attached.clamp(1, proxies.max(1)));
@@ -187,7 +187,7 @@
     }
 
     /// Records that the connection to the coordinator was lost.
-    pub fn disconnect(&mut self) {
+    pub fn record_coordinator_disconnect(&mut self) {
         self.set_connected(false, false);
     }
 
@@ -203,14 +203,14 @@
         self.is_connected = is_connected;
     }
 
-    /// Sets the offset of the common time from the module's time (`common - module`), in seconds.
-    /// Slots are named by the common time, which is the coordinator's clock.
+    /// Sets the offset of the coordinator time from the module's time (`coordinator - module`), in seconds.
+    /// Slots are named by the coordinator time, which is the coordinator's clock.
     pub fn set_time_offset(&mut self, offset_s: f64, now: Duration) {
         self.naming.set_offset(offset_s, now);
     }
 
     /// Sets a tenant's quota in units per second and the length of its slots in seconds.
-    pub fn set_rate(&mut self, tenant: &str, rate: f64, slot_s: f64) {
+    pub fn set_tenant_quota(&mut self, tenant: &str, rate: f64, slot_s: f64) {
         let tenant = self.tenants.entry(tenant.to_owned()).or_default();
         tenant.rate = rate;
         tenant.slot_s = slot_s;
@@ -222,17 +222,17 @@
 
     /// Returns the names that all proxies use for the count that the module here calls `name`.
     /// Units admitted here are counted under the last of them.
-    fn common_names(&mut self, name: &str) -> Vec<String> {
+    fn coordinator_slot_names(&mut self, name: &str) -> Vec<String> {
         let Some((slot, tenant)) = split_name(name) else {
             return vec![name.to_owned()];
         };
-        let slots = self.naming.common_slots(slot, self.slot_s(tenant));
+        let slots = self.naming.coordinator_slots(slot, self.slot_s(tenant));
         slots.map(|slot| format!("{slot}/{tenant}")).collect()
     }
 
-    /// Returns when the slot of a common name ends, by the module's time.
-    fn slot_end(&mut self, common_name: &str) -> Duration {
-        let Some((slot, tenant)) = split_name(common_name) else {
+    /// Returns when the slot of a name ends, by the module's time.
+    fn slot_end(&mut self, slot_name: &str) -> Duration {
+        let Some((slot, tenant)) = split_name(slot_name) else {
             return Duration::ZERO;
         };
         let slot_s = self.slot_s(tenant);
@@ -257,7 +257,7 @@
     /// total.
     pub fn add(&mut self, name: &str, units: f64, now: Duration) -> f64 {
         self.sweep_when_due(now);
-        let names = self.common_names(name);
+        let names = self.coordinator_slot_names(name);
         let Some((name, earlier_names)) = names.split_last() else {
             return 0.0;
         };
@@ -277,7 +277,7 @@
         count.own.admitted = (count.own.admitted + units).max(0.0);
         count.own.requested += units.max(0.0);
         count.last_used_at = now;
-        // After a step back of the common time, the same name covers a later slot as well.
+        // After a step back of the coordinator time, the same name covers a later slot as well.
         count.slot_end = count.slot_end.max(slot_end);
         self.update_near_quota(&tenant, now);
         let earlier_counts = earlier_names
--- a/crates/proxy/src/quota/slot_naming.rs
+++ b/crates/proxy/src/quota/slot_naming.rs
@@ -1,13 +1,13 @@
-//! Maps each slot of the decision module to the common slots it stands for, and each common slot to
+//! Maps each slot of the decision module to the coordinator slots it stands for, and each coordinator slot to
 //! its end by the module's time. Both mappings are kept here so that names and ends stay
 //! consistent.
 //!
-//! The module numbers slots by its own time, while the shared counts are named by the common time
+//! The module numbers slots by its own time, while the shared counts are named by the coordinator time
 //! (the coordinator's clock). Both clocks run at the same rate, so a module slot corresponds to a
-//! common slot shifted by an integer: the rounded offset between the clocks. The rounding error
+//! coordinator slot shifted by an integer: the rounded offset between the clocks. The rounding error
 //! affects only the name: a slot ends when the module's slot ends, whatever its name.
 //!
-//! When the common time steps, slots that the module has already begun keep their names, because
+//! When the coordinator time steps, slots that the module has already begun keep their names, because
 //! their admissions are counted there; later slots get new names. A forward step skips names: the
 //! first slot after it also covers the skipped ones, which other proxies may have used. A backward
 //! step gives one name to two slots: both see the whole count, which admits too little for a moment
@@ -19,11 +19,11 @@
 
 /// A shift is kept until it differs from the exact offset by more than this many slots. Rounding
 /// alone accounts for half a slot, and the offset changes by a few round trips whenever another
-/// coordinator reports the common time.
+/// coordinator reports the coordinator time.
 const MAX_SHIFT_ERROR_SLOTS: f64 = 0.75;
 /// Maximum number of names that one slot covers; earlier names were not used recently.
 const MAX_NAMES_PER_SLOT: u64 = 4;
-/// Number of shifts that are kept per slot length, one for each step of the common time.
+/// Number of shifts that are kept per slot length, one for each step of the coordinator time.
 const MAX_SHIFTS: usize = 4;
 
 /// Shift of names that applies from a given module slot on.
@@ -34,28 +34,28 @@
 }
 
 impl Shift {
-    /// Returns the module slot that corresponds to a common slot under this shift.
-    fn module_slot(&self, common_slot: u64) -> u64 {
-        common_slot.saturating_add_signed(-self.slots)
+    /// Returns the module slot that corresponds to a coordinator slot under this shift.
+    fn module_slot(&self, coordinator_slot: u64) -> u64 {
+        coordinator_slot.saturating_add_signed(-self.slots)
     }
 }
 
-/// The common names of the module's slots, by slot length.
+/// The names of the module's slots, by slot length. Names number the slots by coordinator time.
 #[derive(Debug, Default)]
 pub(super) struct SlotNaming {
-    /// Offset of the common time from the module's time (`common - module`), in seconds; `None`
-    /// until the common time is known.
+    /// Offset of the coordinator time from the module's time (`coordinator - module`), in seconds; `None`
+    /// until the coordinator time is known.
     offset_s: Option<f64>,
     /// Shifts by slot length, keyed by the bits of the length in seconds; the latest is last.
     shifts: HashMap<u64, Vec<Shift>>,
 }
 
 impl SlotNaming {
-    /// Sets the offset of the common time from the module's time, in seconds.
+    /// Sets the offset of the coordinator time from the module's time, in seconds.
     pub(super) fn set_offset(&mut self, offset_s: f64, now: Duration) {
         let had_no_offset = self.offset_s.replace(offset_s).is_none();
         if had_no_offset {
-            // Until the common time was known, the names had no meaning to other proxies.
+            // Until the coordinator time was known, the names had no meaning to other proxies.
             self.shifts.clear();
             return;
         }
@@ -88,9 +88,9 @@
         })
     }
 
-    /// Returns the common slots that a module slot covers. Units admitted in it are counted under
+    /// Returns the coordinator slots that a module slot covers. Units admitted in it are counted under
     /// the last.
-    pub(super) fn common_slots(&mut self, slot: u64, slot_s: f64) -> RangeInclusive<u64> {
+    pub(super) fn coordinator_slots(&mut self, slot: u64, slot_s: f64) -> RangeInclusive<u64> {
         if slot_s <= 0.0 {
             return slot..=slot;
         }
@@ -107,15 +107,17 @@
         first.clamp(last.saturating_sub(MAX_NAMES_PER_SLOT - 1), last)..=last
     }
 
-    /// Returns when a common slot ends, by the module's time.
-    pub(super) fn end(&mut self, common_slot: u64, slot_s: f64) -> Duration {
+    /// Returns when a coordinator slot ends, by the module's time.
+    pub(super) fn end(&mut self, coordinator_slot: u64, slot_s: f64) -> Duration {
         if slot_s <= 0.0 {
             return Duration::ZERO;
         }
         let shifts = self.shifts(slot_s);
-        let applies = |shift: &&Shift| shift.module_slot(common_slot) >= shift.first_slot;
+        let applies = |shift: &&Shift| shift.module_slot(coordinator_slot) >= shift.first_slot;
         let shift = shifts.iter().rev().find(applies).or(shifts.first());
-        let slot = shift.map_or(common_slot, |shift| shift.module_slot(common_slot));
+        let slot = shift.map_or(coordinator_slot, |shift| {
+            shift.module_slot(coordinator_slot)
+        });
         Duration::from_secs_f64((slot + 1) as f64 * slot_s)
     }
 }
--- a/crates/proxy/src/quota/token_bucket.rs
+++ b/crates/proxy/src/quota/token_bucket.rs
@@ -28,9 +28,9 @@
     /// Length of the window over which usage is measured, in seconds.
     pub window_s: f64,
     /// Tolerated excess as a fraction of what is allowed in a window.
-    pub overage: f64,
-    /// Tolerated excess per window in units, in addition to `overage`.
-    pub slack: f64,
+    pub overage_fraction: f64,
+    /// Tolerated excess per window in units, in addition to `overage_fraction`.
+    pub slack_units: f64,
 }
 
 /// A tenant's quota and this proxy's share of it.
@@ -50,10 +50,10 @@
     fn tolerated_excess(&self) -> f64 {
         let QuotaTolerance {
             window_s,
-            overage,
-            slack,
+            overage_fraction,
+            slack_units,
         } = self.tolerance;
-        overage * (self.rate * window_s + self.burst) + slack
+        overage_fraction * (self.rate * window_s + self.burst) + slack_units
     }
 
     /// Returns the initial content of this proxy's bucket.
--- a/crates/proxy/src/retry_budget.rs
+++ b/crates/proxy/src/retry_budget.rs
@@ -34,7 +34,7 @@
     }
 
     /// Sets the number of proxies that share the slack.
-    pub fn set_proxies(&mut self, proxies: u32) {
+    pub fn set_proxy_count(&mut self, proxies: u32) {
         self.proxies = f64::from(proxies.max(1));
         let max_available = self.own_slack();
         self.available
--- a/crates/proxy/src/routing_table.rs
+++ b/crates/proxy/src/routing_table.rs
@@ -23,9 +23,9 @@
     pub tenants: Vec<Rc<Tenant>>,
     services: HashMap<String, Service>,
     /// Zones that receive no requests.
-    pub evacuated: BTreeSet<String>,
+    pub evacuated_zones: BTreeSet<String>,
     /// Limits and timeouts of client connections, if configured.
-    pub limits: Option<ConnectionLimits>,
+    pub connection_limits: Option<ConnectionLimits>,
     /// Mirror rules whose trial service is not a real service.
     pub mirror_rules: Vec<MirrorRule>,
 }
@@ -87,8 +87,8 @@
             .map(|service| (service.name.clone(), service))
             .collect();
         let evacuations = snapshot.present_items(ItemKind::Evacuation);
-        table.evacuated = evacuations.map(|item| item.key.name.clone()).collect();
-        table.limits = read_items(snapshot, ItemKind::Limits).next();
+        table.evacuated_zones = evacuations.map(|item| item.key.name.clone()).collect();
+        table.connection_limits = read_items(snapshot, ItemKind::Limits).next();
         let rules = read_items::<MirrorRule>(snapshot, ItemKind::MirrorRule);
         let is_trial_separate =
             |rule: &MirrorRule| !table.services.contains_key(&rule.trial_service);
--- a/crates/proxy/src/slow_start.rs
+++ b/crates/proxy/src/slow_start.rs
@@ -39,21 +39,21 @@
 #[derive(Debug)]
 pub struct SlowStart {
     proxies: f64,
-    warming: HashMap<BackendId, WarmingBackend>,
+    warming_backends: HashMap<BackendId, WarmingBackend>,
 }
 
 impl Default for SlowStart {
     fn default() -> Self {
         SlowStart {
             proxies: f64::from(ASSUMED_PROXIES),
-            warming: HashMap::new(),
+            warming_backends: HashMap::new(),
         }
     }
 }
 
 impl SlowStart {
     /// Sets the number of proxies that share the backends' rates.
-    pub fn set_proxies(&mut self, proxies: u32) {
+    pub fn set_proxy_count(&mut self, proxies: u32) {
         self.proxies = f64::from(proxies.max(1));
     }
 
@@ -80,30 +80,34 @@
         }
         let until = now + remaining + LIST_DELAY;
         let first_turn = now + self.turn_interval(rate_per_s).mul_f64(random);
-        let warming = self.warming.entry(backend).or_insert(WarmingBackend {
-            until,
-            rate_per_s,
-            next_turn: first_turn,
-        });
+        let warming = self
+            .warming_backends
+            .entry(backend)
+            .or_insert(WarmingBackend {
+                until,
+                rate_per_s,
+                next_turn: first_turn,
+            });
         warming.until = warming.until.max(until);
         warming.rate_per_s = rate_per_s;
     }
 
     /// Removes backends that have warmed up.
     pub fn remove_warm(&mut self, now: Duration) {
-        self.warming.retain(|_, backend| now < backend.until);
+        self.warming_backends
+            .retain(|_, backend| now < backend.until);
     }
 
     /// Returns whether a backend is warming up.
     pub fn is_warming_up(&self, backend: BackendId, now: Duration) -> bool {
-        self.warming
+        self.warming_backends
             .get(&backend)
             .is_some_and(|backend| now < backend.until)
     }
 
     /// Returns whether a request may go to a backend now.
     pub fn is_open(&self, backend: BackendId, now: Duration) -> bool {
-        let backend = self.warming.get(&backend);
+        let backend = self.warming_backends.get(&backend);
         backend.is_none_or(|backend| now >= backend.until || now >= backend.next_turn)
     }
 
@@ -115,9 +119,9 @@
         if !self.is_open(backend, now) {
             return false;
         }
-        let rate_per_s = self.warming[&backend].rate_per_s;
+        let rate_per_s = self.warming_backends[&backend].rate_per_s;
         let next_turn = now + self.turn_interval(rate_per_s);
-        if let Some(backend) = self.warming.get_mut(&backend) {
+        if let Some(backend) = self.warming_backends.get_mut(&backend) {
             backend.next_turn = next_turn;
         }
         true
@@ -125,7 +129,7 @@
 
     /// Returns the backends that warm up, each with whether a request may go to it.
     pub fn all(&self, now: Duration) -> impl Iterator<Item = (BackendId, bool)> + '_ {
-        let backends = self.warming.keys();
+        let backends = self.warming_backends.keys();
         backends.map(move |backend| (*backend, self.is_open(*backend, now)))
     }
 }
--- a/crates/proxy/tests/backend_pool.rs
+++ b/crates/proxy/tests/backend_pool.rs
@@ -25,11 +25,14 @@
     }
 }
 
-fn pool_at_position(position: u32, proxies: u32, backends: u32) -> BackendPool {
+fn pool_at_position(position: u32, proxy_count: u32, backends: u32) -> BackendPool {
     let regions = [("a", "x"), ("b", "x"), ("c", "y")];
     let regions = regions.map(|(zone, region)| (zone.to_string(), region.to_string()));
     let mut pool = BackendPool::new("a", "x", regions.into());
-    pool.set_region_position(RegionPosition { position, proxies });
+    pool.set_region_position(RegionPosition {
+        position,
+        proxy_count,
+    });
     let backends = (0..backends).map(|n| backend(n, ["a", "b", "c"][n as usize % 3]));
     let table = RoutingTable::default();
     pool.update(backends.collect(), &table, Duration::ZERO, &mut || 0.5);
@@ -65,7 +68,7 @@
 /// Returns a table in which zone `b` is evacuated.
 fn table_with_evacuated_zone() -> RoutingTable {
     let mut table = RoutingTable::default();
-    table.evacuated.insert("b".into());
+    table.evacuated_zones.insert("b".into());
     table
 }
 
@@ -87,11 +90,11 @@
     );
     let evacuated = table_with_evacuated_zone();
     let table = RoutingTable::default();
-    pool.evacuate(&evacuated, Duration::ZERO, &mut || 0.5);
+    pool.set_evacuated_zones(&evacuated, Duration::ZERO, &mut || 0.5);
     assert_eq!(available_names(&pool, &None, 0), ["i-0", "i-2"]);
     // Zone `b` is back in service. Its backend may warm up before the list reports it, so its first
     // turn comes at a random time.
-    pool.evacuate(&table, Duration::from_millis(100), &mut || 0.5);
+    pool.set_evacuated_zones(&table, Duration::from_millis(100), &mut || 0.5);
     assert_eq!(available_names(&pool, &None, 100), ["i-0", "i-2"]);
     assert_eq!(available_names(&pool, &None, 3000), ["i-0", "i-1", "i-2"]);
     // A backend that restarted at the same address is a different backend.
--- a/crates/proxy/tests/coordinator.rs
+++ b/crates/proxy/tests/coordinator.rs
@@ -34,7 +34,7 @@
     // A second coordinator in the same term, which the lease rules out, is ignored as well.
     assert!(!coordinator.observe(OLD_IP, &heartbeat((OLD_IP, 4), 900_000), now));
     assert_eq!(coordinator.ip(), Some(NEW_IP));
-    // The coordinator's clock may step within a term; the common time continues by the local clock.
+    // The coordinator's clock may step within a term; the coordinator time continues by the local clock.
     assert!(coordinator.observe(NEW_IP, &heartbeat((NEW_IP, 4), 1), now));
     assert_eq!(coordinator.time().map(|t| t.time_ms), Some(6000));
 }
--- a/crates/proxy/tests/data_plane.rs
+++ b/crates/proxy/tests/data_plane.rs
@@ -196,7 +196,7 @@
     backend_pool.update(servers.collect(), &routing_table, clock.now(), &mut || 0.5);
     backend_pool.set_region_position(RegionPosition {
         position: 0,
-        proxies: 1,
+        proxy_count: 1,
     });
     let (count_sender, mut count_calls) = mpsc::channel(64);
     tokio::task::spawn_local(async move { while count_calls.recv().await.is_some() {} });
@@ -217,7 +217,7 @@
         connection_pools,
         clock,
         metrics: metrics.clone(),
-        counts: count_sender,
+        counter_calls: count_sender,
         phase: phase.clone(),
     })));
     let client_protocol = ProxyClientProtocol {
--- a/crates/proxy/tests/quota.rs
+++ b/crates/proxy/tests/quota.rs
@@ -43,9 +43,9 @@
 #[test]
 fn without_a_coordinator_own_units_are_scaled_by_the_number_of_proxies() {
     let mut counter = QuotaCounter::default();
-    counter.set_proxies(10, 10, at(0));
+    counter.set_proxy_count(10, 10, at(0));
     // A new coordinator knows only a few of the proxies at first.
-    assert_eq!(counter.set_proxies(2, 2, at(0)), 10);
+    assert_eq!(counter.set_proxy_count(2, 2, at(0)), 10);
     assert_eq!(counter.add("1/x", 1.0, at(0)), 10.0);
     assert_eq!(counter.add("1/x", 1.0, at(1)), 20.0);
     // A refused unit that was undone no longer counts.
@@ -55,9 +55,9 @@
 #[test]
 fn unresponsive_coordinator_times_out_and_known_totals_survive_a_new_one() {
     let mut counter = QuotaCounter::default();
-    counter.set_proxies(4, 4, at(0));
+    counter.set_proxy_count(4, 4, at(0));
     counter.set_coordinator(1, true);
-    counter.set_rate("x", 100.0, 0.5);
+    counter.set_tenant_quota("x", 100.0, 0.5);
     counter.add("1/x", 1.0, at(0));
     assert_eq!(
         counter.take_reports(at(0)),
@@ -93,7 +93,7 @@
 #[test]
 fn new_proxy_admits_an_equal_share_and_small_time_steps_rename_no_slot() {
     let mut counter = QuotaCounter::default();
-    counter.set_rate("x", 100.0, 0.5);
+    counter.set_tenant_quota("x", 100.0, 0.5);
     // A new proxy has an equal part of `EQUAL_SHARE_FRACTION` (0.3) of the quota, divided by the assumed
     // number of proxies.
     let admitted = (0..8000).filter(|ms| !is_refused(&mut counter, "4/x", at(*ms)));
@@ -104,8 +104,8 @@
         "{admitted}"
     );
     let mut counter = QuotaCounter::default();
-    counter.set_rate("x", 100.0, 0.5);
-    counter.set_proxies(3, 3, at(0));
+    counter.set_tenant_quota("x", 100.0, 0.5);
+    counter.set_proxy_count(3, 3, at(0));
     counter.set_coordinator(1, true);
     counter.set_time_offset(0.249, at(0));
     counter.add("4/x", 1.0, at(1));
@@ -118,11 +118,11 @@
 }
 
 #[test]
-fn totals_are_scaled_for_unattached_proxies_and_slots_follow_the_common_time() {
+fn totals_are_scaled_for_unattached_proxies_and_slots_follow_the_coordinator_time() {
     let mut counter = QuotaCounter::default();
-    counter.set_proxies(10, 8, at(0));
+    counter.set_proxy_count(10, 8, at(0));
     counter.set_coordinator(1, true);
-    counter.set_rate("x", 100.0, 0.5);
+    counter.set_tenant_quota("x", 100.0, 0.5);
     counter.set_time_offset(5.1, at(0));
     counter.add("7/x", 4.0, at(0));
     assert_eq!(
@@ -179,7 +179,7 @@
 ) -> (f64, f64) {
     let start = |seed: u32| {
         let mut proxy = MeteredProxy::start(rate, seed.into(), at(0));
-        proxy.quota.set_proxies(proxy_count, proxy_count, at(0));
+        proxy.quota.set_proxy_count(proxy_count, proxy_count, at(0));
         proxy.quota.set_coordinator(1, true);
         proxy
     };
@@ -303,9 +303,9 @@
 #[test]
 fn totals_of_an_earlier_term_are_ignored() {
     let mut counter = QuotaCounter::default();
-    counter.set_proxies(4, 4, at(0));
+    counter.set_proxy_count(4, 4, at(0));
     counter.set_coordinator(7, true);
-    counter.set_rate("x", 100.0, 0.5);
+    counter.set_tenant_quota("x", 100.0, 0.5);
     counter.add("1/x", 1.0, at(0));
     assert_eq!(counter.take_reports(at(0)).len(), 1);
     counter.receive_totals(6, &[named_count("1/x", 90.0, 90.0)], at(50));
@@ -339,9 +339,9 @@
     // 90 of 100 units per second.
     let expected_in_slot = |offset_s: f64| {
         let mut counter = QuotaCounter::default();
-        counter.set_proxies(10, 10, at(0));
+        counter.set_proxy_count(10, 10, at(0));
         counter.set_coordinator(1, true);
-        counter.set_rate(TENANT, 100.0, SLOT_S);
+        counter.set_tenant_quota(TENANT, 100.0, SLOT_S);
         counter.set_time_offset(offset_s, at(0));
         // The coordinator sends totals of names not used here if their tenant is near its quota.
         counter.receive_totals(1, &[named_count("9000/x", 0.0, 0.0)], at(9990));
@@ -362,8 +362,8 @@
 #[test]
 fn proxy_admits_its_share_and_allotment_while_disconnected() {
     let mut counter = QuotaCounter::default();
-    counter.set_rate(TENANT, 100.0, SLOT_S);
-    counter.set_proxies(10, 10, at(0));
+    counter.set_tenant_quota(TENANT, 100.0, SLOT_S);
+    counter.set_proxy_count(10, 10, at(0));
     counter.set_coordinator(1, true);
     let allotted = |parts| {
         [Allotment {
@@ -376,7 +376,7 @@
         !counter.apply_allotment_change(1, 1, &allotted(TOTAL_PARTS), at(0)),
         "a repeated revision is not applied"
     );
-    counter.disconnect();
+    counter.record_coordinator_disconnect();
     // The proxy's share is 3 units per second (a tenth of 30) plus half of 70.
     let admitted = (0..20_000).filter(|ms| !is_refused(&mut counter, "4/x", at(*ms)));
     let admitted = admitted.count() as f64 / 20.0;
@@ -403,9 +403,9 @@
 #[test]
 fn totals_are_scaled_by_allotments_of_out_of_contact_proxies() {
     let mut counter = QuotaCounter::default();
-    counter.set_proxies(10, 9, at(0));
+    counter.set_proxy_count(10, 9, at(0));
     counter.set_coordinator(1, true);
-    counter.set_rate(TENANT, 100.0, SLOT_S);
+    counter.set_tenant_quota(TENANT, 100.0, SLOT_S);
     counter.add("7/x", 4.0, at(0));
     counter.take_reports(at(0));
     counter.receive_totals(1, &[named_count("7/x", 8.0, 8.0)], at(0));
@@ -439,21 +439,21 @@
 fn planned_departures_reduce_the_proxy_count_and_losses_do_not() {
     let mut counter = QuotaCounter::default();
     counter.set_coordinator(1, true);
-    assert_eq!(counter.set_proxies(10, 10, at(0)), 10);
+    assert_eq!(counter.set_proxy_count(10, 10, at(0)), 10);
     counter.receive_allotment_status(1, 7, &AbsentAllotments::default(), at(100));
-    assert_eq!(counter.set_proxies(3, 3, at(400)), 3);
+    assert_eq!(counter.set_proxy_count(3, 3, at(400)), 3);
     // Another coordinator knows two of them so far and no departed proxies.
     counter.set_coordinator(2, true);
-    assert_eq!(counter.set_proxies(2, 2, at(800)), 3);
-    assert_eq!(counter.set_proxies(3, 3, at(1200)), 3);
+    assert_eq!(counter.set_proxy_count(2, 2, at(800)), 3);
+    assert_eq!(counter.set_proxy_count(3, 3, at(1200)), 3);
     // A departed proxy has returned.
-    assert_eq!(counter.set_proxies(4, 4, at(1600)), 4);
+    assert_eq!(counter.set_proxy_count(4, 4, at(1600)), 4);
     assert_eq!(
-        counter.set_proxies(3, 3, at(2000)),
+        counter.set_proxy_count(3, 3, at(2000)),
         4,
         "a lost proxy still counts"
     );
-    assert_eq!(counter.set_proxies(3, 3, at(22_000)), 3);
+    assert_eq!(counter.set_proxy_count(3, 3, at(22_000)), 3);
 }
 
 #[test]
@@ -461,8 +461,8 @@
     // Reports six seconds of the other proxies' units at once, as a new coordinator does.
     let total_after = |first_slot: u64| {
         let mut counter = QuotaCounter::default();
-        counter.set_proxies(2, 2, at(0));
-        counter.set_rate(TENANT, 100.0, SLOT_S);
+        counter.set_proxy_count(2, 2, at(0));
+        counter.set_tenant_quota(TENANT, 100.0, SLOT_S);
         counter.set_coordinator(1, true);
         for slot in first_slot..first_slot + 12 {
             counter.add(&format!("{slot}/x"), 1.0, at(500 * slot));
--- a/crates/proxy/tests/quota_simulation/main.rs
+++ b/crates/proxy/tests/quota_simulation/main.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn offset_between_common_time_and_module_slots_keeps_the_bound() {
+fn offset_between_coordinator_time_and_module_slots_keeps_the_bound() {
     for seed in 0..4 {
         for offset_ms in [0, 125, 250, 375] {
             let scenario = coordinator_change(seed, offset_ms);
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn step_of_the_common_time_within_a_slot_keeps_the_bound() {
+fn step_of_the_coordinator_time_within_a_slot_keeps_the_bound() {
     for step_ms in [-5000, -400, -250, -130, 130, 250, 400, 5000] {
         let mut scenario = coordinator_change(1, 0);
         scenario.coordinator_offsets_ms = vec![0, step_ms];
@@ -60,7 +60,7 @@
     }
 }
 
-/// Scenarios that once exceeded the bound. In the first two, the common time steps far during a
+/// Scenarios that once exceeded the bound. In the first two, the coordinator time steps far during a
 /// coordinator change. In the others, a new coordinator has no report of a proxy that continues
 /// without contact.
 #[test]
--- a/crates/proxy/tests/quota_simulation/scenario.rs
+++ b/crates/proxy/tests/quota_simulation/scenario.rs
@@ -35,7 +35,7 @@
     pub clock_offsets_ms: Vec<u64>,
     /// When each coordinator is active; the first has term 1.
     pub coordinators: Vec<Span>,
-    /// Offset that each coordinator adds to the common time, in milliseconds.
+    /// Offset that each coordinator adds to the coordinator time, in milliseconds.
     pub coordinator_offsets_ms: Vec<i64>,
     /// Proxies that are disconnected from the coordinators, and when.
     pub disconnections: Vec<(usize, Span)>,
--- a/crates/proxy/tests/quota_simulation/simulation.rs
+++ b/crates/proxy/tests/quota_simulation/simulation.rs
@@ -44,7 +44,7 @@
     Report(Vec<NamedCount>),
     /// To a proxy: totals of counts.
     Totals(Vec<NamedCount>),
-    /// To a proxy: the common time at sending, and the numbers of known and attached proxies.
+    /// To a proxy: the coordinator time at sending, and the numbers of known and attached proxies.
     Heartbeat {
         time_ms: i64,
         known: u32,
@@ -284,8 +284,8 @@
         let now = self.local_time(message.proxy, ms);
         let node = &mut self.nodes[message.proxy];
         let quota = &mut node.metered_proxy.quota;
-        quota.set_proxies(known, attached, now);
-        // As in production, the first heartbeat of a term sets the common time.
+        quota.set_proxy_count(known, attached, now);
+        // As in production, the first heartbeat of a term sets the coordinator time.
         if message.term > node.term {
             node.term = message.term;
             let offset_s = time_ms as f64 / 1000.0 - now.as_secs_f64();
@@ -347,7 +347,7 @@
         }
         let is_attached = |node: &&Node| ms < node.last_seen_ms + ATTACHED_TIMEOUT_MS;
         let attached = self.nodes.iter().filter(is_attached).count() as u32;
-        // The base is far from zero, so that a step back leaves the common time above the modules'
+        // The base is far from zero, so that a step back leaves the coordinator time above the modules'
         // times.
         const BASE_TIME_MS: i64 = 1_000_000;
         let time_ms =
@@ -375,7 +375,7 @@
             let now = self.local_time(proxy, ms);
             let node = &mut self.nodes[proxy];
             if ms >= node.last_heard_ms + SILENCE_TIMEOUT_MS {
-                node.metered_proxy.quota.disconnect();
+                node.metered_proxy.quota.record_coordinator_disconnect();
             }
             if !ms.is_multiple_of(REPORT_INTERVAL_MS) {
                 continue;
--- a/crates/proxy/tests/quota_support/mod.rs
+++ b/crates/proxy/tests/quota_support/mod.rs
@@ -33,11 +33,11 @@
     /// `rate`.
     pub fn start(rate: f64, seed: u64, now: Duration) -> Self {
         let mut quota = QuotaCounter::new(seed);
-        quota.set_rate(TENANT, rate, SLOT_S);
+        quota.set_tenant_quota(TENANT, rate, SLOT_S);
         quota.set_tolerance(QuotaTolerance {
             window_s: WINDOW_S,
-            overage: OVERAGE,
-            slack: SLACK,
+            overage_fraction: OVERAGE,
+            slack_units: SLACK,
         });
         let mut rules = Rules::new(seed, settings(rate), now);
         let backend = |number| BackendEntry {
--- a/crates/proxy/tests/retry_budget.rs
+++ b/crates/proxy/tests/retry_budget.rs
@@ -6,7 +6,9 @@
 fn retries_of_ten_failing_proxies_stay_within_the_shared_budget() {
     let (ratio, slack) = (0.2, 60.0);
     let mut proxies: Vec<RetryBudget> = (0..10).map(|_| RetryBudget::new(ratio, slack)).collect();
-    proxies.iter_mut().for_each(|proxy| proxy.set_proxies(10));
+    proxies
+        .iter_mut()
+        .for_each(|proxy| proxy.set_proxy_count(10));
     let send_requests = |proxies: &mut Vec<RetryBudget>, fails: bool| {
         let mut retries = 0;
         for proxy in proxies.iter_mut() {
--- a/crates/proxy/tests/slow_start.rs
+++ b/crates/proxy/tests/slow_start.rs
@@ -19,7 +19,7 @@
     let mut proxies: Vec<SlowStart> = (0..proxy_count)
         .map(|_| {
             let mut slow_start = SlowStart::default();
-            slow_start.set_proxies(proxy_count);
+            slow_start.set_proxy_count(proxy_count);
             slow_start.record_warm_up(backend, warm_up, random.random(), Duration::ZERO);
             slow_start
         })
