--- a/crates/config-store/src/consensus/acceptor.rs
+++ b/crates/config-store/src/consensus/acceptor.rs
@@ -144,7 +144,7 @@
             return;
         }
         if new.iter().any(|item| item.key.kind == ItemKind::Voters) {
-            self.voters = VoterSet::committed(&self.durable.committed);
+            self.voters = VoterSet::from_snapshot(&self.durable.committed);
         }
         self.effects
             .push(Effect::Persist(DurableWrite::Committed(new.clone())));
--- a/crates/config-store/src/consensus/durable.rs
+++ b/crates/config-store/src/consensus/durable.rs
@@ -44,7 +44,7 @@
 
     /// Returns whether this disk's id is in the latest voter set it knows.
     pub fn is_voter(&self) -> bool {
-        let set = VoterSet::committed(&self.committed);
+        let set = VoterSet::from_snapshot(&self.committed);
         set.is_some_and(|set| {
             set.voters()
                 .iter()
@@ -60,7 +60,7 @@
         if !is_empty || seeds.is_empty() {
             return None;
         }
-        let voters = VoterSet::founding(seeds).to_item(ProposalNumber::default());
+        let voters = VoterSet::initial(seeds).to_item(ProposalNumber::default());
         let mut writes = vec![
             DurableWrite::Accepted(vec![voters.clone()]),
             DurableWrite::Committed(vec![voters]),
--- a/crates/config-store/src/consensus/replica.rs
+++ b/crates/config-store/src/consensus/replica.rs
@@ -78,7 +78,7 @@
             own_ip,
             incarnation: seed,
             highest_round: durable.promised.round,
-            voters: VoterSet::committed(&durable.committed),
+            voters: VoterSet::from_snapshot(&durable.committed),
             recovered_voters: None,
             durable,
             random_state: seed,
--- a/crates/config-store/src/consensus/voters.rs
+++ b/crates/config-store/src/consensus/voters.rs
@@ -31,7 +31,7 @@
 
 impl VoterSet {
     /// Returns the first voter set, which consists of the seeds at the first start of the system.
-    pub fn founding(seeds: &[Ip]) -> Self {
+    pub fn initial(seeds: &[Ip]) -> Self {
         let voter = |ip: &Ip| Voter {
             ip: *ip,
             disk_id: INITIAL_DISK_ID,
@@ -43,7 +43,7 @@
     }
 
     /// Returns the voter set in a snapshot; `None` if the snapshot has none.
-    pub fn committed(snapshot: &ConfigSnapshot) -> Option<Self> {
+    pub fn from_snapshot(snapshot: &ConfigSnapshot) -> Option<Self> {
         snapshot.get(&key()).and_then(Self::from_item)
     }
 
--- a/crates/config-store/tests/fault_simulation/main.rs
+++ b/crates/config-store/tests/fault_simulation/main.rs
@@ -303,7 +303,7 @@
         body: Some(br#"{"name":"s"}"#.to_vec()),
     };
     let mut stale = founder(0);
-    let six_voters = (3..6).fold(VoterSet::founding(&[ip(0), ip(1), ip(2)]), |set, n| {
+    let six_voters = (3..6).fold(VoterSet::initial(&[ip(0), ip(1), ip(2)]), |set, n| {
         set.with(Voter {
             ip: ip(n),
             disk_id: 100 + n as u64,
--- a/crates/config-store/tests/fault_simulation/simulation.rs
+++ b/crates/config-store/tests/fault_simulation/simulation.rs
@@ -447,11 +447,11 @@
             .machines
             .iter()
             .flat_map(|m| [&m.disk.committed, &m.disk.accepted]);
-        let sets: Vec<VoterSet> = all.filter_map(VoterSet::committed).collect();
+        let sets: Vec<VoterSet> = all.filter_map(VoterSet::from_snapshot).collect();
         let committed = self
             .machines
             .iter()
-            .filter_map(|m| VoterSet::committed(&m.disk.committed));
+            .filter_map(|m| VoterSet::from_snapshot(&m.disk.committed));
         let latest_epoch = committed.map(|s| s.epoch).max().unwrap_or(0);
         sets.into_iter()
             .filter(|s| s.epoch >= latest_epoch)
@@ -582,7 +582,7 @@
             1,
             "replicas differ after a period without faults"
         );
-        let set = VoterSet::committed(&self.machines[machines_in_use[0]].disk.committed)
+        let set = VoterSet::from_snapshot(&self.machines[machines_in_use[0]].disk.committed)
             .expect("committed voter set");
         for n in &machines_in_use {
             let voter = Voter {
--- a/crates/config-store/tests/membership.rs
+++ b/crates/config-store/tests/membership.rs
@@ -13,8 +13,8 @@
     [10, 0, 0, n as u8 + 1]
 }
 
-fn founding_set(size: usize) -> VoterSet {
-    VoterSet::founding(&(0..size).map(ip).collect::<Vec<_>>())
+fn initial_set(size: usize) -> VoterSet {
+    VoterSet::initial(&(0..size).map(ip).collect::<Vec<_>>())
 }
 
 fn voter(n: usize, disk: u64) -> Voter {
@@ -41,7 +41,7 @@
         missing(20),
     ];
     for size in 1..8usize {
-        let set = founding_set(size);
+        let set = initial_set(size);
         for case in 0..states.len().pow(size as u32) {
             let state =
                 |v: &Voter| states[case / states.len().pow(u32::from(v.ip[3]) - 1) % states.len()];
@@ -100,13 +100,13 @@
         }
     };
     let removed = |size: usize, candidates: &[Voter]| {
-        let set = founding_set(size);
+        let set = initial_set(size);
         let next = next_voters(&set, state(3), candidates)?;
         set.voters().difference(next.voters()).next().copied()
     };
     assert_eq!(removed(6, &[]), Some(voter(2, 0)));
     assert_eq!(removed(5, &[voter(9, 7)]), Some(voter(2, 0)));
-    let no_change = next_voters(&founding_set(5), state(99), &[]);
+    let no_change = next_voters(&initial_set(5), state(99), &[]);
     assert_eq!(
         no_change, None,
         "an odd set removes a voter that may return"
@@ -117,7 +117,7 @@
 #[test]
 fn replacements_yield_the_expected_set_sizes() {
     let present = |_: &Voter| Presence::Present;
-    let mut set = founding_set(3);
+    let mut set = initial_set(3);
     for n in 3..6 {
         set = next_voters(&set, present, &[voter(n, 7)]).expect("a change that adds the candidate");
     }
@@ -155,7 +155,7 @@
 /// unreachable.
 #[test]
 fn a_change_is_proposed_only_with_promises_from_a_majority_of_the_next_set() {
-    let set = founding_set(5);
+    let set = initial_set(5);
     let item = vec![set.to_item(ProposalNumber {
         round: 1,
         proposer: 1,
--- a/crates/config-store/tests/model.rs
+++ b/crates/config-store/tests/model.rs
@@ -455,7 +455,7 @@
             }),
             Property::sometimes("the voter set changes", |scenario, state: &State| {
                 let change = |n: &Node| {
-                    VoterSet::committed(&n.disk.committed).is_some_and(|set| set.epoch > 1)
+                    VoterSet::from_snapshot(&n.disk.committed).is_some_and(|set| set.epoch > 1)
                 };
                 scenario.is_fixed()
                     || state.nodes.iter().any(change) && !state.acknowledged.is_empty()
--- a/crates/config-store/tests/previous_version.rs
+++ b/crates/config-store/tests/previous_version.rs
@@ -121,7 +121,7 @@
         (tenant.rate_per_s, tenant.burst, tenant.api_keys),
         (10.5, 20.0, vec!["key-1".to_string()])
     );
-    let voters = VoterSet::committed(&durable.committed).expect("committed voter set");
+    let voters = VoterSet::from_snapshot(&durable.committed).expect("committed voter set");
     assert_eq!((voters.epoch, voters.voters().len()), (1, 1));
     assert_eq!(
         voters
--- a/crates/ctl/src/stores.rs
+++ b/crates/ctl/src/stores.rs
@@ -32,7 +32,7 @@
         "{vote_status}, promised ballot {}.{}",
         promised.round, promised.proposer
     )];
-    if let Some(voters) = VoterSet::committed(&durable.committed) {
+    if let Some(voters) = VoterSet::from_snapshot(&durable.committed) {
         let ips = voters.voters().iter().map(|voter| voter.ip);
         let ips = ip_strings(ips).join(", ");
         lines.push(format!("voters of epoch {}: {ips}", voters.epoch));
--- a/crates/ctl/tests/files.rs
+++ b/crates/ctl/tests/files.rs
@@ -183,9 +183,8 @@
         .expect("kept");
     drop(store);
     assert!(error_text(verify_store(&folder.0), &folder).contains("has no vote yet"));
-    let voters = vec![
-        VoterSet::founding(&[[10, 0, 0, 1], [10, 0, 0, 2]]).to_item(ProposalNumber::default()),
-    ];
+    let voters =
+        vec![VoterSet::initial(&[[10, 0, 0, 1], [10, 0, 0, 2]]).to_item(ProposalNumber::default())];
     let writes = [
         DurableWrite::Accepted(voters.clone()),
         DurableWrite::Committed(voters),
--- a/crates/load-reports/src/gossip.rs
+++ b/crates/load-reports/src/gossip.rs
@@ -104,7 +104,10 @@
         let mut own = self.observer.all(now);
         // The most loaded backends first, because other proxies need to avoid these.
         own.sort_unstable_by_key(|(backend, s)| {
-            (std::cmp::Reverse((s.full, s.failed, s.out)), *backend)
+            (
+                std::cmp::Reverse((s.full, s.failed, s.in_progress)),
+                *backend,
+            )
         });
         let (origin, number) = (self.own_origin, self.number);
         let mut summaries: Vec<Summary> = own
--- a/crates/load-reports/src/observation.rs
+++ b/crates/load-reports/src/observation.rs
@@ -22,10 +22,10 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
 pub struct Observation {
     /// Attempts in progress.
-    pub out: u16,
+    pub in_progress: u16,
     /// Mean response time, or the age of the oldest attempt in progress if that is longer, in milliseconds; 0 if there
     /// is neither.
-    pub usual_ms: u16,
+    pub response_ms: u16,
     /// Share of recently ended attempts that the backend rejected because it was full, in units of 1/255.
     pub full: u8,
     /// Share of recently ended attempts that failed, in units of 1/255.
@@ -138,10 +138,10 @@
             .min()
             .map_or(0, |began| now.saturating_sub(*began).as_millis())
             as f64;
-        let usual_ms = mean_ms.max(longest_wait_ms);
+        let response_ms = mean_ms.max(longest_wait_ms);
         Observation {
-            out: recent.in_progress.len() as u16,
-            usual_ms: usual_ms.min(60_000.0) as u16,
+            in_progress: recent.in_progress.len() as u16,
+            response_ms: response_ms.min(60_000.0) as u16,
             full: share(recent.full),
             failed: share(recent.failed),
         }
--- a/crates/load-reports/src/summaries.rs
+++ b/crates/load-reports/src/summaries.rs
@@ -22,7 +22,7 @@
 /// Maximum number of summaries kept per backend; the oldest are removed.
 const MAX_ORIGINS: usize = 16;
 /// Largest plausible number of attempts in progress; summaries with more are ignored.
-const MAX_PLAUSIBLE_OUT: u16 = 5_000;
+const MAX_PLAUSIBLE_IN_PROGRESS: u16 = 5_000;
 
 /// A summary as sent between proxies. It carries its age instead of a time, because clocks differ.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
@@ -61,7 +61,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct BackendView {
     /// Attempts in progress from the other proxies, weighted by the age of the summaries.
-    pub out: f64,
+    pub in_progress: f64,
     /// Number of proxies with a summary of the backend.
     pub origins: usize,
     /// Age of the oldest of these summaries.
@@ -74,7 +74,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Opinion {
     /// Usual response time in milliseconds; 0 if unknown.
-    pub usual_ms: f64,
+    pub response_ms: f64,
     /// Share of attempts rejected because the backend was full, from 0 to 1.
     pub full: f64,
     /// Share of failed attempts, from 0 to 1.
@@ -88,7 +88,7 @@
     pub fn from_observation(observation: &Observation, weight: f64) -> Self {
         let share = |of_255: u8| f64::from(of_255) / 255.0;
         Opinion {
-            usual_ms: f64::from(observation.usual_ms),
+            response_ms: f64::from(observation.response_ms),
             full: share(observation.full),
             failed: share(observation.failed),
             weight,
@@ -101,7 +101,7 @@
     /// number the earlier observation time is kept, so that forwarding can't make a summary younger.
     pub fn merge(&mut self, summary: &Summary, now: Duration) -> bool {
         let age = Duration::from_millis(summary.age_ms.into());
-        if age >= EXPIRY || summary.observation.out > MAX_PLAUSIBLE_OUT {
+        if age >= EXPIRY || summary.observation.in_progress > MAX_PLAUSIBLE_IN_PROGRESS {
             return false;
         }
         let (at, number, observation) =
@@ -165,7 +165,7 @@
                 continue;
             }
             let weight = 0.5f64.powf(age.as_secs_f64() / HALF_LIFE_S);
-            view.out += f64::from(entry.observation.out) * weight;
+            view.in_progress += f64::from(entry.observation.in_progress) * weight;
             view.origins += 1;
             view.oldest = view.oldest.max(age);
             view.opinions
--- a/crates/load-reports/src/weight.rs
+++ b/crates/load-reports/src/weight.rs
@@ -31,30 +31,34 @@
     /// The observation of this proxy.
     pub own: Observation,
     /// The observations of the other proxies.
-    pub told: BackendView,
+    pub reported: BackendView,
 }
 
 impl BackendLoad {
     /// Returns the attempts in progress per slot, from all proxies.
     fn load_per_slot(&self) -> f64 {
-        (f64::from(self.own.out) + self.told.out) / self.slots.max(1.0)
+        (f64::from(self.own.in_progress) + self.reported.in_progress) / self.slots.max(1.0)
     }
 
-    /// Returns the weighted mean of all known usual response times in milliseconds; 0 if none is known.
-    fn usual_ms(&self) -> f64 {
-        let told = self.told.opinions.iter().filter(|o| o.usual_ms > 0.0);
-        let (sum, weight) = told.fold((0.0, 0.0), |(sum, weight), o| {
-            (sum + o.usual_ms * o.weight, weight + o.weight)
+    /// Returns the weighted mean of all known response times in milliseconds; 0 if none is known.
+    fn response_ms(&self) -> f64 {
+        let reported = self
+            .reported
+            .opinions
+            .iter()
+            .filter(|o| o.response_ms > 0.0);
+        let (sum, weight) = reported.fold((0.0, 0.0), |(sum, weight), o| {
+            (sum + o.response_ms * o.weight, weight + o.weight)
         });
-        let own = if self.own.usual_ms > 0 { 1.0 } else { 0.0 };
-        (sum + f64::from(self.own.usual_ms) * own) / (weight + own).max(1e-9)
+        let own = if self.own.response_ms > 0 { 1.0 } else { 0.0 };
+        (sum + f64::from(self.own.response_ms) * own) / (weight + own).max(1e-9)
     }
 
     /// Returns the share of attempts that are rejected or fail, as the weighted median over the proxies.
     fn unsuccessful_share(&self) -> f64 {
         let seen = self.own != Observation::default();
         let own = seen.then(|| Opinion::from_observation(&self.own, 1.0));
-        let opinions: Vec<&Opinion> = self.told.opinions.iter().chain(&own).collect();
+        let opinions: Vec<&Opinion> = self.reported.opinions.iter().chain(&own).collect();
         let full = weighted_median(&opinions, |o| o.full);
         let failed = weighted_median(&opinions, |o| o.failed);
         full + if opinions.len() >= MIN_OBSERVERS {
@@ -91,7 +95,7 @@
         let loads: f64 = all.values().map(BackendLoad::load_per_slot).sum();
         let mut times: Vec<f64> = all
             .values()
-            .map(BackendLoad::usual_ms)
+            .map(BackendLoad::response_ms)
             .filter(|ms| *ms > 0.0)
             .collect();
         times.sort_by(f64::total_cmp);
@@ -107,7 +111,7 @@
             / (backend.load_per_slot() + 1.0))
             .min(1.0);
         let slowness_factor = match self.response_ms > 0.0 {
-            true => (SLOW_RATIO * self.response_ms / backend.usual_ms().max(1e-9)).min(1.0),
+            true => (SLOW_RATIO * self.response_ms / backend.response_ms().max(1e-9)).min(1.0),
             false => 1.0,
         };
         (load_factor * slowness_factor * (1.0 - backend.unsuccessful_share()).max(0.0))
--- a/crates/load-reports/tests/simulation.rs
+++ b/crates/load-reports/tests/simulation.rs
@@ -116,7 +116,12 @@
                 Selection::OwnLoad => random * own,
                 Selection::ReportedFactor => random * own / p.factors.factor(b as BackendKey),
                 Selection::LeastReportedLoad => {
-                    p.gossip.table.view(b as BackendKey, at(self.now)).out + own + random * 1e-3
+                    p.gossip
+                        .table
+                        .view(b as BackendKey, at(self.now))
+                        .in_progress
+                        + own
+                        + random * 1e-3
                 }
             }
         };
@@ -221,7 +226,7 @@
         let load = |b: usize, p: &mut Proxy| BackendLoad {
             slots,
             own: p.gossip.observer.observe(b as BackendKey, now),
-            told: p.gossip.table.view(b as BackendKey, now),
+            reported: p.gossip.table.view(b as BackendKey, now),
         };
         let all: HashMap<BackendKey, BackendLoad> = (0..self.backends.len())
             .map(|b| (b as BackendKey, load(b, p)))
@@ -411,14 +416,20 @@
     );
 }
 
-fn summary(origin: u32, number: u32, backend: BackendKey, age_ms: u16, out: u16) -> Summary {
+fn summary(
+    origin: u32,
+    number: u32,
+    backend: BackendKey,
+    age_ms: u16,
+    in_progress: u16,
+) -> Summary {
     Summary {
         origin,
         number,
         backend,
         age_ms,
         observation: Observation {
-            out,
+            in_progress,
             ..Observation::default()
         },
     }
@@ -505,7 +516,7 @@
     /// the same origin and number have the same observation, as in a real system.
     fn tables_merging_the_same_summaries_are_equal(all: Vec<ArbitrarySummary>, rotation: usize, repeated: usize) -> bool {
         let mut all: Vec<Summary> = all.into_iter().map(|s| s.0).collect();
-        all.iter_mut().for_each(|t| t.observation.out = (t.origin * 31 + t.number * 7 + t.backend) as u16 % 100);
+        all.iter_mut().for_each(|t| t.observation.in_progress = (t.origin * 31 + t.number * 7 + t.backend) as u16 % 100);
         let merge_all = |order: &[Summary]| {
             let mut table = SummaryTable::default();
             order.iter().for_each(|t| {
--- a/crates/mirror/src/budget.rs
+++ b/crates/mirror/src/budget.rs
@@ -30,7 +30,7 @@
     /// The proxy is overloaded.
     Overloaded,
     /// The body is too large, or was not received completely.
-    Body,
+    BodyUnavailable,
     /// The rule has no instance in an allowed region, or only ones with the address of a real backend.
     NoInstance,
     /// The mirrored request was sent, but no answer or only an incomplete one was received.
@@ -44,7 +44,7 @@
             DropReason::Budget => "budget",
             DropReason::Full => "full",
             DropReason::Overloaded => "pressed",
-            DropReason::Body => "body",
+            DropReason::BodyUnavailable => "body",
             DropReason::NoInstance => "nowhere",
             DropReason::Unanswered => "unanswered",
         }
@@ -71,7 +71,7 @@
 
 impl Budget {
     /// Processes the delay with which a timer fired. A long delay pauses mirroring.
-    pub fn timer_fired(&mut self, delay: Duration, now: Duration) {
+    pub fn record_timer_delay(&mut self, delay: Duration, now: Duration) {
         if delay >= OVERLOAD_TIMER_DELAY {
             self.paused_until = now + OVERLOAD_PAUSE;
         }
@@ -92,7 +92,7 @@
             return Err(DropReason::Overloaded);
         }
         if bytes > MAX_BODY_BYTES {
-            return Err(DropReason::Body);
+            return Err(DropReason::BodyUnavailable);
         }
         if self.in_flight >= MAX_IN_FLIGHT || self.bytes_in_flight + bytes > MAX_BYTES_IN_FLIGHT {
             return Err(DropReason::Full);
@@ -123,7 +123,7 @@
     }
 
     /// Releases the in-flight quota of a mirrored request of `bytes` bytes that has ended.
-    pub fn done(&mut self, bytes: usize) {
+    pub fn release(&mut self, bytes: usize) {
         self.in_flight -= 1;
         self.bytes_in_flight -= bytes;
     }
--- a/crates/mirror/src/selection.rs
+++ b/crates/mirror/src/selection.rs
@@ -10,11 +10,11 @@
 use siphasher::sip::SipHasher24;
 
 /// The hash that identifies a caller under a rule.
-pub type Caller = u64;
+pub type CallerHash = u64;
 
 /// Returns the hash of a caller. The hash depends only on the rule's name and the caller, so it is the same at every
 /// proxy and after a restart: all versions of a rule select the same callers, and different rules select independently.
-pub fn caller(rule: &MirrorRule, tenant: &str, key: &str) -> Caller {
+pub fn caller_hash(rule: &MirrorRule, tenant: &str, key: &str) -> CallerHash {
     let mut hash = SipHasher24::new_with_keys(0x6d75_6d6d_6572, rule.name.len() as u64);
     hash.write(rule.name.as_bytes());
     hash.write_u8(0);
@@ -26,7 +26,7 @@
 }
 
 /// Returns whether a rule mirrors the requests of a caller.
-pub fn is_selected(rule: &MirrorRule, caller: Caller) -> bool {
+pub fn is_selected(rule: &MirrorRule, caller: CallerHash) -> bool {
     (caller as f64) < rule.share * 2f64.powi(64)
 }
 
@@ -95,9 +95,9 @@
 
 /// Returns the trial instance for a caller, and its address: always the same one while the rule's instances stay the
 /// same. Only instances in allowed regions, and without the address of a real backend, are considered.
-pub fn instance<'a>(
+pub fn select_instance<'a>(
     rule: &'a MirrorRule,
-    caller: Caller,
+    caller: CallerHash,
     is_allowed_region: &dyn Fn(&str) -> bool,
     is_real: &dyn Fn(SocketAddr) -> bool,
 ) -> Option<(&'a TrialInstance, SocketAddr)> {
--- a/crates/mirror/src/sessions.rs
+++ b/crates/mirror/src/sessions.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use crate::budget::DropReason;
-use crate::selection::Caller;
+use crate::selection::CallerHash;
 
 /// Maximum number of callers recorded per version of a rule. The requests of further callers only count in the totals.
 const MAX_CALLERS: usize = 10_000;
@@ -44,7 +44,7 @@
     /// Sum of the times of trial answers, in seconds.
     trial_sum_s: f64,
     /// For each caller, the number of mirrored requests, and whether any request was not mirrored.
-    callers: HashMap<Caller, (u64, bool)>,
+    callers: HashMap<CallerHash, (u64, bool)>,
 }
 
 /// The results of mirroring by rule and version.
@@ -55,7 +55,7 @@
 
 impl Sessions {
     /// Records that a request of a caller was mirrored.
-    pub fn copied(&mut self, rule: (&str, u64), caller: Caller) {
+    pub fn record_copied(&mut self, rule: (&str, u64), caller: CallerHash) {
         let totals = self.totals(rule);
         totals.copied += 1;
         if totals.callers.len() < MAX_CALLERS || totals.callers.contains_key(&caller) {
@@ -64,7 +64,7 @@
     }
 
     /// Records that a selected request was not mirrored, or not answered: its caller's session is incomplete.
-    pub fn dropped(&mut self, rule: (&str, u64), caller: Caller, reason: DropReason) {
+    pub fn record_dropped(&mut self, rule: (&str, u64), caller: CallerHash, reason: DropReason) {
         let totals = self.totals(rule);
         *totals.dropped.entry(reason).or_default() += 1;
         if totals.callers.len() < MAX_CALLERS || totals.callers.contains_key(&caller) {
@@ -74,7 +74,7 @@
 
     /// Records the answer of the trial service, and compares it with the real one. `real` is `None` if the client
     /// closed its connection before the real answer.
-    pub fn answered(&mut self, rule: (&str, u64), real: Option<Answer>, trial: Answer) {
+    pub fn record_answered(&mut self, rule: (&str, u64), real: Option<Answer>, trial: Answer) {
         let totals = self.totals(rule);
         totals.answered += 1;
         let Some(real) = real else { return };
@@ -92,7 +92,7 @@
 
     /// Returns the results as JSON. Callers are identified by their hashes, so that the reports of several proxies can
     /// be merged: a session that is incomplete at any proxy is incomplete.
-    pub fn show(&self) -> String {
+    pub fn to_json(&self) -> String {
         let mut out = String::from("{\"copies\":[");
         for (n, ((name, version), totals)) in self.rules.iter().enumerate() {
             let dropped: Vec<String> = totals
@@ -102,7 +102,7 @@
                 .collect();
             let mut callers: Vec<_> = totals.callers.iter().collect();
             callers.sort();
-            let row = |(c, (copies, is_incomplete)): (&Caller, &(u64, bool))| {
+            let row = |(c, (copies, is_incomplete)): (&CallerHash, &(u64, bool))| {
                 format!("[\"{c:016x}\",{copies},{is_incomplete}]")
             };
             let callers: Vec<String> = callers.into_iter().map(row).collect();
--- a/crates/mirror/tests/budget.rs
+++ b/crates/mirror/tests/budget.rs
@@ -19,7 +19,7 @@
                 .is_ok()
             {
                 sent += 1;
-                budget.done(100);
+                budget.release(100);
             }
         }
     }
@@ -31,7 +31,7 @@
     let unlimited = rule(1, 1.0, "");
     assert_eq!(
         budget.admit(&unlimited, MAX_BODY_BYTES + 1, 1, Duration::ZERO),
-        Err(DropReason::Body)
+        Err(DropReason::BodyUnavailable)
     );
     let admitted = (0..1000)
         .filter(|_| budget.admit(&unlimited, 1000, 1, Duration::ZERO).is_ok())
@@ -40,8 +40,8 @@
         admitted, MAX_IN_FLIGHT,
         "requests in flight to a trial service that never answers"
     );
-    budget.done(1000);
-    budget.timer_fired(Duration::from_millis(40), Duration::from_secs(1));
+    budget.release(1000);
+    budget.record_timer_delay(Duration::from_millis(40), Duration::from_secs(1));
     assert_eq!(
         budget.admit(&unlimited, 10, 1, Duration::from_millis(1200)),
         Err(DropReason::Overloaded)
--- a/crates/mirror/tests/selection.rs
+++ b/crates/mirror/tests/selection.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 
 use common::rule;
-use damsonbeam_mirror::selection::{ActiveRules, caller, instance, is_selected};
+use damsonbeam_mirror::selection::{ActiveRules, caller_hash, is_selected, select_instance};
 use quickcheck::quickcheck;
 
 quickcheck! {
@@ -14,8 +14,8 @@
     fn selection_is_the_same_everywhere_and_grows_with_the_share(tenant: String, a: u8, b: u8) -> bool {
         let (less, more) = (f64::from(a.min(b)) / 255.0, f64::from(a.max(b)) / 255.0);
         let (one, two) = (rule(1, less, ""), rule(7, more, ""));
-        let caller_hash = caller(&one, &tenant, "k");
-        caller_hash == caller(&two, &tenant, "other key") && (!is_selected(&one, caller_hash) || is_selected(&two, caller_hash))
+        let hash = caller_hash(&one, &tenant, "k");
+        hash == caller_hash(&two, &tenant, "other key") && (!is_selected(&one, hash) || is_selected(&two, hash))
     }
 }
 
@@ -24,7 +24,7 @@
     let chosen = |share: f64| {
         let r = rule(1, share, "");
         (0..10_000)
-            .filter(|n| is_selected(&r, caller(&r, &format!("tenant{n}"), "")))
+            .filter(|n| is_selected(&r, caller_hash(&r, &format!("tenant{n}"), "")))
             .count()
     };
     assert_eq!((chosen(0.0), chosen(1.0)), (0, 10_000));
@@ -53,7 +53,7 @@
     let any = |_: &str| true;
     let instance_id =
         |caller, is_allowed_region: &dyn Fn(&str) -> bool, is_real: &dyn Fn(SocketAddr) -> bool| {
-            instance(&r, caller, is_allowed_region, is_real).map(|found| found.0.id.clone())
+            select_instance(&r, caller, is_allowed_region, is_real).map(|found| found.0.id.clone())
         };
     let all_ids: std::collections::BTreeSet<_> = (0..64u64)
         .filter_map(|n| instance_id(n << 32, &any, &|_| false))
--- a/crates/proxy/src/load_reports.rs
+++ b/crates/proxy/src/load_reports.rs
@@ -120,7 +120,7 @@
         BackendLoad {
             slots,
             own: self.gossip.observer.observe(key, now),
-            told: self.gossip.table.view(key, now),
+            reported: self.gossip.table.view(key, now),
         }
     }
 
@@ -173,16 +173,16 @@
         backend: &ReportedBackend,
         now: Duration,
     ) -> String {
-        let BackendLoad { own, told, .. } = self.load(key, backend.slots, now);
+        let BackendLoad { own, reported, .. } = self.load(key, backend.slots, now);
         let id = &backend.id;
         format!(
             "\n{{\"id\":\"{id}\",\"service\":\"{service}\",\"own_out\":{},\"own_usual_ms\":{},\
              \"told_out\":{:.1},\"told_by\":{},\"oldest_ms\":{},\"weight_kept\":{:.2}}}",
-            own.out,
-            own.usual_ms,
-            told.out,
-            told.origins,
-            told.oldest.as_millis(),
+            own.in_progress,
+            own.response_ms,
+            reported.in_progress,
+            reported.origins,
+            reported.oldest.as_millis(),
             self.factor(service, id)
         )
     }
--- a/crates/proxy/src/mirroring.rs
+++ b/crates/proxy/src/mirroring.rs
@@ -14,7 +14,7 @@
 use damsonbeam_gateway::messages::ForwardedRequest;
 use damsonbeam_mirror::budget::{Budget, DropReason, MAX_BODY_BYTES};
 use damsonbeam_mirror::selection::{
-    ActiveRules, COPY_TIMEOUT, Caller, caller, instance, is_selected,
+    ActiveRules, COPY_TIMEOUT, CallerHash, caller_hash, is_selected, select_instance,
 };
 use damsonbeam_mirror::sessions::{Answer, Sessions, digest};
 use http_body_util::{BodyExt, Full, Limited};
@@ -63,7 +63,7 @@
 #[derive(Clone, Debug)]
 pub struct SelectedRule {
     rule: Rc<MirrorRule>,
-    caller: Caller,
+    caller: CallerHash,
 }
 
 /// The answers to a real request and to its copy, each set when it arrives.
@@ -141,7 +141,7 @@
     request: Option<Request<Full<Bytes>>>,
     body_bytes: usize,
     rule: RuleVersion,
-    caller: Caller,
+    caller: CallerHash,
     pair: SharedAnswerPair,
     began: Duration,
 }
@@ -181,13 +181,16 @@
     pub fn record_timer_delay(&self, late_by: Duration) {
         if self.has_rules.get() {
             let now = self.clock.now();
-            self.state.borrow_mut().budget.timer_fired(late_by, now);
+            self.state
+                .borrow_mut()
+                .budget
+                .record_timer_delay(late_by, now);
         }
     }
 
     /// Returns the results of mirroring as JSON.
     pub fn to_json(&self) -> String {
-        self.state.borrow().sessions.show()
+        self.state.borrow().sessions.to_json()
     }
 
     /// Returns the rules by which a request to a service is to be mirrored. Only a hash of the API key is kept.
@@ -206,7 +209,7 @@
         let rules = state.active_rules.rules_for(service, now).into_iter();
         let rules = rules.filter(|rule| rule.route_kinds.contains(&kind));
         let selected = rules.filter_map(|rule| {
-            let caller = caller(rule, tenant, api_key);
+            let caller = caller_hash(rule, tenant, api_key);
             let rule = is_selected(rule, caller).then(|| Rc::new(rule.clone()))?;
             Some(SelectedRule { rule, caller })
         });
@@ -229,7 +232,7 @@
             match self.admit(&rule, caller, original, home_regions, is_real) {
                 Ok(copy) => {
                     let sessions = &mut self.state.borrow_mut().sessions;
-                    sessions.copied(version.key(), caller);
+                    sessions.record_copied(version.key(), caller);
                     recorders.push(RealAnswerRecorder {
                         pair: copy.pair.clone(),
                         rule: version,
@@ -240,7 +243,7 @@
                 }
                 Err(reason) => {
                     let sessions = &mut self.state.borrow_mut().sessions;
-                    sessions.dropped(version.key(), caller, reason);
+                    sessions.record_dropped(version.key(), caller, reason);
                 }
             }
         }
@@ -251,16 +254,16 @@
     fn admit(
         &self,
         rule: &MirrorRule,
-        caller: Caller,
+        caller: CallerHash,
         original: &ForwardedRequest,
         home_regions: &HomeRegions,
         is_real: &dyn Fn(SocketAddr) -> bool,
     ) -> Result<RequestCopy, DropReason> {
         let RequestBody::Buffered(body) = &original.body else {
-            return Err(DropReason::Body);
+            return Err(DropReason::BodyUnavailable);
         };
         let is_home = |region: &str| home_regions.as_ref().is_none_or(|r| r.contains(region));
-        let instance = instance(rule, caller, &is_home, is_real);
+        let instance = select_instance(rule, caller, &is_home, is_real);
         let (instance, address) = instance.ok_or(DropReason::NoInstance)?;
         let now = self.clock.now();
         let budget = &mut self.state.borrow_mut().budget;
@@ -288,12 +291,12 @@
         };
         {
             let mut state = self.state.borrow_mut();
-            state.budget.done(copy.body_bytes);
+            state.budget.release(copy.body_bytes);
             if answer.is_none() {
                 let rule = copy.rule.key();
                 state
                     .sessions
-                    .dropped(rule, copy.caller, DropReason::Unanswered);
+                    .record_dropped(rule, copy.caller, DropReason::Unanswered);
             }
         }
         let took = self.clock.now().saturating_sub(copy.began);
@@ -316,7 +319,7 @@
             self.state
                 .borrow_mut()
                 .sessions
-                .answered(rule.key(), real, trial);
+                .record_answered(rule.key(), real, trial);
         }
     }
 
