--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -201,7 +201,7 @@
                 "{}: valid: {} firms over {} s",
                 profile.display(),
                 parsed.firms.len(),
-                parsed.lasting.as_secs_f64()
+                parsed.duration.as_secs_f64()
             );
             Ok(())
         }
@@ -211,8 +211,8 @@
             out,
         } => {
             let parsed = read_profile(&profile)?;
-            let (records, reached) =
-                create_runtime()?.block_on(damsonbeam_load::run::measured(&parsed, &gateways));
+            let (records, generator_stats) =
+                create_runtime()?.block_on(damsonbeam_load::run::run_profile(&parsed, &gateways));
             print!(
                 "{}",
                 damsonbeam_load::report::write(
@@ -222,7 +222,10 @@
                     &records
                 )?
             );
-            print!("{}", damsonbeam_load::report::reached(&reached));
+            print!(
+                "{}",
+                damsonbeam_load::report::generator_summary(&generator_stats)
+            );
             Ok(())
         }
     }
--- a/crates/cli/tests/counter.rs
+++ b/crates/cli/tests/counter.rs
@@ -12,8 +12,12 @@
 fn firms_exceed_quota_by_at_most_5_percent_and_each_invocation_gets_one_response() {
     let lab_dir = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../lab");
     let program = Path::new(env!("CARGO_BIN_EXE_damsonbeam"));
-    let result = experiment::found(&lab_dir.join("counter/ci.toml"), program).unwrap();
-    let invocation_ids: HashSet<_> = result.records.iter().map(|r| r.inv.as_str()).collect();
+    let result = experiment::run_blocking(&lab_dir.join("counter/ci.toml"), program).unwrap();
+    let invocation_ids: HashSet<_> = result
+        .records
+        .iter()
+        .map(|r| r.correlation_id.as_str())
+        .collect();
     assert_eq!(
         invocation_ids.len(),
         result.records.len(),
@@ -24,14 +28,14 @@
     let without_response = result
         .records
         .iter()
-        .filter(|r| !r.answer.is_whole())
+        .filter(|r| !r.result.is_complete())
         .count();
     assert_eq!(
         without_response, 0,
         "invocations without a response\n{}",
         result.summary
     );
-    for (firm, excess) in result.worst.iter().enumerate() {
+    for (firm, excess) in result.worst_minute_excess.iter().enumerate() {
         assert!(
             *excess <= 0.05,
             "firm {firm}: {:.1}% over its quota in its worst minute\n{}",
--- a/crates/cli/tests/sockets/bodies.rs
+++ b/crates/cli/tests/sockets/bodies.rs
@@ -25,7 +25,7 @@
 /// Starts a server that reads a request head from each connection and passes the number of earlier heads, the head and
 /// the stream to `handle`. Returns the address and the number of heads read so far.
 fn start_raw_server(
-    handle: impl Fn(usize, Message, BufReader<TcpStream>) + Send + Sync + 'static,
+    handle: impl Fn(usize, HttpMessage, BufReader<TcpStream>) + Send + Sync + 'static,
 ) -> (SocketAddr, Arc<AtomicUsize>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let (address, handle, heads) = (
@@ -39,7 +39,7 @@
             let (handle, count) = (handle.clone(), count.clone());
             thread::spawn(move || {
                 let mut stream = BufReader::new(socket);
-                if let Some(head) = Message::head(&mut stream) {
+                if let Some(head) = HttpMessage::read_head(&mut stream) {
                     handle(count.fetch_add(1, Ordering::SeqCst), head, stream);
                 }
             });
@@ -95,7 +95,7 @@
                     .write_all(post(n, LARGE_BODY).as_bytes())
                     .unwrap();
                 socket.get_mut().write_all(&sent).unwrap();
-                let response = Message::read(&mut socket).expect("the response is truncated");
+                let response = HttpMessage::read(&mut socket).expect("the response is truncated");
                 assert_eq!(response.status(), 200);
                 assert!(response.body == sent, "the response differs from the body");
             })
@@ -144,7 +144,7 @@
     socket.get_mut().write_all(&body(LARGE_BODY)).ok();
     // The last byte was not written, so the request did not run and the client may retry.
     assert_eq!(
-        Message::read(&mut socket)
+        HttpMessage::read(&mut socket)
             .expect("the client got no response")
             .status(),
         429
@@ -169,7 +169,7 @@
         *body_slot.lock().unwrap() = received;
         stream
             .get_mut()
-            .write_all(answer("200 OK\r\nConnection: close", "took it").as_bytes())
+            .write_all(response_text("200 OK\r\nConnection: close", "took it").as_bytes())
             .unwrap();
     });
     let gateway = start_dedup_gateway(&[("s-1", refusing), ("s-2", address)], 192);
@@ -180,7 +180,7 @@
             .write_all(post(n, LARGE_BODY).as_bytes())
             .unwrap();
         socket.get_mut().write_all(&body(LARGE_BODY)).unwrap();
-        assert_eq!(Message::read(&mut socket).unwrap().body, b"took it");
+        assert_eq!(HttpMessage::read(&mut socket).unwrap().body, b"took it");
         assert!(
             *received_body.lock().unwrap() == body(LARGE_BODY),
             "the backend received another body"
@@ -205,7 +205,7 @@
             .get_mut()
             .write_all(request("/tile", "").as_bytes())
             .unwrap();
-        let response = Message::head(&mut socket).expect("the response has not begun");
+        let response = HttpMessage::read_head(&mut socket).expect("the response has not begun");
         assert_eq!(response.status(), 200);
         let mut rest = Vec::new();
         socket.read_to_end(&mut rest).ok();
@@ -244,7 +244,7 @@
             .get_mut()
             .write_all(request("/tile", "").as_bytes())
             .unwrap();
-        let response = Message::read(&mut socket);
+        let response = HttpMessage::read(&mut socket);
         if reset && length > BUFFERED_BODY {
             assert!(response.is_none(), "a started response must be truncated");
         } else {
@@ -279,7 +279,7 @@
     let mut socket = connect(gateway.address);
     let text = request("/tile", "").replace("Left-Ms: 6000", "Left-Ms: 1000");
     socket.get_mut().write_all(text.as_bytes()).unwrap();
-    let response = Message::read(&mut socket).expect("the response is truncated");
+    let response = HttpMessage::read(&mut socket).expect("the response is truncated");
     assert_eq!((response.status(), response.body.len()), (200, 25 * 0x1000));
 }
 
@@ -290,7 +290,7 @@
         stream.read_exact(&mut received).unwrap();
         stream
             .get_mut()
-            .write_all(answer("200 OK\r\nConnection: close", "took it").as_bytes())
+            .write_all(response_text("200 OK\r\nConnection: close", "took it").as_bytes())
             .unwrap();
     });
     let gateway = start_dedup_gateway(&[("s-1", address)], 192);
@@ -308,7 +308,7 @@
             socket.get_mut().write_all(part).unwrap();
             thread::sleep(Duration::from_millis(250));
         }
-        Message::read(&mut socket)
+        HttpMessage::read(&mut socket)
     });
     let (start, mut stalled) = (Instant::now(), connect(gateway.address));
     stalled
@@ -316,7 +316,7 @@
         .write_all(post(2, LARGE_BODY).as_bytes())
         .unwrap();
     stalled.get_mut().write_all(&body(1 << 20)).unwrap();
-    let response = Message::read(&mut stalled);
+    let response = HttpMessage::read(&mut stalled);
     assert!(response.is_none_or(|a| a.status() != 200));
     assert!(
         start.elapsed() < Duration::from_secs(6),
@@ -352,7 +352,7 @@
         .get_mut()
         .write_all(request("/tile", "").as_bytes())
         .unwrap();
-    Message::head(&mut socket).unwrap();
+    HttpMessage::read_head(&mut socket).unwrap();
     thread::sleep(Duration::from_secs(1));
     let sent_early = parts_written.try_iter().count();
     assert!(
@@ -386,7 +386,9 @@
                     }
                     stream
                         .get_mut()
-                        .write_all(answer("200 OK\r\nConnection: close", "took it").as_bytes())
+                        .write_all(
+                            response_text("200 OK\r\nConnection: close", "took it").as_bytes(),
+                        )
                         .ok();
                 } else {
                     write!(
@@ -422,7 +424,7 @@
                 for _ in 0..if upload { mb * 16 } else { 0 } {
                     socket.get_mut().write_all(&[b'x'; 1 << 16]).ok();
                 }
-                let response = Message::head(&mut socket);
+                let response = HttpMessage::read_head(&mut socket);
                 let copied = std::io::copy(&mut socket, &mut std::io::sink());
                 response.is_some_and(|a| a.status() == 200)
                     && (upload || copied.is_ok_and(|n| n == mb as u64 * (1 << 20)))
--- a/crates/cli/tests/sockets/harness.rs
+++ b/crates/cli/tests/sockets/harness.rs
@@ -10,7 +10,7 @@
 use std::thread;
 use std::time::Duration;
 
-pub use damsonbeam_lab::http::{Message, answer};
+pub use damsonbeam_lab::http::{HttpMessage, response_text};
 use serde_json::{Value, json};
 
 /// Time limit of a read or a wait; no operation of these tests takes that long unless it hangs.
@@ -33,7 +33,7 @@
 pub struct Backend {
     pub address: SocketAddr,
     /// The requests received so far.
-    pub requests: Arc<Mutex<Vec<Message>>>,
+    pub requests: Arc<Mutex<Vec<HttpMessage>>>,
 }
 
 /// Starts a fake backend. `behave` receives the number of earlier requests.
@@ -51,7 +51,7 @@
             thread::spawn(move || {
                 let (mut writer, mut reader) =
                     (socket.try_clone().unwrap(), BufReader::new(socket));
-                while let Some(request) = Message::read(&mut reader) {
+                while let Some(request) = HttpMessage::read(&mut reader) {
                     let n = received
                         .lock()
                         .map(|mut s| (s.len(), s.push(request)).0)
@@ -109,7 +109,7 @@
 
 /// Starts a backend that answers every request with status 200 and `body`.
 pub fn start_fixed_backend(body: &'static str) -> Backend {
-    start_backend(move |_| Behavior::Respond(answer("200 OK", body)))
+    start_backend(move |_| Behavior::Respond(response_text("200 OK", body)))
 }
 
 /// Starts a fake counter. `reply` receives the number of earlier lines and the line, and returns the text to send.
@@ -155,8 +155,8 @@
             thread::spawn(move || {
                 let (mut writer, mut reader) =
                     (socket.try_clone().unwrap(), BufReader::new(socket));
-                while let Some(request) = Message::read(&mut reader) {
-                    let page = match request.first.contains("from=") {
+                while let Some(request) = HttpMessage::read(&mut reader) {
+                    let page = match request.start_line.contains("from=") {
                         true => shared
                             .1
                             .lock()
@@ -168,14 +168,14 @@
                         Ok(Value::Null) | Err(RecvTimeoutError::Disconnected) => return,
                         Ok(Value::String(_)) => drop(reader.fill_buf()),
                         Ok(page) => writer
-                            .write_all(answer("200 OK", &page.to_string()).as_bytes())
+                            .write_all(response_text("200 OK", &page.to_string()).as_bytes())
                             .unwrap_or(()),
                         // No update within 1 s: an empty page with the revision of the full list.
                         Err(RecvTimeoutError::Timeout) => {
                             let revision = shared.0["revision"].as_u64().unwrap();
                             let empty = self::page(revision, false, vec![]).to_string();
                             writer
-                                .write_all(answer("200 OK", &empty).as_bytes())
+                                .write_all(response_text("200 OK", &empty).as_bytes())
                                 .unwrap_or(())
                         }
                     }
@@ -377,10 +377,10 @@
 }
 
 /// Sends a request on a new connection and returns the response, or an empty message where no complete response came.
-pub fn send_request(address: SocketAddr, text: &str) -> Message {
+pub fn send_request(address: SocketAddr, text: &str) -> HttpMessage {
     let mut socket = connect(address);
     socket.get_mut().write_all(text.as_bytes()).ok();
-    Message::read(&mut socket).unwrap_or_default()
+    HttpMessage::read(&mut socket).unwrap_or_default()
 }
 
 /// Adds an address for operator requests to a configuration and returns that address.
@@ -392,7 +392,7 @@
 }
 
 /// Sends an operator request without a body; `method_and_path` is for example `GET /api/ready`.
-pub fn call_operator_api(address: SocketAddr, method_and_path: &str) -> Message {
+pub fn call_operator_api(address: SocketAddr, method_and_path: &str) -> HttpMessage {
     send_request(
         address,
         &format!("{method_and_path} HTTP/1.1\r\nHost: x\r\n\r\n"),
--- a/crates/cli/tests/sockets/main.rs
+++ b/crates/cli/tests/sockets/main.rs
@@ -31,14 +31,14 @@
     let mut socket = connect(gateway.address);
     for n in 0..3 {
         socket.get_mut().write_all(text.as_bytes()).unwrap();
-        let response = Message::read(&mut socket).unwrap();
+        let response = HttpMessage::read(&mut socket).unwrap();
         assert_eq!(
             (response.status(), response.body.as_slice()),
             (200, b"the tile".as_slice())
         );
         let received = backend.requests.lock().unwrap()[n].clone();
         assert_eq!(
-            (received.first.as_str(), received.body.as_slice()),
+            (received.start_line.as_str(), received.body.as_slice()),
             (post, b"body".as_slice())
         );
         assert_eq!(
@@ -161,7 +161,7 @@
 #[test]
 fn id_of_an_open_invocation_is_rejected_with_status_409() {
     let (backend, arrived, release) =
-        start_held_backend(0, |_| Behavior::Respond(answer("200 OK", "mine")));
+        start_held_backend(0, |_| Behavior::Respond(response_text("200 OK", "mine")));
     let gateway = start_default_gateway(&[("s-1", backend.address)], None);
     let mut socket = connect(gateway.address);
     socket
@@ -174,7 +174,7 @@
         409
     );
     drop(release);
-    assert_eq!(Message::read(&mut socket).unwrap().body, b"mine");
+    assert_eq!(HttpMessage::read(&mut socket).unwrap().body, b"mine");
     assert_eq!(
         send_request(gateway.address, &request("/tile", "")).status(),
         200
@@ -196,7 +196,7 @@
             .write_all(request("/tile", "").as_bytes())
             .unwrap();
         let response =
-            Message::read(&mut socket).expect("the gateway did not serve the connection");
+            HttpMessage::read(&mut socket).expect("the gateway did not serve the connection");
         assert_eq!(response.status(), 200);
         assert!(
             n > 100 || response.header("connection").is_none(),
@@ -220,7 +220,7 @@
             .write_all(request("/tile", "").as_bytes())
             .unwrap();
         assert_eq!(
-            Message::read(&mut socket)
+            HttpMessage::read(&mut socket)
                 .expect("the gateway did not serve the connection")
                 .status(),
             200
@@ -241,7 +241,7 @@
             let id = format!("{:016x}", 2 * n + i as u32);
             let text = request("/tile", "").replace("9b1f03aa5c7e2d41", &id);
             newcomers[i].get_mut().write_all(text.as_bytes()).ok();
-            Message::read(&mut newcomers[i]).is_some_and(|a| a.status() == 200)
+            HttpMessage::read(&mut newcomers[i]).is_some_and(|a| a.status() == 200)
         };
         is_served(0) && is_served(1)
     };
@@ -267,7 +267,7 @@
                     .get_mut()
                     .write_all(request("/tile", "").as_bytes())
                     .unwrap();
-                assert_eq!(Message::read(&mut socket).unwrap().status(), 200);
+                assert_eq!(HttpMessage::read(&mut socket).unwrap().status(), 200);
             }
             socket.get_mut().write_all(text.as_bytes()).unwrap();
             sockets.push(socket);
@@ -297,7 +297,7 @@
                 .write_all(request("/tile", "").as_bytes())
                 .unwrap();
             assert_eq!(
-                Message::read(socket)
+                HttpMessage::read(socket)
                     .expect("an active client was displaced")
                     .status(),
                 200
@@ -476,7 +476,7 @@
 fn rejected_or_broken_attempt_is_served_by_another_backend() {
     for rejects in [true, false] {
         let first = start_backend(move |_| match rejects {
-            true => Behavior::Respond(answer("503 Full\r\nX-Unprocessed: 1", "")),
+            true => Behavior::Respond(response_text("503 Full\r\nX-Unprocessed: 1", "")),
             false => Behavior::Disconnect,
         });
         let second = start_fixed_backend("served");
@@ -497,7 +497,7 @@
 
 #[test]
 fn backend_error_is_not_forwarded_to_the_client() {
-    let backend = start_backend(|_| Behavior::Respond(answer("500 Broken", "a secret")));
+    let backend = start_backend(|_| Behavior::Respond(response_text("500 Broken", "a secret")));
     let gateway = start_default_gateway(&[("s-1", backend.address)], None);
     let response = send_request(gateway.address, &request("/tile", ""));
     assert!(
@@ -523,7 +523,7 @@
         let backend = start_backend(move |n| match n {
             0 => Behavior::RespondAndStall(malformed.into()),
             _ => Behavior::Respond(
-                "HTTP/1.1 103 Early\r\n\r\n".to_owned() + &answer("200 OK", "whole"),
+                "HTTP/1.1 103 Early\r\n\r\n".to_owned() + &response_text("200 OK", "whole"),
             ),
         });
         let gateway = start_default_gateway(&[("s-1", backend.address)], None);
@@ -540,7 +540,7 @@
 #[test]
 fn response_larger_than_a_body_buffer_is_forwarded() {
     let large = "x".repeat(400_000);
-    let text = answer("200 OK", &large);
+    let text = response_text("200 OK", &large);
     let backend = start_backend(move |_| Behavior::Respond(text.clone()));
     let (mut config, list_updates) = gateway_config(&[("s-1", backend.address)], None);
     config["limits"]["memory_mb"] = json!(32);
@@ -562,14 +562,17 @@
         .write_all(request("/tile", "").as_bytes())
         .unwrap();
     std::thread::sleep(Duration::from_millis(100));
-    assert_eq!(Message::read(&mut socket).unwrap().body.len(), large.len());
+    assert_eq!(
+        HttpMessage::read(&mut socket).unwrap().body.len(),
+        large.len()
+    );
 }
 
 #[test]
 fn bytes_after_a_response_are_not_used_as_another_response() {
-    let extra = answer("200 OK", "another's");
+    let extra = response_text("200 OK", "another's");
     let backend =
-        start_backend(move |n| Behavior::Respond(answer("200 OK", &n.to_string()) + &extra));
+        start_backend(move |n| Behavior::Respond(response_text("200 OK", &n.to_string()) + &extra));
     let gateway = start_default_gateway(&[("s-1", backend.address)], None);
     for n in 0..20 {
         assert_eq!(
@@ -619,7 +622,7 @@
         accepted.set_read_timeout(Some(short)).unwrap();
         accepted.read_to_end(&mut written).ok();
     }
-    assert_eq!(Message::read(&mut socket).unwrap().body, b"2");
+    assert_eq!(HttpMessage::read(&mut socket).unwrap().body, b"2");
     assert!(written.is_empty());
 }
 
@@ -664,8 +667,8 @@
         start_backend(move |n| {
             std::thread::sleep(Duration::from_millis(if n == 0 { 60 } else { 0 }));
             Behavior::Respond(match serving.load(Ordering::SeqCst) & bit {
-                0 => answer("503 Full\r\nX-Unprocessed: 1", ""),
-                _ => answer("200 OK", body),
+                0 => response_text("503 Full\r\nX-Unprocessed: 1", ""),
+                _ => response_text("200 OK", body),
             })
         })
     };
@@ -812,12 +815,12 @@
         for socket in listener.incoming().map_while(Result::ok) {
             let (mut writer, mut reader) =
                 (socket.try_clone().unwrap(), std::io::BufReader::new(socket));
-            while let Some(call) = Message::read(&mut reader) {
-                call_sender.send(call.first).unwrap_or(());
+            while let Some(call) = HttpMessage::read(&mut reader) {
+                call_sender.send(call.start_line).unwrap_or(());
                 // The service is slow to respond.
                 std::thread::sleep(Duration::from_millis(1500));
                 writer
-                    .write_all(answer("200 OK", &update).as_bytes())
+                    .write_all(response_text("200 OK", &update).as_bytes())
                     .unwrap_or(());
             }
         }
@@ -870,7 +873,7 @@
             arrival.send(()).unwrap();
             std::thread::sleep(Duration::from_millis(300));
         }
-        Behavior::Respond(answer("200 OK", "late"))
+        Behavior::Respond(response_text("200 OK", "late"))
     });
     let mut gateway = start_default_gateway(&[("s-1", backend.address)], None);
     let (mut in_progress, mut idle) = (connect(gateway.address), connect(gateway.address));
@@ -880,7 +883,7 @@
         .unwrap();
     receive(&arrived);
     gateway.signal("-TERM");
-    let response = Message::read(&mut in_progress).unwrap();
+    let response = HttpMessage::read(&mut in_progress).unwrap();
     assert_eq!(
         (response.status(), response.header("connection")),
         (200, Some("close"))
@@ -889,7 +892,7 @@
     idle.get_mut()
         .write_all(request("/tile", "").as_bytes())
         .ok();
-    let response = Message::read(&mut idle);
+    let response = HttpMessage::read(&mut idle);
     assert!(response.is_none_or(|a| a.status() == 200 && a.header("connection") == Some("close")));
     assert!(gateway.child.wait().unwrap().success());
 }
@@ -910,7 +913,7 @@
     ));
     next["counter"] = json!(new);
     let mut customer = 0xb4d6_5522u32;
-    let mut send_until = |done: &dyn Fn(&Message) -> bool| {
+    let mut send_until = |done: &dyn Fn(&HttpMessage) -> bool| {
         for _ in 0..2000 {
             customer += 1;
             let response = send_request(
@@ -1014,8 +1017,8 @@
         .get_mut()
         .write_all(request("/tile", "").as_bytes())
         .unwrap();
-    let response =
-        Message::read(connections.last_mut().unwrap()).expect("the last connection was not served");
+    let response = HttpMessage::read(connections.last_mut().unwrap())
+        .expect("the last connection was not served");
     assert!(matches!(response.status(), 200 | 429), "{response:?}");
     drop(connections);
     assert!((0..100).any(|_| send_request(gateway.address, &request("/tile", "")).status() == 200));
--- a/crates/cli/tests/sockets/operators.rs
+++ b/crates/cli/tests/sockets/operators.rs
@@ -37,8 +37,8 @@
 #[test]
 fn metrics_are_correct_and_stalled_operator_connections_delay_no_other() {
     let backend = start_backend(|n| match n % 2 {
-        0 => Behavior::Respond(answer("200 OK", "here")),
-        _ => Behavior::Respond(answer("500 Oops", "")),
+        0 => Behavior::Respond(response_text("200 OK", "here")),
+        _ => Behavior::Respond(response_text("500 Oops", "")),
     });
     let (mut config, list_updates) = gateway_config(&[("s-1", backend.address)], None);
     config["settings"]["ceilings"]["try-limit"] = json!(1);
@@ -96,7 +96,7 @@
 #[test]
 fn drained_gateway_closes_its_connections_and_serves_after_rejoin() {
     let (backend, arrived, release) =
-        start_held_backend(1, |_| Behavior::Respond(answer("200 OK", "here")));
+        start_held_backend(1, |_| Behavior::Respond(response_text("200 OK", "here")));
     let (mut config, list_updates) = gateway_config(&[("s-1", backend.address)], None);
     let (gateway, admin) = start_with_admin(&mut config, list_updates);
     let (mut idle, mut in_progress, mut partial) = (
@@ -107,7 +107,7 @@
     idle.get_mut()
         .write_all(request("/tile", "").as_bytes())
         .unwrap();
-    assert_eq!(Message::read(&mut idle).unwrap().status(), 200);
+    assert_eq!(HttpMessage::read(&mut idle).unwrap().status(), 200);
     in_progress
         .get_mut()
         .write_all(with_id(&request("/tile", ""), 2).as_bytes())
@@ -132,8 +132,8 @@
     // A request completed after the drain began and a request on a new connection get a response, and both connections
     // close.
     partial.get_mut().write_all(&text.as_bytes()[40..]).unwrap();
-    let response =
-        Message::read(&mut partial).expect("a request partly read when the drain began is lost");
+    let response = HttpMessage::read(&mut partial)
+        .expect("a request partly read when the drain began is lost");
     assert_eq!(
         (response.status(), response.header("connection")),
         (200, Some("close"))
@@ -145,13 +145,13 @@
     );
     let start = Instant::now();
     assert!(
-        Message::read(&mut idle).is_none(),
+        HttpMessage::read(&mut idle).is_none(),
         "an idle connection must be closed"
     );
     assert!(start.elapsed() < Duration::from_secs(3));
     release.send(()).unwrap();
     let response =
-        Message::read(&mut in_progress).expect("a request in progress lost its connection");
+        HttpMessage::read(&mut in_progress).expect("a request in progress lost its connection");
     assert_eq!(
         (response.status(), response.header("connection")),
         (200, Some("close"))
@@ -190,9 +190,9 @@
     // The first attempt ends with an error, so the request may have run. The operation changes during this attempt.
     let (backend, arrived, release) = start_held_backend(0, |n| {
         Behavior::Respond(if n == 0 {
-            answer("500 Oops", "")
+            response_text("500 Oops", "")
         } else {
-            answer("200 OK", "again")
+            response_text("200 OK", "again")
         })
     });
     let (mut config, list_updates) = gateway_config(&[("s-1", backend.address)], None);
@@ -214,7 +214,7 @@
     reload(&gateway, &path, &config, admin, 1);
     release.send(()).unwrap();
     // The invocation was idempotent on arrival and may be retried, although its operation no longer allows retries.
-    let response = Message::read(&mut in_progress).unwrap();
+    let response = HttpMessage::read(&mut in_progress).unwrap();
     assert_eq!(
         (response.status(), response.body.as_slice()),
         (200, b"again".as_slice())
@@ -250,7 +250,7 @@
 #[test]
 fn lower_try_limit_applies_to_invocations_in_progress() {
     let (backend, arrived, release) =
-        start_held_backend(0, |_| Behavior::Respond(answer("500 Oops", "")));
+        start_held_backend(0, |_| Behavior::Respond(response_text("500 Oops", "")));
     let (mut config, list_updates) = gateway_config(&[("s-1", backend.address)], None);
     let admin = set_admin_address(&mut config);
     let (gateway, path) = start_from_file(&config, list_updates);
@@ -263,7 +263,7 @@
     config["settings"]["ceilings"]["try-limit"] = json!(1);
     reload(&gateway, &path, &config, admin, 1);
     release.send(()).unwrap();
-    assert_eq!(Message::read(&mut in_progress).unwrap().status(), 429);
+    assert_eq!(HttpMessage::read(&mut in_progress).unwrap().status(), 429);
     assert_eq!(
         backend.requests.lock().unwrap().len(),
         1,
--- a/crates/cli/tests/sockets/upgrade.rs
+++ b/crates/cli/tests/sockets/upgrade.rs
@@ -125,7 +125,7 @@
     }
 
     /// Sends a request with the correlation id `n` and returns the response.
-    fn send(&self, n: usize) -> Message {
+    fn send(&self, n: usize) -> HttpMessage {
         send_request(
             self.address,
             &request("/tile", "").replace("9b1f03aa5c7e2d41", &format!("{n:016x}")),
@@ -154,7 +154,7 @@
             let text = request("/tile", "")
                 .replace("9b1f03aa5c7e2d41", &format!("{:016x}", client << 32 | n));
             socket.get_mut().write_all(text.as_bytes()).ok();
-            match Message::read(&mut socket) {
+            match HttpMessage::read(&mut socket) {
                 Some(response) => {
                     assert_eq!(response.status(), 200);
                     answered += 1;
@@ -181,7 +181,7 @@
     let backend = start_backend(|n| {
         // One response in 16 takes 700 ms.
         thread::sleep(Duration::from_millis(if n % 16 == 0 { 700 } else { 3 }));
-        Behavior::Respond(answer("200 OK", "here"))
+        Behavior::Respond(response_text("200 OK", "here"))
     });
     let deployment = Deployment::new(&[("s-1", backend.address)]);
     let mut old = deployment.start_process();
--- a/crates/ctl/tests/system/cluster.rs
+++ b/crates/ctl/tests/system/cluster.rs
@@ -12,7 +12,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use damsonbeam_lab::http::{Message, answer};
+use damsonbeam_lab::http::{HttpMessage, response_text};
 
 /// Limit for each condition that a test waits for.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
@@ -34,20 +34,20 @@
 }
 
 /// Sends a request on a new connection; returns an empty message if no complete response arrives.
-pub fn send_request(address: SocketAddr, text: &str) -> Message {
+pub fn send_request(address: SocketAddr, text: &str) -> HttpMessage {
     let Ok(socket) = TcpStream::connect_timeout(&address, Duration::from_secs(1)) else {
-        return Message::default();
+        return HttpMessage::default();
     };
     socket
         .set_read_timeout(Some(Duration::from_secs(5)))
         .expect("set");
     let mut socket = BufReader::new(socket);
     socket.get_mut().write_all(text.as_bytes()).ok();
-    Message::read(&mut socket).unwrap_or_default()
+    HttpMessage::read(&mut socket).unwrap_or_default()
 }
 
 /// Sends a request with a request line of method and path, and a body.
-pub fn call(address: SocketAddr, request_line: &str, body: &str) -> Message {
+pub fn call(address: SocketAddr, request_line: &str, body: &str) -> HttpMessage {
     send_request(
         address,
         &format!(
@@ -58,7 +58,7 @@
 }
 
 /// Starts a server that answers each request with the result of `respond`; returns its address.
-fn serve(respond: impl Fn(Message) -> String + Send + Sync + 'static) -> SocketAddr {
+fn serve(respond: impl Fn(HttpMessage) -> String + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let (address, respond) = (listener.local_addr().expect("bound"), Arc::new(respond));
     thread::spawn(move || {
@@ -67,7 +67,7 @@
             thread::spawn(move || {
                 let (mut out, mut from) =
                     (socket.try_clone().expect("cloned"), BufReader::new(socket));
-                while let Some(request) = Message::read(&mut from) {
+                while let Some(request) = HttpMessage::read(&mut from) {
                     out.write_all(respond(request).as_bytes()).unwrap_or(());
                 }
             });
@@ -82,12 +82,12 @@
     pub service: String,
     pub zone: String,
     pub address: SocketAddr,
-    pub executed: Arc<Mutex<Vec<Message>>>,
+    pub executed: Arc<Mutex<Vec<HttpMessage>>>,
 }
 
 impl Backend {
     pub fn start(id: &str, service: &str, zone: &str) -> Self {
-        let executed = Arc::<Mutex<Vec<Message>>>::default();
+        let executed = Arc::<Mutex<Vec<HttpMessage>>>::default();
         let (executed_requests, own_id) = (executed.clone(), id.to_string());
         let address = serve(move |request| {
             let name = request
@@ -98,13 +98,13 @@
                 .header("x-target-instance")
                 .is_some_and(|i| i != own_id)
             {
-                return answer("421 Other\r\nX-Not-Executed: 1", "");
+                return response_text("421 Other\r\nX-Not-Executed: 1", "");
             }
             executed_requests
                 .lock()
                 .expect("not poisoned")
                 .push(request);
-            answer(
+            response_text(
                 &format!("200 OK\r\nX-Response-Seal: s\r\nX-Request-Id: {name}"),
                 &own_id,
             )
@@ -190,7 +190,7 @@
         let served_instances = instances.clone();
         let cloud_api = serve(move |_| {
             let entries = served_instances.lock().expect("not poisoned").join(",");
-            answer(
+            response_text(
                 "200 OK",
                 &format!("{{\"instances\":[{entries}],\"next_page_token\":null}}"),
             )
@@ -539,13 +539,13 @@
 
     /// Sends an operator's call to the running core machines in turn until one gives a response other than 503; returns
     /// that response.
-    pub fn call_any_core(&mut self, request_line: &str, body: &str) -> Message {
+    pub fn call_any_core(&mut self, request_line: &str, body: &str) -> HttpMessage {
         let core_addresses: Vec<SocketAddr> = self
             .running_core_machines()
             .into_iter()
             .map(|index| self.control_address(index))
             .collect();
-        let (mut answer, mut tries) = (Message::default(), 0);
+        let (mut answer, mut tries) = (HttpMessage::default(), 0);
         self.wait_until(request_line, |_| {
             answer = call(
                 core_addresses[tries % core_addresses.len()],
--- a/crates/ctl/tests/system/main.rs
+++ b/crates/ctl/tests/system/main.rs
@@ -17,7 +17,7 @@
 
 use cluster::*;
 use damsonbeam_ctl::{account, loads, mirror};
-use damsonbeam_lab::http::Message;
+use damsonbeam_lab::http::HttpMessage;
 
 const TIMING_BOUNDS: [&str; 8] = [
     "drain_ms=4000",
@@ -53,7 +53,7 @@
 
 const TENANT_JSON: &str = r#"{"name":"house","api_keys":["k1"],"priority":1,"rate_per_s":0,"burst":0,"serving_regions":[],"config_version":"r1"}"#;
 
-fn get(address: SocketAddr, path: &str, extra: &str) -> Message {
+fn get(address: SocketAddr, path: &str, extra: &str) -> HttpMessage {
     static NEXT_ID: AtomicUsize = AtomicUsize::new(1);
     let id = NEXT_ID.fetch_add(1, Ordering::SeqCst);
     let head = format!(
@@ -114,15 +114,15 @@
         (sent.status(), sent.header("x-response-seal")),
         (200, Some("s"))
     );
-    let executed: Vec<Message> = backends
+    let executed: Vec<HttpMessage> = backends
         .iter()
         .flat_map(|s| s.executed.lock().expect("not poisoned").clone())
         .collect();
     let executed = executed
         .iter()
-        .find(|r| r.first.contains("/x/2"))
+        .find(|r| r.start_line.contains("/x/2"))
         .expect("a backend executed the request");
-    assert_eq!(executed.first, "GET /x/2?q=%20 HTTP/1.1");
+    assert_eq!(executed.start_line, "GET /x/2?q=%20 HTTP/1.1");
     assert_eq!(
         (
             executed.header("x-tenant-name"),
@@ -595,7 +595,7 @@
             .expect("rules")
             .contains("\"copy_list\":[]")
     );
-    let real: Vec<Message> = backends
+    let real: Vec<HttpMessage> = backends
         .iter()
         .flat_map(|s| s.executed.lock().expect("not poisoned").clone())
         .collect();
--- a/crates/ctl/tests/system/operator.rs
+++ b/crates/ctl/tests/system/operator.rs
@@ -5,7 +5,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use damsonbeam_lab::http::Message;
+use damsonbeam_lab::http::HttpMessage;
 
 use crate::cluster::{Cluster, call};
 use crate::{TENANT_JSON, initial_configuration, route};
@@ -24,8 +24,8 @@
     Unclear,
 }
 
-impl From<Message> for Outcome {
-    fn from(response: Message) -> Self {
+impl From<HttpMessage> for Outcome {
+    fn from(response: HttpMessage) -> Self {
         match response.status() {
             200..300 => Outcome::Acknowledged,
             status @ (400..=407 | 409..=428 | 430..500) => Outcome::Rejected(status),
--- a/crates/hollow/src/operator.rs
+++ b/crates/hollow/src/operator.rs
@@ -5,7 +5,7 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-use damsonbeam_lab::http::Message;
+use damsonbeam_lab::http::HttpMessage;
 
 use crate::Error;
 
@@ -104,8 +104,8 @@
 }
 
 /// One call; an answer of status 0 where none came.
-pub fn call(at: SocketAddr, what: &str, body: &str) -> Message {
-    let ask = || -> std::io::Result<Option<Message>> {
+pub fn call(at: SocketAddr, what: &str, body: &str) -> HttpMessage {
+    let ask = || -> std::io::Result<Option<HttpMessage>> {
         let mut socket = TcpStream::connect_timeout(&at, ANSWER_TIMEOUT)?;
         socket.set_read_timeout(Some(ANSWER_TIMEOUT))?;
         let head = format!(
@@ -114,7 +114,7 @@
         );
         socket.write_all(head.as_bytes())?;
         socket.write_all(body.as_bytes())?;
-        Ok(Message::read(&mut BufReader::new(socket)))
+        Ok(HttpMessage::read(&mut BufReader::new(socket)))
     };
     ask().ok().flatten().unwrap_or_default()
 }
--- a/crates/hollow/src/platform.rs
+++ b/crates/hollow/src/platform.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 
-use damsonbeam_lab::http::{Message, answer};
+use damsonbeam_lab::http::{HttpMessage, response_text};
 
 use crate::Error;
 use crate::topology::Topology;
@@ -84,15 +84,18 @@
                         return;
                     };
                     let mut from = BufReader::new(socket);
-                    while let Some(request) = Message::read(&mut from) {
-                        let token = request.first.split_once("page_token=").map(|t| t.1);
+                    while let Some(request) = HttpMessage::read(&mut from) {
+                        let token = request.start_line.split_once("page_token=").map(|t| t.1);
                         let digits = |t: &str| t.split(' ').next().and_then(|t| t.parse().ok());
                         let begin = token.and_then(digits).unwrap_or(0);
                         let body = list.lock().map_or(String::new(), |l| l.page(begin, page));
                         if !body.contains("\"next_page_token\":\"") {
                             counted.fetch_add(1, Ordering::Relaxed);
                         }
-                        if out.write_all(answer("200 OK", &body).as_bytes()).is_err() {
+                        if out
+                            .write_all(response_text("200 OK", &body).as_bytes())
+                            .is_err()
+                        {
                             return;
                         }
                     }
--- a/crates/lab/src/http.rs
+++ b/crates/lab/src/http.rs
@@ -6,16 +6,16 @@
 
 /// An HTTP request or response.
 #[derive(Clone, Debug, Default)]
-pub struct Message {
+pub struct HttpMessage {
     /// Request line or status line.
-    pub first: String,
+    pub start_line: String,
     /// Header names and values, in the order received.
     pub headers: Vec<(String, String)>,
     /// Body, without chunked encoding.
     pub body: Vec<u8>,
 }
 
-impl Message {
+impl HttpMessage {
     /// Returns the value of the first header with this name, ignoring case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers
@@ -26,7 +26,7 @@
 
     /// Returns the status code, or 0 where the first line has none.
     pub fn status(&self) -> u16 {
-        self.first
+        self.start_line
             .split(' ')
             .nth(1)
             .and_then(|s| s.parse().ok())
@@ -35,16 +35,16 @@
 
     /// Reads the first line and the headers of the next message. Returns `None` where the connection ends before the
     /// head is complete or a header line has no colon.
-    pub fn head(reader: &mut BufReader<TcpStream>) -> Option<Message> {
-        let mut message = Message::default();
+    pub fn read_head(reader: &mut BufReader<TcpStream>) -> Option<HttpMessage> {
+        let mut message = HttpMessage::default();
         loop {
             let mut line = String::new();
             if reader.read_line(&mut line).ok()? == 0 {
                 return None;
             }
             let line = line.trim_end();
-            if message.first.is_empty() {
-                message.first = line.into();
+            if message.start_line.is_empty() {
+                message.start_line = line.into();
             } else if line.is_empty() {
                 break;
             } else {
@@ -57,8 +57,8 @@
 
     /// Reads the next message. Returns `None` where the connection ends before the message is complete, or the message
     /// is malformed.
-    pub fn read(reader: &mut BufReader<TcpStream>) -> Option<Message> {
-        let mut message = Message::head(reader)?;
+    pub fn read(reader: &mut BufReader<TcpStream>) -> Option<HttpMessage> {
+        let mut message = HttpMessage::read_head(reader)?;
         let chunked = message.header("transfer-encoding").is_some();
         let mut length = message
             .header("content-length")
@@ -82,8 +82,8 @@
     }
 }
 
-/// Returns a response with the status code, reason phrase and headers of `head`, a `Content-Length` and `body`.
-pub fn answer(head: &str, body: &str) -> String {
+/// Returns the text of a response with the status code, reason phrase and headers of `head`, a `Content-Length` and `body`.
+pub fn response_text(head: &str, body: &str) -> String {
     format!(
         "HTTP/1.1 {head}\r\nContent-Length: {}\r\n\r\n{body}",
         body.len()
--- a/crates/load/src/clients.rs
+++ b/crates/load/src/clients.rs
@@ -23,7 +23,7 @@
 
 /// Final result of a try or an invocation, as the client observes it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Answer {
+pub enum InvocationResult {
     /// A complete answer with status 200.
     Succeeded,
     /// A complete answer with status 429 or 503.
@@ -42,44 +42,44 @@
     NotSent,
 }
 
-impl Answer {
+impl InvocationResult {
     /// All values, in the order of the table columns.
-    pub const ALL: [Answer; 8] = [
-        Answer::Succeeded,
-        Answer::Throttled,
-        Answer::Errored,
-        Answer::BrokenBefore,
-        Answer::BrokenHead,
-        Answer::BrokenBody,
-        Answer::TimedOut,
-        Answer::NotSent,
+    pub const ALL: [InvocationResult; 8] = [
+        InvocationResult::Succeeded,
+        InvocationResult::Throttled,
+        InvocationResult::Errored,
+        InvocationResult::BrokenBefore,
+        InvocationResult::BrokenHead,
+        InvocationResult::BrokenBody,
+        InvocationResult::TimedOut,
+        InvocationResult::NotSent,
     ];
 
     /// Returns the column name in tables.
     pub fn name(self) -> &'static str {
         match self {
-            Answer::Succeeded => "succeeded",
-            Answer::Throttled => "throttled",
-            Answer::Errored => "errored",
-            Answer::BrokenBefore => "broken_before",
-            Answer::BrokenHead => "broken_head",
-            Answer::BrokenBody => "broken_body",
-            Answer::TimedOut => "none",
-            Answer::NotSent => "not_taken",
+            InvocationResult::Succeeded => "succeeded",
+            InvocationResult::Throttled => "throttled",
+            InvocationResult::Errored => "errored",
+            InvocationResult::BrokenBefore => "broken_before",
+            InvocationResult::BrokenHead => "broken_head",
+            InvocationResult::BrokenBody => "broken_body",
+            InvocationResult::TimedOut => "none",
+            InvocationResult::NotSent => "not_taken",
         }
     }
 
     /// Returns whether a complete answer arrived, with any status.
-    pub fn is_whole(self) -> bool {
+    pub fn is_complete(self) -> bool {
         matches!(
             self,
-            Answer::Succeeded | Answer::Throttled | Answer::Errored
+            InvocationResult::Succeeded | InvocationResult::Throttled | InvocationResult::Errored
         )
     }
 
     /// Returns whether the gateway may have received the invocation and no complete answer arrived.
     pub fn is_lost(self) -> bool {
-        !self.is_whole() && self != Answer::NotSent
+        !self.is_complete() && self != InvocationResult::NotSent
     }
 }
 
@@ -145,7 +145,7 @@
 /// The result of one try.
 pub struct TryResult {
     /// The answer, or how it failed.
-    pub answer: Answer,
+    pub result: InvocationResult,
     /// Delay in the `Retry-After` header of the answer.
     pub retry_after: Option<Duration>,
 }
@@ -221,12 +221,12 @@
         gateway: SocketAddr,
         request: impl Fn() -> Request<Empty<Bytes>>,
     ) -> TryResult {
-        let without_delay = |answer| TryResult {
-            answer,
+        let without_delay = |result| TryResult {
+            result,
             retry_after: None,
         };
         let Ok(_permit) = self.connection_permits.acquire().await else {
-            return without_delay(Answer::NotSent);
+            return without_delay(InvocationResult::NotSent);
         };
         let pooled = self.options.connections != Some(0);
         let mut idle_connection = self.take_idle(gateway).filter(|_| pooled);
@@ -238,7 +238,7 @@
                     self.opened_connections.fetch_add(1, Ordering::Relaxed);
                     match Connection::open(gateway).await {
                         Some(connection) => connection,
-                        None => return without_delay(Answer::NotSent),
+                        None => return without_delay(InvocationResult::NotSent),
                     }
                 }
             };
@@ -246,10 +246,10 @@
             let response = match connection.sender.send_request(request()).await {
                 Ok(response) => response,
                 Err(_) if connection.bytes_read.load(Ordering::Relaxed) > bytes_before => {
-                    return without_delay(Answer::BrokenHead);
+                    return without_delay(InvocationResult::BrokenHead);
                 }
                 Err(_) if reused => continue,
-                Err(_) => return without_delay(Answer::BrokenBefore),
+                Err(_) => return without_delay(InvocationResult::BrokenBefore),
             };
             let (head, body) = response.into_parts();
             let retry_after = head
@@ -257,12 +257,12 @@
                 .get("retry-after")
                 .and_then(|v| v.to_str().ok()?.parse().ok());
             if body.collect().await.is_err() {
-                return without_delay(Answer::BrokenBody);
+                return without_delay(InvocationResult::BrokenBody);
             }
-            let answer = match head.status.as_u16() {
-                200 => Answer::Succeeded,
-                429 | 503 => Answer::Throttled,
-                _ => Answer::Errored,
+            let result = match head.status.as_u16() {
+                200 => InvocationResult::Succeeded,
+                429 | 503 => InvocationResult::Throttled,
+                _ => InvocationResult::Errored,
             };
             let closes = head
                 .headers
@@ -278,7 +278,7 @@
             }
             let retry_after = retry_after.and_then(|s| Duration::try_from_secs_f64(s).ok());
             return TryResult {
-                answer,
+                result,
                 retry_after,
             };
         }
--- a/crates/load/src/experiment.rs
+++ b/crates/load/src/experiment.rs
@@ -137,13 +137,13 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Costs {
     /// Number of connections opened to backends.
-    pub handshakes: usize,
+    pub opened_connections: usize,
     /// Maximum number of backend connections open at the same time.
     pub max_open_connections: usize,
     /// Number of calls of the counter.
     pub counter_calls: usize,
     /// Number of requests to discovery.
-    pub discovery_calls: usize,
+    pub discovery_requests: usize,
     /// Number of requests with a correlation id that reached backends, retries included.
     pub deliveries: usize,
     /// Total CPU time of the serving processes of all gateways at the end of the run.
@@ -155,14 +155,14 @@
     /// Load on the shared services.
     pub costs: Costs,
     /// Statistics of the load generator.
-    pub reached: run::GeneratorStats,
+    pub generator_stats: run::GeneratorStats,
     /// Contents of `summary.md`.
     pub summary: String,
     /// All invocations, ordered by due time.
     pub records: Vec<run::Record>,
     /// Excess over the quota in the worst minute, by customer (see [`report::worst_minute_excess`]).
-    pub worst: Vec<f64>,
-    /// Number of lost invocations (see [`run::Answer::is_lost`]).
+    pub worst_minute_excess: Vec<f64>,
+    /// Number of lost invocations (see [`run::InvocationResult::is_lost`]).
     pub unanswered: usize,
 }
 
@@ -180,17 +180,17 @@
 ///
 /// # Errors
 /// As [`run()`], or where the runtime cannot be created.
-pub fn found(path: &Path, program: &Path) -> Result<ExperimentResult, String> {
+pub fn run_blocking(path: &Path, program: &Path) -> Result<ExperimentResult, String> {
     let name = path.file_stem().unwrap_or_default().to_string_lossy();
     let out = std::env::temp_dir().join(format!("damsonbeam-{name}-{}", std::process::id()));
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
         .build();
-    let found = runtime
+    let result = runtime
         .map_err(|e| format!("runtime: {e}"))?
         .block_on(run(path, program, &out));
     std::fs::remove_dir_all(&out).ok();
-    found
+    result
 }
 
 /// Runs a loaded experiment, which the caller may have modified.
@@ -229,8 +229,8 @@
         gateways.push(Gateway::start(index, lab.counter.front_addresses[index], &options).await?);
     }
     let addresses: Vec<_> = gateways.iter().map(|g| g.address).collect();
-    let ((records, reached), script_result) = tokio::join!(
-        run::measured(&profile, &addresses),
+    let ((records, generator_stats), script_result) = tokio::join!(
+        run::run_profile(&profile, &addresses),
         lab.run_script(&steps, &mut gateways)
     );
     script_result.map_err(|reason| {
@@ -241,12 +241,12 @@
     })?;
     let received = lab.fleet.received();
     let counter_calls = lab.counter.calls().len();
-    let (handshakes, max_open_connections) = lab.fleet.connections.counts();
+    let (opened_connections, max_open_connections) = lab.fleet.connections.counts();
     let costs = Costs {
-        handshakes,
+        opened_connections,
         max_open_connections,
         counter_calls,
-        discovery_calls: lab.discovery.request_count(),
+        discovery_requests: lab.discovery.request_count(),
         deliveries: received
             .iter()
             .filter(|r| !r.correlation_id.is_empty())
@@ -257,11 +257,11 @@
     let mut summary = report::write(out, &experiment.title, &profile, &records)?;
     let named_steps: Vec<_> = steps.iter().map(|s| (s.at, s.name.clone())).collect();
     report::write_times(out, &experiment.title, &profile, &records, &named_steps)?;
-    summary.push_str(&report::reached(&reached));
-    let worst: Vec<f64> = (0..profile.firms.len())
+    summary.push_str(&report::generator_summary(&generator_stats));
+    let worst_minute_excess: Vec<f64> = (0..profile.firms.len())
         .map(|firm| report::worst_minute_excess(&profile, &records, firm))
         .collect();
-    let unanswered = records.iter().filter(|r| r.answer.is_lost()).count();
+    let unanswered = records.iter().filter(|r| r.result.is_lost()).count();
     summary.push_str(&format!(
         "\nGateways {}, backends {}, counter stores {}, witness {}; {} requests received by backends, {} calls received by the counter; {} fault steps.\n",
         experiment.gateways, experiment.backends, experiment.stores, if experiment.witness { "on" } else { "off" }, received.len(), counter_calls, steps.len()
@@ -270,10 +270,10 @@
         .map_err(|e| format!("{}: {e}", out.display()))?;
     Ok(ExperimentResult {
         costs,
-        reached,
+        generator_stats,
         summary,
         records,
-        worst,
+        worst_minute_excess,
         unanswered,
     })
 }
--- a/crates/load/src/profile.rs
+++ b/crates/load/src/profile.rs
@@ -78,7 +78,7 @@
     /// Start, from the start of the run.
     pub at: Duration,
     /// Length of the period.
-    pub lasting: Duration,
+    pub duration: Duration,
     /// Factor on the rates.
     pub factor: f64,
 }
@@ -89,7 +89,7 @@
     /// Start, from the start of the run.
     pub at: Duration,
     /// Length of the period.
-    pub lasting: Duration,
+    pub duration: Duration,
     /// Factor at the start.
     pub from: f64,
     /// Factor at the end.
@@ -127,7 +127,7 @@
     /// Seed of all random numbers.
     pub seed: u64,
     /// Duration of the run.
-    pub lasting: Duration,
+    pub duration: Duration,
     /// Client timeout of an invocation, counted from its due time and across retries.
     pub patience: Duration,
     /// Quota plans.
@@ -141,7 +141,7 @@
 impl Profile {
     /// Returns the invocations per second of a customer at time `at` from the start of the run.
     pub fn rate(&self, firm: &Firm, at: Duration) -> f64 {
-        let is_active = |s: &&Surge| s.plan == firm.plan && at >= s.at && at < s.at + s.lasting;
+        let is_active = |s: &&Surge| s.plan == firm.plan && at >= s.at && at < s.at + s.duration;
         let surge_factor = self
             .surges
             .iter()
@@ -151,9 +151,9 @@
         let ramp_factors = self
             .ramps
             .iter()
-            .filter(|r| at >= r.at && at < r.at + r.lasting)
+            .filter(|r| at >= r.at && at < r.at + r.duration)
             .map(|r| {
-                let progress = (at - r.at).as_secs_f64() / r.lasting.as_secs_f64().max(1e-9);
+                let progress = (at - r.at).as_secs_f64() / r.duration.as_secs_f64().max(1e-9);
                 r.from + (r.to - r.from) * progress
             });
         firm.rate * surge_factor * ramp_factors.product::<f64>()
@@ -270,7 +270,7 @@
         let line = line_of(text, span.start);
         move |reason: String| format!("{file}:{line}: {reason}")
     };
-    let lasting = duration("lasting", &raw.lasting).map_err(locate(0..0))?;
+    let run_duration = duration("lasting", &raw.lasting).map_err(locate(0..0))?;
     let patience =
         duration("patience", raw.patience.as_deref().unwrap_or("7.5s")).map_err(locate(0..0))?;
     let mut plans: Vec<Plan> = Vec::new();
@@ -315,11 +315,11 @@
     let mut surges = Vec::new();
     for s in &raw.surge {
         let (with_location, entry) = (locate(s.span()), s.get_ref());
-        let (start, lasting) = (
+        let (start, surge_duration) = (
             duration("at", &entry.at).map_err(&with_location)?,
             duration("lasting", &entry.lasting).map_err(&with_location)?,
         );
-        if start + lasting > parse_run_duration(&raw.lasting) {
+        if start + surge_duration > parse_run_duration(&raw.lasting) {
             return Err(with_location(format!(
                 "at: the surge ends after the run's {}",
                 raw.lasting
@@ -328,7 +328,7 @@
         surges.push(Surge {
             plan: plan_index(&entry.plan).map_err(&with_location)?,
             at: start,
-            lasting,
+            duration: surge_duration,
             factor: non_negative("factor", entry.factor).map_err(&with_location)?,
         });
     }
@@ -338,7 +338,7 @@
         let to = non_negative("to", entry.to).map_err(&with_location)?;
         ramps.push(Ramp {
             at: duration("at", &entry.at).map_err(&with_location)?,
-            lasting: duration("lasting", &entry.lasting).map_err(&with_location)?,
+            duration: duration("lasting", &entry.lasting).map_err(&with_location)?,
             from: entry
                 .from
                 .map_or(Ok(to), |f| non_negative("from", f))
@@ -357,7 +357,7 @@
         ramps,
         client_options,
         seed: raw.seed,
-        lasting,
+        duration: run_duration,
         patience,
         plans,
         firms,
--- a/crates/load/src/report.rs
+++ b/crates/load/src/report.rs
@@ -10,7 +10,7 @@
 use plotters::prelude::*;
 
 use crate::profile::Profile;
-use crate::run::{Answer, GeneratorStats, Record};
+use crate::run::{GeneratorStats, InvocationResult, Record};
 
 /// Returns by how much a customer exceeded its quota in the worst minute, as a fraction of the quota of a minute. The
 /// excess is the maximum over all 60 s windows of `(succeeded units - (60 * rate + burst)) / (60 * rate)`, or 0 where
@@ -18,13 +18,13 @@
 /// is the whole run.
 pub fn worst_minute_excess(profile: &Profile, records: &[Record], firm: usize) -> f64 {
     let plan = &profile.plans[profile.firms[firm].plan];
-    let seconds = profile.lasting.as_secs() as usize + 1;
+    let seconds = profile.duration.as_secs() as usize + 1;
     let mut units_by_second = vec![0.0; seconds];
     for r in records
         .iter()
-        .filter(|r| r.firm == firm && r.answer == Answer::Succeeded)
+        .filter(|r| r.firm == firm && r.result == InvocationResult::Succeeded)
     {
-        units_by_second[(r.sent.as_secs() as usize).min(seconds - 1)] += f64::from(r.units);
+        units_by_second[(r.due_at.as_secs() as usize).min(seconds - 1)] += f64::from(r.units);
     }
     let window = 60.min(seconds);
     let allowed = plan.rate * window as f64 + plan.burst;
@@ -36,23 +36,23 @@
 }
 
 /// Returns the number of invocations by answer.
-pub fn count_answers(records: &[Record]) -> BTreeMap<&'static str, usize> {
+pub fn count_results(records: &[Record]) -> BTreeMap<&'static str, usize> {
     let mut counts = BTreeMap::new();
     records
         .iter()
-        .for_each(|r| *counts.entry(r.answer.name()).or_insert(0) += 1);
+        .for_each(|r| *counts.entry(r.result.name()).or_insert(0) += 1);
     counts
 }
 
 /// Returns a summary of the load generator, with a warning where the generator was the bottleneck.
-pub fn reached(stats: &GeneratorStats) -> String {
+pub fn generator_summary(stats: &GeneratorStats) -> String {
     let warning = stats
         .warning()
         .map(|w| format!("\n{w}\n"))
         .unwrap_or_default();
     format!(
         "\nLoad generator: {:.0} first tries per second due, {:.0} begun in time (99% within {:?}, all within {:?}), {} connections opened.\n{warning}",
-        stats.due_per_s, stats.begun_per_s, stats.lag_p99, stats.lag_max, stats.connections
+        stats.due_per_s, stats.begun_per_s, stats.lag_p99, stats.lag_max, stats.opened_connections
     )
 }
 
@@ -73,15 +73,18 @@
     let with_path = |e: &dyn std::fmt::Display| format!("{}: {e}", folder.display());
     std::fs::create_dir_all(folder).map_err(|e| with_path(&e))?;
     // One row per second and customer, with the number of each answer to invocations due in that second.
-    let mut rows: AnswerCounts = BTreeMap::new();
+    let mut rows: ResultCounts = BTreeMap::new();
     for r in records {
-        let i = Answer::ALL.iter().position(|a| *a == r.answer).unwrap_or(2);
-        rows.entry((r.sent.as_secs(), r.firm)).or_default()[i] += 1;
+        let i = InvocationResult::ALL
+            .iter()
+            .position(|a| *a == r.result)
+            .unwrap_or(2);
+        rows.entry((r.due_at.as_secs(), r.firm)).or_default()[i] += 1;
     }
     let mut csv = csv::Writer::from_path(folder.join("table.csv")).map_err(|e| with_path(&e))?;
     let names = ["second", "firm"]
         .into_iter()
-        .chain(Answer::ALL.map(Answer::name));
+        .chain(InvocationResult::ALL.map(InvocationResult::name));
     csv.write_record(names).map_err(|e| with_path(&e))?;
     for ((second, firm), c) in &rows {
         let mut row = vec![second.to_string(), profile.firms[*firm].id.to_string()];
@@ -95,18 +98,18 @@
         Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).map_err(|e| with_path(&e))?;
     records
         .iter()
-        .filter(|r| r.answer.is_whole())
+        .filter(|r| r.result.is_complete())
         .for_each(|r| {
             latency.saturating_record(r.latency.as_micros().max(1) as u64);
         });
     let mut summary = String::new();
-    let counts = count_answers(records);
+    let counts = count_results(records);
     writeln!(summary, "# {title}\n").ok();
     writeln!(
         summary,
         "{} invocations over {}, seed {}.\n",
         records.len(),
-        humantime::format_duration(profile.lasting),
+        humantime::format_duration(profile.duration),
         profile.seed
     )
     .ok();
@@ -132,7 +135,7 @@
         let firm_records = records.iter().filter(|r| r.firm == firm_index);
         let units: u32 = firm_records
             .clone()
-            .filter(|r| r.answer == Answer::Succeeded)
+            .filter(|r| r.result == InvocationResult::Succeeded)
             .map(|r| r.units)
             .sum();
         let excess = worst_minute_excess(profile, records, firm_index);
@@ -163,18 +166,18 @@
     steps: &[(Duration, String)],
 ) -> Result<(), String> {
     let with_path = |e: &dyn std::fmt::Display| format!("{}: {e}", folder.display());
-    let seconds = profile.lasting.as_secs() as usize + 1;
+    let seconds = profile.duration.as_secs() as usize + 1;
     let mut rows = Vec::new();
     for second in 0..seconds {
         let sent = records
             .iter()
-            .filter(|r| r.sent.as_secs() as usize == second);
+            .filter(|r| r.due_at.as_secs() as usize == second);
         let mut times =
             Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).map_err(|e| with_path(&e))?;
         let (mut answered, mut incomplete) = (0usize, 0usize);
         for r in sent {
-            match r.answer {
-                a if !a.is_whole() => incomplete += 1,
+            match r.result {
+                a if !a.is_complete() => incomplete += 1,
                 _ => {
                     answered += 1;
                     times.saturating_record(r.latency.as_micros().max(1) as u64);
@@ -258,18 +261,18 @@
     Ok(())
 }
 
-/// Number of invocations by second and customer, for each value of [`Answer::ALL`].
-type AnswerCounts = BTreeMap<(u64, usize), [usize; Answer::ALL.len()]>;
+/// Number of invocations by second and customer, for each value of [`InvocationResult::ALL`].
+type ResultCounts = BTreeMap<(u64, usize), [usize; InvocationResult::ALL.len()]>;
 
 fn draw_answer_chart(
     path: &Path,
     title: &str,
     profile: &Profile,
-    rows: &AnswerCounts,
+    rows: &ResultCounts,
 ) -> Result<(), Box<dyn std::error::Error>> {
     let root = SVGBackend::new(path, (900, 480)).into_drawing_area();
     root.fill(&WHITE)?;
-    let seconds = profile.lasting.as_secs();
+    let seconds = profile.duration.as_secs();
     let y_max = rows.values().map(|c| c[0].max(c[1])).max().unwrap_or(1) as f64 * 1.1;
     let mut chart = ChartBuilder::on(&root)
         .caption(title, ("sans-serif", 18))
--- a/crates/load/src/run.rs
+++ b/crates/load/src/run.rs
@@ -21,15 +21,15 @@
 use rand_distr::{Distribution, Exp};
 use tokio::time::Instant;
 
-pub use crate::clients::Answer;
 use crate::clients::Client;
+pub use crate::clients::InvocationResult;
 use crate::profile::{Firm, Profile};
 
 /// The record of one invocation.
 #[derive(Clone, Debug)]
 pub struct Record {
     /// Correlation id, unique in the run.
-    pub inv: String,
+    pub correlation_id: String,
     /// Index of the customer.
     pub firm: usize,
     /// Index of the gateway that the last try used.
@@ -37,11 +37,11 @@
     /// Units of the invocation.
     pub units: u32,
     /// Due time, from the start of the run.
-    pub sent: Duration,
+    pub due_at: Duration,
     /// Time from the due time to the final result.
     pub latency: Duration,
     /// Final result.
-    pub answer: Answer,
+    pub result: InvocationResult,
     /// Number of tries.
     pub tries: u32,
 }
@@ -58,7 +58,7 @@
     /// Maximum of this delay.
     pub lag_max: Duration,
     /// Number of connections that all clients opened.
-    pub connections: u64,
+    pub opened_connections: u64,
 }
 
 /// Maximum delay of a first try that counts as begun in time. A longer delay is caused by the load generator and not by
@@ -92,7 +92,10 @@
 ///
 /// # Panics
 /// Panics only where the constant bounds of the histograms are invalid.
-pub async fn measured(profile: &Profile, gateways: &[SocketAddr]) -> (Vec<Record>, GeneratorStats) {
+pub async fn run_profile(
+    profile: &Profile,
+    gateways: &[SocketAddr],
+) -> (Vec<Record>, GeneratorStats) {
     let firm_count = profile.firms.len();
     let new_histogram =
         || Mutex::new(Histogram::new_with_max(60_000_000, 3).expect("valid histogram bounds"));
@@ -127,20 +130,20 @@
         lags.add(&*lag.lock().unwrap_or_else(|e| e.into_inner()))
             .ok();
     }
-    all.sort_by_key(|r| r.sent);
-    let seconds = profile.lasting.as_secs_f64().max(1e-9);
+    all.sort_by_key(|r| r.due_at);
+    let seconds = profile.duration.as_secs_f64().max(1e-9);
     let in_time = lags.count_between(0, MAX_START_LAG.as_micros() as u64);
-    let reached = GeneratorStats {
+    let generator_stats = GeneratorStats {
         due_per_s: lags.len() as f64 / seconds,
         begun_per_s: in_time as f64 / seconds,
         lag_p99: Duration::from_micros(lags.value_at_quantile(0.99)),
         lag_max: Duration::from_micros(lags.max()),
-        connections: all_clients
+        opened_connections: all_clients
             .iter()
             .map(|c| c.opened_connections.load(Ordering::Relaxed))
             .sum(),
     };
-    (all, reached)
+    (all, generator_stats)
 }
 
 /// Returns a random number generator seeded from the profile; each `stream` yields a different sequence.
@@ -163,13 +166,13 @@
         let rate = profile.rate(firm, at);
         let Some(interarrival) = (rate > 0.0).then(|| Exp::new(rate).ok()).flatten() else {
             at += Duration::from_millis(100); // The rate is 0; check again in 100 ms.
-            if at >= profile.lasting {
+            if at >= profile.duration {
                 break;
             }
             continue;
         };
         at += Duration::from_secs_f64(interarrival.sample(&mut rng));
-        if at >= profile.lasting {
+        if at >= profile.duration {
             break;
         }
         tokio::time::sleep_until(state.start + at).await;
@@ -208,7 +211,7 @@
             loop {
                 tokio::time::sleep(think.mul_f64(2.0 * rng.random::<f64>())).await;
                 let at = state.start.elapsed();
-                if at >= state.profile.lasting {
+                if at >= state.profile.duration {
                     return;
                 }
                 let number = 1 + count.fetch_add(1, Ordering::Relaxed);
@@ -238,10 +241,10 @@
         .lock()
         .unwrap_or_else(|e| e.into_inner())
         .saturating_record(lag.max(1));
-    let inv = format!("{:08x}{:08x}", firm_index as u32 + 1, count as u32);
+    let correlation_id = format!("{:08x}{:08x}", firm_index as u32 + 1, count as u32);
     let deadline = due + profile.patience;
     let mut tries = 0;
-    let (mut gateway, mut answer);
+    let (mut gateway, mut result);
     client.add_retry_credit();
     loop {
         gateway =
@@ -254,19 +257,19 @@
         let build_request = || {
             sent.store(true, Ordering::Relaxed);
             let left = deadline.saturating_duration_since(Instant::now());
-            request(state, firm, address, &inv, left, is_retry)
+            request(state, firm, address, &correlation_id, left, is_retry)
         };
         let Ok(try_result) =
             tokio::time::timeout_at(deadline, client.send(address, build_request)).await
         else {
-            answer = if sent.load(Ordering::Relaxed) {
-                Answer::TimedOut
+            result = if sent.load(Ordering::Relaxed) {
+                InvocationResult::TimedOut
             } else {
-                Answer::NotSent
+                InvocationResult::NotSent
             };
             break;
         };
-        answer = try_result.answer;
+        result = try_result.result;
         // Exponential backoff with full jitter, but not less than `Retry-After` where the client follows it.
         let wait = profile
             .client_options
@@ -278,20 +281,21 @@
                 .filter(|_| profile.client_options.follows)
                 .unwrap_or_default(),
         );
-        let is_final = answer == Answer::Succeeded || tries > profile.client_options.retries;
+        let is_final =
+            result == InvocationResult::Succeeded || tries > profile.client_options.retries;
         if is_final || Instant::now() + wait >= deadline || !client.take_retry_credit() {
             break;
         }
         tokio::time::sleep(wait).await;
     }
     let record = Record {
-        inv,
+        correlation_id,
         firm: firm_index,
         gateway,
         units: firm.units,
-        sent: at,
+        due_at: at,
         latency: due.elapsed(),
-        answer,
+        result,
         tries,
     };
     state.records[firm_index]
@@ -305,14 +309,14 @@
     state: &RunState,
     firm: &Firm,
     address: SocketAddr,
-    inv: &str,
+    correlation_id: &str,
     left: Duration,
     is_retry: bool,
 ) -> Request<Empty<Bytes>> {
     let gateway_count = state.gateways.len();
     let mut request = Request::get(format!("/{}", firm.operation))
         .header("host", address.to_string())
-        .header("x-correlation-id", inv)
+        .header("x-correlation-id", correlation_id)
         .header("x-tariff", &state.profile.plans[firm.plan].name)
         .header("x-subscriber", format!("{:016x}", firm.id))
         .header("x-time-left-ms", left.as_millis().to_string())
--- a/crates/load/src/scale.rs
+++ b/crates/load/src/scale.rs
@@ -10,7 +10,7 @@
 use hdrhistogram::Histogram;
 
 use crate::experiment::{self, ExperimentResult};
-use crate::run::Answer;
+use crate::run::InvocationResult;
 
 /// The parameter that changes from run to run.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -26,13 +26,13 @@
 
 const COST_COLUMNS: [Column; 8] = [
     ("unanswered", |r| {
-        r.answer_share(|a| !a.is_whole()) * r.invocations as f64
+        r.result_share(|a| !a.is_complete()) * r.invocations as f64
     }),
     ("connections", |r| {
         r.result.costs.max_open_connections as f64
     }),
-    ("handshakes", |r| r.result.costs.handshakes as f64),
-    ("list_calls", |r| r.result.costs.discovery_calls as f64),
+    ("handshakes", |r| r.result.costs.opened_connections as f64),
+    ("list_calls", |r| r.result.costs.discovery_requests as f64),
     ("counter_calls_per_invocation", |r| {
         r.per_invocation(r.result.costs.counter_calls as f64)
     }),
@@ -46,17 +46,17 @@
 ];
 
 const OVERLOAD_COLUMNS: [Column; 12] = [
-    ("begun_per_s", |r| r.result.reached.begun_per_s),
+    ("begun_per_s", |r| r.result.generator_stats.begun_per_s),
     ("goodput_per_s", |r| r.goodput),
     ("throttled_share", |r| {
-        r.answer_share(|a| a == Answer::Throttled)
+        r.result_share(|a| a == InvocationResult::Throttled)
     }),
     ("errored_share", |r| {
-        r.answer_share(|a| a == Answer::Errored)
+        r.result_share(|a| a == InvocationResult::Errored)
     }),
-    ("lost_share", |r| r.answer_share(Answer::is_lost)),
+    ("lost_share", |r| r.result_share(InvocationResult::is_lost)),
     ("not_taken_share", |r| {
-        r.answer_share(|a| a == Answer::NotSent)
+        r.result_share(|a| a == InvocationResult::NotSent)
     }),
     ("p50_ms", |r| r.latency_ms(0.5)),
     ("p99_ms", |r| r.latency_ms(0.99)),
@@ -65,10 +65,10 @@
         r.result.costs.cpu.as_secs_f64() * 1e6 / r.tries
     }),
     ("connections_opened", |r| {
-        r.result.reached.connections as f64
+        r.result.generator_stats.opened_connections as f64
     }),
     ("tool_lag_p99_ms", |r| {
-        r.result.reached.lag_p99.as_secs_f64() * 1e3
+        r.result.generator_stats.lag_p99.as_secs_f64() * 1e3
     }),
 ];
 
@@ -92,14 +92,14 @@
 }
 
 impl RunRow {
-    /// Computes the results of a run of the length `lasting`.
+    /// Computes the results of a run of the length `duration`.
     ///
     /// # Panics
     /// Panics only where the constant bounds of the histogram are invalid.
     pub fn new(
         build: &str,
         axis_value: f64,
-        lasting: Duration,
+        duration: Duration,
         result: ExperimentResult,
     ) -> RunRow {
         let mut latencies = Histogram::new_with_max(60_000_000, 3).expect("valid histogram bounds");
@@ -107,7 +107,7 @@
             result
                 .records
                 .iter()
-                .filter(|r| r.answer == Answer::Succeeded)
+                .filter(|r| r.result == InvocationResult::Succeeded)
         };
         succeeded().for_each(|r| latencies.saturating_record(r.latency.as_micros().max(1) as u64));
         let good = succeeded()
@@ -123,7 +123,7 @@
                 .map(|r| f64::from(r.tries))
                 .sum::<f64>()
                 .max(1.0),
-            goodput: good / lasting.as_secs_f64().max(1e-9),
+            goodput: good / duration.as_secs_f64().max(1e-9),
             latencies,
             result,
         }
@@ -134,13 +134,13 @@
         total / self.invocations.max(1) as f64
     }
 
-    /// Returns the fraction of invocations whose answer satisfies `matches`.
-    fn answer_share(&self, matches: impl Fn(Answer) -> bool) -> f64 {
+    /// Returns the fraction of invocations whose result satisfies `matches`.
+    fn result_share(&self, matches: impl Fn(InvocationResult) -> bool) -> f64 {
         self.per_invocation(
             self.result
                 .records
                 .iter()
-                .filter(|r| matches(r.answer))
+                .filter(|r| matches(r.result))
                 .count() as f64,
         )
     }
@@ -184,7 +184,7 @@
                 }
                 Axis::Load => loaded.1.firms.iter_mut().for_each(|f| f.rate *= axis_value),
             }
-            let lasting = loaded.1.lasting;
+            let duration = loaded.1.duration;
             let result = experiment::run_loaded(
                 path,
                 loaded,
@@ -192,7 +192,7 @@
                 &out.join(format!("{name}-{axis_value}")),
             )
             .await?;
-            rows.push(RunRow::new(name, axis_value, lasting, result));
+            rows.push(RunRow::new(name, axis_value, duration, result));
         }
     }
     write(out, &experiment::load(path)?.0.title, axis, &rows)
@@ -251,7 +251,7 @@
     rows.iter()
         .for_each(|r| writeln!(summary, "| {} |", cells(r).join(" | ")).unwrap_or(()));
     for r in rows {
-        r.result.reached.warning().iter().for_each(|w| {
+        r.result.generator_stats.warning().iter().for_each(|w| {
             writeln!(summary, "\n{} at {}: {w}", r.build, r.axis_value).unwrap_or(())
         });
     }
@@ -296,53 +296,53 @@
     use crate::experiment::Costs;
     use crate::run::{GeneratorStats, Record};
 
-    fn result_with(answers: &[(Answer, u64)]) -> ExperimentResult {
-        let record = |&(answer, ms): &(Answer, u64)| Record {
-            inv: "1".into(),
+    fn result_with(results: &[(InvocationResult, u64)]) -> ExperimentResult {
+        let record = |&(result, ms): &(InvocationResult, u64)| Record {
+            correlation_id: "1".into(),
             firm: 0,
             gateway: 0,
             units: 1,
-            sent: Duration::ZERO,
+            due_at: Duration::ZERO,
             latency: Duration::from_millis(ms),
-            answer,
+            result,
             tries: 1,
         };
         let costs = Costs {
             counter_calls: 6,
             deliveries: 3,
             cpu: Duration::from_micros(900),
-            handshakes: 5,
+            opened_connections: 5,
             max_open_connections: 4,
-            discovery_calls: 2,
+            discovery_requests: 2,
         };
-        let reached = GeneratorStats {
+        let generator_stats = GeneratorStats {
             due_per_s: 10.0,
             begun_per_s: 5.0,
             ..GeneratorStats::default()
         };
-        let records = answers.iter().map(record).collect();
+        let records = results.iter().map(record).collect();
         ExperimentResult {
             costs,
-            reached,
+            generator_stats,
             records,
             summary: String::new(),
-            worst: vec![],
+            worst_minute_excess: vec![],
             unanswered: 0,
         }
     }
 
     #[test]
     fn tables_count_incomplete_answers_and_summary_warns_of_generator_bottleneck() {
-        let answers = [
-            (Answer::Succeeded, 20),
-            (Answer::Succeeded, 1500),
-            (Answer::BrokenBody, 20),
+        let results = [
+            (InvocationResult::Succeeded, 20),
+            (InvocationResult::Succeeded, 1500),
+            (InvocationResult::BrokenBody, 20),
         ];
         let rows = [RunRow::new(
             "a",
             2.0,
             Duration::from_secs(1),
-            result_with(&answers),
+            result_with(&results),
         )];
         let out = std::env::temp_dir().join(format!("damsonbeam-scale-{}", std::process::id()));
         let summary = write(&out, "t", Axis::Gateways, &rows).unwrap();
