--- a/crates/cli/tests/sockets/main.rs
+++ b/crates/cli/tests/sockets/main.rs
@@ -734,7 +734,7 @@
         let page = serde_json::from_value(page(1, complete, members)).unwrap();
         (
             names.to_update(page, form).entries[0].backend_id,
-            names.len(),
+            names.name_count(),
         )
     };
     let (first, _) = apply_page(
--- a/crates/gateway/src/attempts.rs
+++ b/crates/gateway/src/attempts.rs
@@ -1,9 +1,9 @@
 //! Rules for sending a request to a backend again, enforced by types.
 //!
-//! Sending an attempt to a backend requires a [`SendPermit`]. Only [`Attempts::start_attempt`] creates one: for the first
-//! attempt of a request, for a request that may be executed more than once ([`Repeatable`]), or if each earlier attempt
-//! has ended with a [`NotExecuted`]. None of the three types has a public constructor and permits cannot be copied, so
-//! code that sends an attempt without permission does not compile.
+//! Sending an attempt to a backend requires a [`SendPermit`]. Only [`Attempts::start_attempt`] creates one: for the
+//! first attempt of a request, for a request that may be executed more than once ([`Repeatable`]), or if each earlier
+//! attempt has ended with a [`NotExecuted`]. None of the three types has a public constructor and permits cannot be
+//! copied, so code that sends an attempt without permission does not compile.
 //!
 //! ```compile_fail
 //! use damsonbeam_gateway::attempts::SendPermit;
--- a/crates/gateway/src/backend_list/name_table.rs
+++ b/crates/gateway/src/backend_list/name_table.rs
@@ -31,7 +31,7 @@
     }
 
     /// Returns the number of known backend names.
-    pub fn len(&self) -> usize {
+    pub fn name_count(&self) -> usize {
         self.ids.len()
     }
 
--- a/crates/gateway/src/backends/connection_pools.rs
+++ b/crates/gateway/src/backends/connection_pools.rs
@@ -43,8 +43,8 @@
 impl ConnectionPools {
     /// Creates empty pools.
     ///
-    /// `platform_idle_timeout` is the time after which backends close idle connections, `max_connections` the maximum number
-    /// of open connections, and `body_bytes` the memory limit for responses of unknown length.
+    /// `platform_idle_timeout` is the time after which backends close idle connections, `max_connections` the maximum
+    /// number of open connections, and `body_bytes` the memory limit for responses of unknown length.
     pub fn new(
         connect_timeout: Duration,
         platform_idle_timeout: Duration,
--- a/crates/gateway/src/backends/mod.rs
+++ b/crates/gateway/src/backends/mod.rs
@@ -55,7 +55,7 @@
         };
         tokio::task::spawn_local(backend.run());
         BackendHandle {
-            address: address,
+            address,
             mailbox: sender,
             closed,
         }
--- a/crates/gateway/src/bodies.rs
+++ b/crates/gateway/src/bodies.rs
@@ -1,8 +1,8 @@
 //! Buffered and streamed bodies.
 //!
-//! A body of up to [`MAX_BUFFERED_BODY`] bytes is buffered, so that another attempt can send it again and a truncated response never
-//! reaches a client. A larger body is streamed from one socket to the other. Reading waits for writing, so the memory in
-//! use at a time is one chunk and the buffer of a socket.
+//! A body of up to [`MAX_BUFFERED_BODY`] bytes is buffered, so that another attempt can send it again and a truncated
+//! response never reaches a client. A larger body is streamed from one socket to the other. Reading waits for writing,
+//! so the memory in use at a time is one chunk and the buffer of a socket.
 
 use std::cell::{Cell, RefCell};
 use std::pin::Pin;
@@ -31,8 +31,8 @@
 
 /// Reads the beginning of a body. Returns it with whether the body is complete.
 ///
-/// Reading ends with the body, with more than [`MAX_BUFFERED_BODY`] bytes, or once `within` has passed and at least one byte has been
-/// received.
+/// Reading ends with the body, with more than [`MAX_BUFFERED_BODY`] bytes, or once `within` has passed and at least one
+/// byte has been received.
 ///
 /// # Errors
 /// Fails if the body is broken off.
@@ -83,8 +83,8 @@
 }
 
 impl StreamedBody {
-    /// Creates a body from its beginning and the stream of the rest; `on_complete` is called once the last byte has been
-    /// received.
+    /// Creates a body from its beginning and the stream of the rest; `on_complete` is called once the last byte has
+    /// been received.
     pub fn new(
         beginning: Bytes,
         rest: Incoming,
--- a/crates/gateway/src/config/mod.rs
+++ b/crates/gateway/src/config/mod.rs
@@ -1,7 +1,7 @@
 //! Reads and checks the configuration and sets its defaults; no other module does.
 //!
-//! `settings_file_check` checks the settings, `reload` checks a new configuration against the one in force, and `unknown_keys`
-//! finds keys that nothing reads.
+//! `settings_file_check` checks the settings, `reload` checks a new configuration against the one in force, and
+//! `unknown_keys` finds keys that nothing reads.
 
 mod reload;
 mod settings_file_check;
@@ -156,8 +156,8 @@
 }
 
 impl Capacity {
-    /// Derives the capacities from `limits`. Clients get three fifths of the usable sockets. Clients, backends and bodies
-    /// each get a quarter of the memory, counting every connection at its maximum size.
+    /// Derives the capacities from `limits`. Clients get three fifths of the usable sockets. Clients, backends and
+    /// bodies each get a quarter of the memory, counting every connection at its maximum size.
     fn of(limits: &Limits) -> Result<Self, ConfigError> {
         let sockets = limits.sockets.unwrap_or(DEFAULT_SOCKETS);
         if sockets < MIN_SOCKETS {
--- a/crates/gateway/src/server/start.rs
+++ b/crates/gateway/src/server/start.rs
@@ -127,7 +127,7 @@
         let address = config.addresses.counter?;
         let (sender, mailbox) = mpsc::channel(MAILBOX_CAPACITY);
         let client = CounterClient {
-            address: address,
+            address,
             timeout: counter_settings.timeout,
             connect_timeout: config.settings.limits.connect_timeout,
             clock: self.clock,
--- a/crates/lab/src/http.rs
+++ b/crates/lab/src/http.rs
@@ -82,7 +82,8 @@
     }
 }
 
-/// Returns the text of a response with the status code, reason phrase and headers of `head`, a `Content-Length` and `body`.
+/// Returns the text of a response with the status code, reason phrase and headers of `head`, a `Content-Length` and
+/// `body`.
 pub fn response_text(head: &str, body: &str) -> String {
     format!(
         "HTTP/1.1 {head}\r\nContent-Length: {}\r\n\r\n{body}",
--- a/crates/mirror/src/selection.rs
+++ b/crates/mirror/src/selection.rs
@@ -30,9 +30,9 @@
     (caller as f64) < rule.share * 2f64.powi(64)
 }
 
-/// The rules in force. A new version replaces the old one at its start by the coordinator time (the coordinator's clock), so
-/// that all proxies that know the version switch together. A proxy that learns of it late marks mirrored requests with
-/// the version that it still uses.
+/// The rules in force. A new version replaces the old one at its start by the coordinator time (the coordinator's
+/// clock), so that all proxies that know the version switch together. A proxy that learns of it late marks mirrored
+/// requests with the version that it still uses.
 #[derive(Debug, Default)]
 pub struct ActiveRules {
     /// By name, the version in force and the next one.
--- a/crates/proxy/src/control_client/mod.rs
+++ b/crates/proxy/src/control_client/mod.rs
@@ -82,7 +82,7 @@
     },
 }
 
-/// Keeps a connection to each known registry and reports this proxy's status at each [`STATUS_INTERVAL`]; never
+/// Keeps a connection to each known registry and reports this proxy's status at each `STATUS_INTERVAL`; never
 /// returns.
 pub async fn run(
     settings: Rc<Settings>,
--- a/crates/proxy/src/load_reports.rs
+++ b/crates/proxy/src/load_reports.rs
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Updates the weight factors once per [`UPDATE_INTERVAL`]; returns whether any has changed.
+    /// Updates the weight factors once per `UPDATE_INTERVAL`; returns whether any has changed.
     pub fn update_factors(&mut self, now: Duration) -> bool {
         if now < self.last_update + UPDATE_INTERVAL {
             return false;
--- a/crates/proxy/src/unserved.rs
+++ b/crates/proxy/src/unserved.rs
@@ -168,7 +168,7 @@
         self.events.is_empty()
     }
 
-    /// Returns a log line at most once per [`LOG_INTERVAL`], if any event was recorded since the last one.
+    /// Returns a log line at most once per `LOG_INTERVAL`, if any event was recorded since the last one.
     pub fn log_line(&mut self, now: Duration) -> Option<String> {
         if now < self.last_line + LOG_INTERVAL {
             return None;
--- a/crates/registry/src/coordinator_time.rs
+++ b/crates/registry/src/coordinator_time.rs
@@ -1,5 +1,5 @@
-//! The coordinator time of the system, which numbers the slots of the shared counts: the clock of the coordinator, adopted
-//! by all other processes.
+//! The coordinator time of the system, which numbers the slots of the shared counts: the clock of the coordinator,
+//! adopted by all other processes.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -35,8 +35,8 @@
         Some((own_ms + self.offset_ms?).max(0) as u64)
     }
 
-    /// Processes the coordinator time reported by another process. A time from the coordinator is always adopted, any other
-    /// one only if the coordinator time is not known yet.
+    /// Processes the coordinator time reported by another process. A time from the coordinator is always adopted, any
+    /// other one only if the coordinator time is not known yet.
     pub(crate) fn observe(&mut self, time_ms: Option<u64>, is_from_coordinator: bool) {
         let adopts = self.offset_ms.is_none() || is_from_coordinator;
         if let Some(time_ms) = time_ms.filter(|_| adopts) {
