--- a/crates/adapter/src/translate.rs
+++ b/crates/adapter/src/translate.rs
@@ -1,4 +1,4 @@
-//! The simulator's words translated to the module's, and back.
+//! Translates the simulator's events to those of the module, and the module's actions to those of the simulator.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -6,18 +6,18 @@
 
 use damsonbeam::interface::{
     Action, AttemptNumber, BackendEntry, BackendId, CustomerId, Event, GatewayId, Health,
-    Invocation, InvocationId, ListForm, OperationId, Outcome, PlanId,
+    Invocation, InvocationId, ListUpdate, OperationId, Outcome, PlanId,
 };
 
 use crate::wire::{Disposition, Form, Row, WireAction, WireEvent};
 
-/// Stands for all gateways where one could be named.
+/// Target of a `signal` action that goes to all gateways.
 const ALL_GATEWAYS: i64 = -1;
 
-/// The lists of backends that the wire numbers.
+/// Backend lists by the page number under which the simulator registered them.
 pub(crate) type Lists = BTreeMap<u32, Arc<[BackendEntry]>>;
 
-/// Why an event can't be translated.
+/// The reason why an event can't be translated.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum TranslateError {
     #[error("roster-change lacks `page`")]
@@ -25,10 +25,10 @@
     #[error("roster-change names unknown page {0}")]
     UnknownPage(u32),
     #[error("peer-data's `raw`: {0}")]
-    NoHex(#[from] hex::FromHexError),
+    InvalidHex(#[from] hex::FromHexError),
 }
 
-/// An event, and the gateway that it happened to.
+/// An event with the id of the gateway that receives it.
 pub(crate) struct GatewayEvent {
     pub(crate) gateway_id: u32,
     pub(crate) event: Event,
@@ -38,19 +38,19 @@
     u64::try_from(time.as_nanos()).unwrap_or(u64::MAX)
 }
 
-/// A backend in a list.
+/// Translates one row of a backend list.
 pub(crate) fn entry(row: &Row) -> BackendEntry {
     BackendEntry {
         backend_id: BackendId(row.backend),
         health: match row.health.as_str() {
             "U" => Health::Up,
             "L" => Health::Draining,
-            "D" => Health::Gone,
-            // An unlisted state is no promise that it takes work.
+            "D" => Health::Removed,
+            // A backend in an unknown state may not accept requests, so it counts as draining.
             _ => Health::Draining,
         },
-        since: Duration::from_nanos(row.online_since_ns),
-        kind: row.family_type,
+        started_at: Duration::from_nanos(row.online_since_ns),
+        machine_type: row.family_type,
         zone: row.failure_domain,
         cell: row.unit_group,
         weight: row.capacity_hint,
@@ -66,25 +66,25 @@
         Disposition::ResetByPeer => Outcome::Reset,
         Disposition::Canceled => Outcome::Canceled,
         Disposition::Ignored => Outcome::Ignored,
-        // An outcome of a kind not yet known may have run.
+        // An attempt with an unknown outcome may have been executed, so it counts as failed.
         Disposition::Failed | Disposition::Unknown => Outcome::Failed,
     }
 }
 
-/// A list of backends; `None` for a form that this build does not know.
+/// Translates a change of the backend list; returns `None` for an unknown form.
 fn backend_list(
     form: Form,
     page: Option<u32>,
     lists: &Lists,
 ) -> Result<Option<Event>, TranslateError> {
     let form = match form {
-        Form::Update => ListForm::Update,
-        Form::Replace => ListForm::Replace,
-        Form::Restored => ListForm::Restored,
-        Form::Unavailable => ListForm::Unavailable,
+        Form::Update => ListUpdate::Update,
+        Form::Replace => ListUpdate::Replace,
+        Form::Restored => ListUpdate::Restored,
+        Form::Unavailable => ListUpdate::Unavailable,
         Form::Unknown => return Ok(None),
     };
-    let entries = if form == ListForm::Unavailable {
+    let entries = if form == ListUpdate::Unavailable {
         Arc::from([])
     } else {
         let page = page.ok_or(TranslateError::MissingPage)?;
@@ -94,10 +94,10 @@
     Ok(Some(Event::BackendList { form, entries }))
 }
 
-/// The gateway concerned and what happened to it; `None` for what this build does not know.
+/// Translates an event; returns `None` for an unknown event and for events that the adapter handles itself.
 #[expect(
     clippy::too_many_lines,
-    reason = "an arm for each event, which only renames fields"
+    reason = "one arm per event that only renames fields"
 )]
 pub(crate) fn event(
     event: WireEvent,
@@ -133,9 +133,9 @@
                 customer: CustomerId(account.into()),
                 units,
                 first_gateway: GatewayId(first_door),
-                spread: width,
-                write: mutates,
-                repeat,
+                gateway_count: width,
+                is_mutating: mutates,
+                is_retry: repeat,
                 body_pending: false,
             };
             (gateway_id, Event::Invocation(invocation))
@@ -167,7 +167,7 @@
             cost,
             server_stats,
         } => {
-            // 0 stands for none; the percentage is one less.
+            // `seen_use` is the percentage plus 1; 0 means that no value was reported.
             let used_percent = seen_use.checked_sub(1);
             let event = Event::AttemptEnded {
                 invocation_id: InvocationId(msg_id),
@@ -175,19 +175,19 @@
                 backend_id: BackendId(backend),
                 outcome: outcome(disposition),
                 latency: Duration::from_nanos(wait_time_ns),
-                closed: done_flag,
-                used: used_percent.map(|percent| percent as f64 / 100.0),
-                true_units: (cost > 0.0).then_some(cost),
+                is_finished: done_flag,
+                metered_use: used_percent.map(|percent| percent as f64 / 100.0),
+                actual_units: (cost > 0.0).then_some(cost),
                 report: server_stats,
             };
             (gateway_id, event)
         }
         WireEvent::Left { gateway_id, msg_id } => {
             let invocation_id = InvocationId(msg_id);
-            (gateway_id, Event::ClientGone { invocation_id })
+            (gateway_id, Event::ClientDisconnected { invocation_id })
         }
         WireEvent::DeadlineHit { gateway_id, cookie } => {
-            (gateway_id, Event::Timer { token: cookie })
+            (gateway_id, Event::TimerFired { token: cookie })
         }
         WireEvent::Checked {
             gateway_id,
@@ -196,7 +196,7 @@
             disposition,
             server_stats,
         } => {
-            let event = Event::Probed {
+            let event = Event::ProbeEnded {
                 backend_id: BackendId(backend),
                 outcome: outcome(disposition),
                 latency: Duration::from_nanos(wait_time_ns),
@@ -226,7 +226,7 @@
                 name: tally_id,
                 outcome: outcome(disposition),
                 total: sum,
-                others: 0.0,
+                peer_units: 0.0,
                 latency: Duration::from_nanos(wait_time_ns),
             };
             (gateway_id, event)
@@ -239,10 +239,10 @@
     Ok(Some(GatewayEvent { gateway_id, event }))
 }
 
-/// What a gateway is to do.
+/// Translates an action of the given gateway.
 #[expect(
     clippy::too_many_lines,
-    reason = "an arm for each action, which only renames fields"
+    reason = "one arm per action that only renames fields"
 )]
 pub(crate) fn action(gateway_id: u32, action: Action) -> WireAction {
     match action {
@@ -282,7 +282,11 @@
             wait_ns: to_ns(after),
             cookie: token,
         },
-        Action::AddToCounter { name, add, keep } => WireAction::Count {
+        Action::AddToCounter {
+            name,
+            units: add,
+            retention: keep,
+        } => WireAction::Count {
             gateway_id,
             tally_id: name,
             step: add,
@@ -292,7 +296,7 @@
             gateway_id,
             backend: backend_id.0,
         },
-        Action::CloseIdle { backend_id } => WireAction::LetGo {
+        Action::CloseIdleConnections { backend_id } => WireAction::LetGo {
             gateway_id,
             backend: backend_id.0,
         },
@@ -303,7 +307,7 @@
         },
         Action::WatchBackendList { on } => WireAction::Observe { gateway_id, on },
         Action::FetchBackendList => WireAction::Resolve { gateway_id },
-        // The wire has no word for a hand-over, and so no event that asks for one.
+        // The simulator has no hand-over action and no event that starts a hand-over.
         Action::HandOver(_) => WireAction::Remark {
             gateway_id,
             what: "hand-over".into(),
--- a/crates/control/tests/wire_format.rs
+++ b/crates/control/tests/wire_format.rs
@@ -1,5 +1,6 @@
-//! The bytes of stored and sent types. They were recorded by the version of 2 December 2026 before its types were renamed: a
-//! process of that version and one of this must understand each other, and read each other's records.
+//! Compares the encoding of stored and sent types with recorded bytes. The bytes were recorded with the version of 2
+//! December 2026, before its types were renamed: processes of that version and of this one must understand each other's
+//! messages and read each other's stored data.
 
 use damsonbeam_control::address::Endpoint;
 use damsonbeam_control::config::{ConfigChange, Item, ItemKey, ItemKind, ProposalNumber, ShardId};
@@ -20,19 +21,19 @@
             name: name.into(),
         },
         version,
-        proposal_number: number(version + 2),
+        proposal_number: proposal_number(version + 2),
         body,
     }
 }
 
-fn number(round: u64) -> ProposalNumber {
+fn proposal_number(round: u64) -> ProposalNumber {
     ProposalNumber {
         round,
         proposer: 0x0a00_0007,
     }
 }
 
-/// An item of each kind.
+/// Returns an item of each kind.
 fn items() -> Vec<Item> {
     let kinds = [
         ItemKind::Route,
@@ -49,7 +50,7 @@
         .collect()
 }
 
-fn backends() -> BackendList {
+fn backend_list() -> BackendList {
     let backend = Backend {
         id: "i-1".into(),
         service: "tiles".into(),
@@ -58,7 +59,7 @@
             port: 8080,
         },
         zone: "manila-a".into(),
-        slots: 6,
+        capacity_slots: 6,
         draining: true,
         warm_up_left_ms: 1500,
     };
@@ -73,17 +74,17 @@
 
 fn heartbeat() -> Heartbeat {
     Heartbeat {
-        time_ms: 1_796_199_592_497,
+        coordinator_time_ms: 1_796_199_592_497,
         registries: vec![[10, 1, 0, 1], [10, 1, 0, 2]],
         in_contact: true,
         coordinator: Some(LeaseHolder {
             ip: [10, 1, 0, 2],
             term: 9,
         }),
-        known_proxies: 69,
-        attached_proxies: 67,
-        nearby_proxies: 23,
-        position: 4,
+        known_proxy_count: 69,
+        connected_proxy_count: 67,
+        region_proxy_count: 23,
+        region_position: 4,
         config_digest: 0xfeed_beef,
         backend_list: BackendListVersion {
             term: 9,
@@ -92,7 +93,7 @@
     }
 }
 
-fn status() -> ProxyStatus {
+fn proxy_status() -> ProxyStatus {
     ProxyStatus {
         node: "edge-manila-a-1".into(),
         incarnation: 0x1234_5678_9abc_def0,
@@ -106,7 +107,7 @@
     }
 }
 
-fn counts() -> Vec<NamedCount> {
+fn named_counts() -> Vec<NamedCount> {
     vec![NamedCount {
         name: "12/house".into(),
         admitted: 3.5,
@@ -114,7 +115,7 @@
     }]
 }
 
-fn messages_of_proxies_and_registries() -> Vec<Message> {
+fn proxy_registry_messages() -> Vec<Message> {
     let position = Position {
         shard: ShardId::in_group(3, 5),
         after: Some(items()[0].key.clone()),
@@ -129,10 +130,10 @@
     }];
     vec![
         Message::Status {
-            status: status(),
-            time_ms: Some(99),
+            status: proxy_status(),
+            coordinator_time_ms: Some(99),
         },
-        Message::CountReport(counts()),
+        Message::CountReport(named_counts()),
         Message::Transfer(TransferMessage::Compare {
             round: 1,
             group_digests: vec![7, 8],
@@ -151,10 +152,10 @@
             round: 1,
             chunk: 2,
             items: items(),
-            stopped: Some(position),
+            resume_at: Some(position),
         }),
-        Message::PullBackends,
-        Message::Ack { number: 3 },
+        Message::RequestBackends,
+        Message::UpdateAck { number: 3 },
         Message::Heartbeat(heartbeat()),
         Message::ConfigUpdate {
             number: 4,
@@ -162,30 +163,30 @@
         },
         Message::BackendUpdate {
             number: 5,
-            list: backends(),
+            list: backend_list(),
             page: 0,
             pages: 1,
         },
         Message::CountTotals {
             term: 9,
-            totals: counts(),
+            totals: named_counts(),
         },
-        Message::PullPartners,
-        Message::Partners {
-            near: vec![[10, 0, 0, 1]],
-            far: vec![[10, 0, 0, 2]],
+        Message::RequestPeers,
+        Message::Peers {
+            same_region: vec![[10, 0, 0, 1]],
+            other_regions: vec![[10, 0, 0, 2]],
         },
         Message::ConfigChanged,
     ]
 }
 
-fn messages_about_allotments() -> Vec<Message> {
+fn allotment_messages() -> Vec<Message> {
     let allotments = vec![Allotment {
         tenant: "house".into(),
         parts: 0x4_0000,
     }];
     vec![
-        Message::AllotmentsHeld {
+        Message::AllotmentReport {
             term: 9,
             allotments: allotments.clone(),
         },
@@ -194,7 +195,7 @@
             revision: 3,
             allotments: allotments.clone(),
         },
-        Message::AllotmentsSet {
+        Message::AllotmentsAck {
             term: 9,
             revision: 3,
         },
@@ -202,17 +203,17 @@
             term: 9,
             departed_proxies: 2,
             absent: allotments,
-            absent_of_unlisted: 0x10_0000,
+            absent_parts_per_unlisted_tenant: 0x10_0000,
         },
-        Message::Departed,
+        Message::ProxyShutdown,
     ]
 }
 
-fn messages_of_registry_and_store() -> Vec<Message> {
+fn registry_store_messages() -> Vec<Message> {
     let change = Command::Change(ConfigChange { items: items() });
     let invalid = CommandReply::Invalid("r-1: path_prefix: must start and end with a slash".into());
     vec![
-        Message::Roster {
+        Message::CoreMachines {
             ips: vec![[10, 1, 0, 1]],
         },
         Message::Voters {
@@ -264,14 +265,14 @@
             items: items(),
             complete: true,
         },
-        Message::StoreBackends(backends()),
+        Message::LastKnownBackends(backend_list()),
     ]
 }
 
-fn messages_among_stores() -> Vec<Message> {
+fn store_messages() -> Vec<Message> {
     let voters = item(ItemKind::Voters, "voters", 3);
     let accepted = |answer| Message::Accepted {
-        proposal_number: number(5),
+        proposal_number: proposal_number(5),
         step: 2,
         disk_id: 77,
         answer,
@@ -282,7 +283,7 @@
             number: 2,
             command: Command::Read,
         },
-        Message::Forwarded {
+        Message::ForwardReply {
             incarnation: 1,
             number: 2,
             reply: None,
@@ -292,7 +293,7 @@
             number: 2,
         },
         Message::Prepare {
-            proposal_number: number(5),
+            proposal_number: proposal_number(5),
             voters: voters.clone(),
             digest: StateDigest {
                 accepted: 1,
@@ -300,8 +301,8 @@
             },
         },
         Message::Promise {
-            proposal_number: number(5),
-            promised: number(6),
+            proposal_number: proposal_number(5),
+            promised: proposal_number(6),
             disk_id: 77,
             items: Some(ReplicaItems {
                 accepted: items(),
@@ -309,7 +310,7 @@
             }),
         },
         Message::Accept {
-            proposal_number: number(5),
+            proposal_number: proposal_number(5),
             step: 2,
             voters: voters.clone(),
             items: items(),
@@ -317,10 +318,10 @@
             required_digest: Some(8),
         },
         accepted(AcceptAnswer::Accepted),
-        accepted(AcceptAnswer::Promised(number(9))),
-        accepted(AcceptAnswer::Behind),
+        accepted(AcceptAnswer::RejectedByPromise(proposal_number(9))),
+        accepted(AcceptAnswer::MissingItems),
         Message::NewerVoters {
-            proposal_number: number(5),
+            proposal_number: proposal_number(5),
             voters,
         },
         Message::Commit { items: items() },
@@ -329,12 +330,12 @@
                 accepted: vec![1, 2],
                 committed: vec![3],
             },
-            learner: Some(77),
+            learner_disk_id: Some(77),
         },
         Message::RepairItems {
             items: items(),
             committed: items(),
-            promised: number(5),
+            promised: proposal_number(5),
         },
     ]
 }
@@ -349,7 +350,7 @@
     let bodies = [
         GossipBody::Ping { number: 1 },
         GossipBody::Pong { number: 1 },
-        GossipBody::PingRequest {
+        GossipBody::IndirectPing {
             number: 2,
             target: [10, 1, 0, 9],
         },
@@ -363,7 +364,10 @@
             term: 9,
             sent_us: 1234,
         }),
-        GossipBody::Lease(LeaseMessage::Refuse { epoch: 2, term: 10 }),
+        GossipBody::Lease(LeaseMessage::Refuse {
+            highest_epoch: 2,
+            highest_term: 10,
+        }),
         GossipBody::Lease(LeaseMessage::Transfer {
             epoch: 2,
             term: 9,
@@ -373,7 +377,7 @@
     let datagram = |body| Datagram {
         from: [10, 1, 0, 1],
         epoch: 2,
-        time_ms: Some(42),
+        coordinator_time_ms: Some(42),
         body,
         updates: updates.to_vec(),
     };
@@ -384,8 +388,8 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// The lines that begin with a word, without it.
-fn recorded(section: &str) -> Vec<&'static str> {
+/// Returns the recorded lines of a section, without the section's name.
+fn recorded_lines(section: &str) -> Vec<&'static str> {
     RECORDED
         .lines()
         .filter_map(|line| line.strip_prefix(section)?.strip_prefix(' '))
@@ -393,44 +397,44 @@
 }
 
 fn assert_messages(section: &str, messages: &[Message]) {
-    let recorded = recorded(section);
+    let recorded = recorded_lines(section);
     assert_eq!(recorded.len(), messages.len(), "{section}");
-    for (message, recorded) in messages.iter().zip(recorded) {
+    for (message, expected) in messages.iter().zip(recorded) {
         let bytes = encode(message);
-        assert_eq!(hex(&bytes), recorded, "{message:?}");
+        assert_eq!(hex(&bytes), expected, "{message:?}");
         assert_eq!(decode::<Message>(&bytes).ok().as_ref(), Some(message));
     }
 }
 
 #[test]
-fn messages_have_the_bytes_of_the_version_before() {
-    assert_messages("proxy-registry", &messages_of_proxies_and_registries());
-    assert_messages("registry-store", &messages_of_registry_and_store());
-    assert_messages("store-store", &messages_among_stores());
+fn messages_encode_to_the_recorded_bytes() {
+    assert_messages("proxy-registry", &proxy_registry_messages());
+    assert_messages("registry-store", &registry_store_messages());
+    assert_messages("store-store", &store_messages());
 }
 
-/// Recorded when they were appended.
+/// The bytes were recorded when these messages were appended to `Message`.
 #[test]
-fn messages_about_allotments_have_the_bytes_of_their_first_version() {
-    assert_messages("allotment", &messages_about_allotments());
+fn allotment_messages_encode_to_the_recorded_bytes() {
+    assert_messages("allotment", &allotment_messages());
 }
 
 #[test]
-fn datagrams_have_the_bytes_of_the_version_before() {
-    let recorded = recorded("datagram");
+fn datagrams_encode_to_the_recorded_bytes() {
+    let recorded = recorded_lines("datagram");
     assert_eq!(recorded.len(), datagrams().len());
-    for (datagram, recorded) in datagrams().iter().zip(recorded) {
+    for (datagram, expected) in datagrams().iter().zip(recorded) {
         let bytes = encode(datagram);
-        assert_eq!(hex(&bytes), recorded, "{datagram:?}");
+        assert_eq!(hex(&bytes), expected, "{datagram:?}");
         assert_eq!(decode::<Datagram>(&bytes).ok().as_ref(), Some(datagram));
     }
 }
 
 #[test]
-fn stored_items_have_the_bytes_of_the_version_before() {
-    let recorded = recorded("item");
+fn stored_items_encode_to_the_recorded_bytes() {
+    let recorded = recorded_lines("item");
     assert_eq!(recorded.len(), items().len());
-    for (item, recorded) in items().iter().zip(recorded) {
-        assert_eq!(hex(&bitcode::encode(item)), recorded, "{item:?}");
+    for (item, expected) in items().iter().zip(recorded) {
+        assert_eq!(hex(&bitcode::encode(item)), expected, "{item:?}");
     }
 }
--- a/crates/gateway/src/clients/invocation.rs
+++ b/crates/gateway/src/clients/invocation.rs
@@ -1,4 +1,4 @@
-//! A request becomes an invocation, the module's answer becomes a response.
+//! Converts requests to invocations and the answers of the dispatcher to responses.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -11,55 +11,60 @@
 use tokio::sync::{mpsc, oneshot};
 
 use super::connection::{ClientConnection, ConnectionState};
-use super::{ClientResponse, Clients, DecodedRequest, Rejection, rejection};
+use super::{ClientResponse, Clients, DecodedRequest, Rejection, empty_rejection};
 use crate::bodies::{self, RequestBody, ResponseBody, StreamEnd, StreamedBody};
 use crate::log::log;
 use crate::messages::{Answer, ForwardedRequest, ToDispatcher};
-use crate::shutdown_admission::ELSEWHERE;
-use crate::sizes::{BODY, LARGE};
+use crate::shutdown_admission::SHUTDOWN_RETRY_DELAY;
+use crate::sizes::{MAX_BODY, MAX_BUFFERED_BODY};
 
-/// A body that still comes when its invocation is told runs on no client's time yet; this bounds it.
+/// Time limit for an invocation whose body is still arriving. The time limit of the client starts only with the last
+/// byte of the body.
 const UPLOAD_TIMEOUT: Duration = Duration::from_secs(600);
 
 impl Clients {
-    /// The answer to a request that is not taken, for the program ends.
-    pub(super) fn refusal(&self) -> ClientResponse {
-        let refused = Answer::Throttled {
-            after: Some(ELSEWHERE),
-            reason: RejectReason::Line,
+    /// Returns the response to a request that is rejected because the process is shutting down.
+    pub(super) fn shutdown_response(&self) -> ClientResponse {
+        let answer = Answer::Throttled {
+            retry_after: Some(SHUTDOWN_RETRY_DELAY),
+            reason: RejectReason::QueueTooLong,
             none_executed: true,
         };
-        self.protocol.encode("", None, refused)
+        self.protocol.encode("", None, answer)
     }
 
-    /// Counts an answer, where it ends: as it is handed over, or with the last byte of one passed on as it comes.
-    pub(super) fn count(self: &Rc<Self>, operation: &Arc<str>, answer: &mut ClientResponse) {
+    /// Counts a response in the metrics: a buffered one immediately, a streamed one when its stream ends.
+    pub(super) fn count_response(
+        self: &Rc<Self>,
+        operation: &Arc<str>,
+        answer: &mut ClientResponse,
+    ) {
         let status = answer.status();
-        let all = match status {
-            StatusCode::OK => &self.figures.answered,
+        let counter = match status {
+            StatusCode::OK => &self.metrics.answered,
             StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
-                &self.figures.deferred
+                &self.metrics.deferred
             }
-            _ => &self.figures.errored,
+            _ => &self.metrics.errored,
         };
         let ResponseBody::Streamed(body) = answer.body_mut() else {
-            return all.with_label_values(&[&**operation]).inc();
+            return counter.with_label_values(&[&**operation]).inc();
         };
         let (clients, operation) = (self.clone(), operation.clone());
-        clients.figures.current.inc();
-        body.count = Some(Box::new(move |end| {
-            clients.figures.current.dec();
-            let figures = &clients.figures;
-            let all = if end == StreamEnd::Broken {
-                &figures.errored
+        clients.metrics.current.inc();
+        body.on_end = Some(Box::new(move |end| {
+            clients.metrics.current.dec();
+            let metrics = &clients.metrics;
+            let counter = if end == StreamEnd::Broken {
+                &metrics.errored
             } else {
-                &figures.answered
+                &metrics.answered
             };
-            all.with_label_values(&[&*operation]).inc();
+            counter.with_label_values(&[&*operation]).inc();
         }));
     }
 
-    /// An invocation's answer, or why the request is none.
+    /// Carries out a request as an invocation. Returns the response, or the rejection of an invalid request.
     pub(super) async fn invoke(
         &self,
         connection: &ClientConnection,
@@ -71,10 +76,10 @@
         let body = self
             .receive_body(connection, &head.method, body, &decoded)
             .await
-            .map_err(rejection)?;
+            .map_err(empty_rejection)?;
         let streamed = body.streamed().cloned();
         decoded.invocation.body_pending = streamed.is_some();
-        // Its client's time runs from its last byte.
+        // The time limit of the client starts with the last byte of the request.
         let received = self.clock.now();
         let wait = if streamed.is_some() {
             UPLOAD_TIMEOUT
@@ -95,27 +100,28 @@
         self.protocol
             .request_accepted(&forwarded, &mut decoded.context);
         let context = decoded.context.take();
-        let answer = open_invocation.ask(decoded, forwarded).await?;
-        let took = self.clock.now().saturating_sub(received);
-        self.figures.answer_seconds.observe(took.as_secs_f64());
+        let answer = open_invocation.dispatch(decoded, forwarded).await?;
+        let latency = self.clock.now().saturating_sub(received);
+        self.metrics.answer_seconds.observe(latency.as_secs_f64());
         if let Some(streamed) = streamed.filter(|body| !body.is_complete()) {
-            connection.unread.set(true);
+            connection.request_body_unread.set(true);
             tokio::task::spawn_local(async move { streamed.drain().await });
         }
         Ok(self.protocol.encode(&open_invocation.name, context, answer))
     }
 
-    /// Two of a name would share one effect, and each would get the other's answer: only one may be open.
+    /// Registers an invocation. A second invocation with the name of an open one is rejected: the two would share one
+    /// effect, and each would receive the response of the other.
     fn open_invocation(
         &self,
         decoded: &DecodedRequest,
         name: String,
     ) -> Result<OpenInvocation<'_>, Rejection> {
-        if !self.open.borrow_mut().insert(name.clone()) {
+        if !self.open_invocations.borrow_mut().insert(name.clone()) {
             log!(warn, "invocation-twice", "{name}");
-            return Err(rejection(StatusCode::CONFLICT));
+            return Err(empty_rejection(StatusCode::CONFLICT));
         }
-        self.figures.current.inc();
+        self.metrics.current.inc();
         Ok(OpenInvocation {
             invocation_id: decoded.invocation.id,
             name,
@@ -125,7 +131,7 @@
         })
     }
 
-    /// A request's body: whole where it is small, else its start and what still comes.
+    /// Receives the body of a request: buffers a small body whole, and the beginning of a larger one.
     async fn receive_body(
         &self,
         connection: &ClientConnection,
@@ -140,21 +146,23 @@
             return Err(StatusCode::BAD_REQUEST);
         }
         let length = body.size_hint().exact();
-        if length.is_some_and(|length| length > LARGE as u64) {
+        if length.is_some_and(|length| length > MAX_BODY as u64) {
             return Err(StatusCode::PAYLOAD_TOO_LARGE);
         }
-        let buffered = length.map_or(BODY, |length| BODY.min(length as usize));
-        let Some(reservation) = self.bodies.reserve(buffered) else {
+        let buffered = length.map_or(MAX_BUFFERED_BODY, |length| {
+            MAX_BUFFERED_BODY.min(length as usize)
+        });
+        let Some(reservation) = self.body_memory.reserve(buffered) else {
             log!(
                 warn,
                 "bodies-full",
-                "no room for a body of {buffered} bytes"
+                "memory limit for request bodies reached; rejected a body of {buffered} bytes"
             );
             return Err(StatusCode::SERVICE_UNAVAILABLE);
         };
         connection.enter(ConnectionState::ReadingBody, self.clock.now());
-        connection.started.set(self.clock.now());
-        connection.received.set(0);
+        connection.body_started.set(self.clock.now());
+        connection.body_bytes_received.set(0);
         let (beginning, is_whole) = bodies::read_start(&mut body, None)
             .await
             .map_err(|_| StatusCode::BAD_REQUEST)?;
@@ -167,7 +175,7 @@
         Ok(RequestBody::Streamed(streamed))
     }
 
-    /// Tells the dispatcher that a body's last byte has come.
+    /// Returns a callback that reports to the dispatcher that the last byte of the body has arrived.
     fn report_completion(&self, decoded: &DecodedRequest) -> impl FnOnce() + use<> {
         let invocation_id = decoded.invocation.id;
         let dispatcher = decoded.dispatcher.clone();
@@ -182,7 +190,7 @@
     }
 }
 
-/// Sends a message now, or from a task of its own where there is no room.
+/// Sends a message without waiting; if the mailbox is full, a separate task sends it.
 fn send_without_waiting(dispatcher: &mpsc::Sender<ToDispatcher>, message: ToDispatcher) {
     if let Err(mpsc::error::TrySendError::Full(message)) = dispatcher.try_send(message) {
         let dispatcher = dispatcher.clone();
@@ -190,7 +198,7 @@
     }
 }
 
-/// An invocation that the dispatcher holds; dropped unanswered, its client has hung up.
+/// An invocation that is at the dispatcher. If it is dropped without an answer, the client has disconnected.
 struct OpenInvocation<'a> {
     invocation_id: InvocationId,
     name: String,
@@ -200,24 +208,24 @@
 }
 
 impl OpenInvocation<'_> {
-    /// Hands the invocation to the dispatcher, and waits for its answer.
-    async fn ask(
+    /// Sends the invocation to the dispatcher and waits for its answer.
+    async fn dispatch(
         &self,
         decoded: DecodedRequest,
         request: Rc<ForwardedRequest>,
     ) -> Result<Answer, Rejection> {
-        let (answer, answered) = oneshot::channel();
+        let (reply_to, answered) = oneshot::channel();
         let message = ToDispatcher::Invocation {
             invocation: decoded.invocation,
             time_left: decoded.time_left,
             repeatable: decoded.repeatable,
             request,
-            answer,
+            reply_to,
         };
         let sent = self.dispatcher.send(message).await;
         if sent.is_err() {
             self.answered.set(true);
-            return Err(rejection(StatusCode::SERVICE_UNAVAILABLE));
+            return Err(empty_rejection(StatusCode::SERVICE_UNAVAILABLE));
         }
         let answer = answered.await.unwrap_or(Answer::Errored);
         self.answered.set(true);
@@ -227,10 +235,13 @@
 
 impl Drop for OpenInvocation<'_> {
     fn drop(&mut self) {
-        self.clients.open.borrow_mut().remove(&self.name);
-        self.clients.figures.current.dec();
+        self.clients
+            .open_invocations
+            .borrow_mut()
+            .remove(&self.name);
+        self.clients.metrics.current.dec();
         if !self.answered.get() {
-            let message = ToDispatcher::ClientGone {
+            let message = ToDispatcher::ClientDisconnected {
                 invocation_id: self.invocation_id,
             };
             send_without_waiting(&self.dispatcher, message);
--- a/crates/gateway/src/dispatcher/actions.rs
+++ b/crates/gateway/src/dispatcher/actions.rs
@@ -1,4 +1,4 @@
-//! The rules' actions are carried out.
+//! Carries out the decision module's actions.
 
 use std::time::Duration;
 
@@ -8,9 +8,9 @@
 
 use super::{Dispatcher, Timer};
 use crate::log::log;
-use crate::messages::{Answer, CounterCall, ToBackend, ToCounter, ToListWatcher, ToPeers};
+use crate::messages::{Answer, CounterCall, PeerDatagram, ToBackend, ToCounter, ToListWatcher};
 
-/// As the figures tell apart requests that were turned away.
+/// Values of the label `when` of the metric `turned_away`.
 const AFTER_ATTEMPT: &str = "after_delivery";
 const BEFORE_ATTEMPT: &str = "before_delivery";
 
@@ -30,19 +30,23 @@
                 invocation_id,
                 retry_after,
                 reason,
-            } => self.turn_away(invocation_id, retry_after, reason),
+            } => self.throttle(invocation_id, retry_after, reason),
             Action::Fail { invocation_id } => self.answer_error(invocation_id),
             Action::SetTimer { after, token } => {
                 let at = self.clock.now() + after;
                 self.state.timers.insert((at, Timer::Rules(token)));
             }
-            Action::AddToCounter { name, add, keep } => self.call_counter(CounterCall {
+            Action::AddToCounter {
                 name,
-                add,
-                keep,
-                at: self.clock.now(),
+                units,
+                retention,
+            } => self.call_counter(CounterCall {
+                name,
+                units,
+                retention,
+                called_at: self.clock.now(),
             }),
-            Action::CloseIdle { backend_id } => {
+            Action::CloseIdleConnections { backend_id } => {
                 if let Some(backend) = self.state.backends.get(&backend_id) {
                     backend.mailbox.try_send(ToBackend::CloseIdle).ok();
                 }
@@ -50,11 +54,13 @@
             Action::Probe { backend_id } => self.skip_probe(backend_id),
             Action::SendToPeers { to, bytes } => {
                 if let Some(peers) = &self.peers {
-                    peers.try_send(ToPeers { to, bytes }).ok();
+                    peers.try_send(PeerDatagram { to, bytes }).ok();
                 }
             }
             Action::WatchBackendList { on } => {
-                self.list_watcher.try_send(ToListWatcher::Watch { on }).ok();
+                self.list_watcher
+                    .try_send(ToListWatcher::Watch { is_watched: on })
+                    .ok();
             }
             Action::FetchBackendList => {
                 self.list_watcher.try_send(ToListWatcher::Fetch).ok();
@@ -76,7 +82,7 @@
         self.forget_if_finished(invocation_id);
     }
 
-    fn turn_away(
+    fn throttle(
         &mut self,
         invocation_id: InvocationId,
         retry_after: Option<Duration>,
@@ -90,12 +96,12 @@
         } else {
             BEFORE_ATTEMPT
         };
-        let figures = &self.figures;
-        figures.turned_away.with_label_values(&[when]).inc();
-        let reasons = &figures.turned_away_why;
+        let metrics = &self.metrics;
+        metrics.turned_away.with_label_values(&[when]).inc();
+        let reasons = &metrics.turned_away_why;
         reasons.with_label_values(&[reason.name()]).inc();
         let failure = Answer::Throttled {
-            after: retry_after,
+            retry_after,
             reason,
             none_executed,
         };
@@ -112,7 +118,8 @@
         self.forget_if_finished(invocation_id);
     }
 
-    /// Calls the counter; the rules are told at once where there is no room for the call, or no counter.
+    /// Calls the counter. Reports `Outcome::Full` to the decision module at once if there is no counter or its mailbox
+    /// is full.
     fn call_counter(&mut self, call: CounterCall) {
         let name = call.name.clone();
         let is_sent = match &self.counter {
@@ -122,19 +129,23 @@
         if is_sent {
             return;
         }
-        log!(warn, "counter-crowded", "a call not sent");
+        log!(
+            warn,
+            "counter-crowded",
+            "counter call dropped: no counter or its mailbox is full"
+        );
         self.state.follow_up_events.push_back(Event::CounterTotal {
             name,
             outcome: Outcome::Full,
             total: 0.0,
-            others: 0.0,
+            peer_units: 0.0,
             latency: Duration::ZERO,
         });
     }
 
-    /// The platform's protocol has no probes.
+    /// Reports a probe as ignored, since the platform's protocol has no probes.
     fn skip_probe(&mut self, backend_id: BackendId) {
-        self.state.follow_up_events.push_back(Event::Probed {
+        self.state.follow_up_events.push_back(Event::ProbeEnded {
             backend_id,
             outcome: Outcome::Ignored,
             latency: Duration::ZERO,
--- a/crates/gateway/src/dispatcher/send_attempt.rs
+++ b/crates/gateway/src/dispatcher/send_attempt.rs
@@ -1,9 +1,9 @@
-//! An attempt goes out: the permit, what all gateways share, and the backend's actor.
+//! Sends an attempt: takes its permit, asks the attempt policy and passes the attempt to the backend's actor.
 
 use std::rc::Rc;
 use std::time::Duration;
 
-use damsonbeam::interface::{AttemptNumber, BackendId, Event, InvocationId, ListForm, Outcome};
+use damsonbeam::interface::{AttemptNumber, BackendId, Event, InvocationId, ListUpdate, Outcome};
 
 use super::{AttemptDecision, Dispatcher, InFlightAttempt, Overdue, Timer};
 use crate::attempts::{NotExecuted, SendPermit};
@@ -11,7 +11,7 @@
 use crate::messages::{OutgoingAttempt, ToBackend};
 
 impl Dispatcher {
-    /// Sends an attempt, where it may be sent at all; the rules are told where it is not.
+    /// Sends an attempt if that is allowed; otherwise reports an outcome to the decision module.
     pub(super) fn send_attempt(
         &mut self,
         invocation_id: InvocationId,
@@ -22,7 +22,7 @@
         let Some(request) = self.state.requests.get_mut(&invocation_id) else {
             return;
         };
-        let number = request.attempts.next();
+        let number = request.attempts.next_number();
         let time_left = request.deadline.saturating_sub(now);
         let wait = timeout.map_or(time_left, |timeout| timeout.min(time_left));
         let attempt = InFlightAttempt {
@@ -32,26 +32,28 @@
             cancel_handle: Rc::default(),
         };
         request.in_flight.push(None);
-        let Some(permit) = request.attempts.permit() else {
+        let Some(permit) = request.attempts.start_attempt() else {
             log!(
                 error,
                 "repeat-refused",
-                "an attempt that may run twice is not sent"
+                "attempt not sent: the request may already have been executed and is not repeatable"
             );
             return self.queue_ended(invocation_id, number, &attempt, Outcome::Ignored);
         };
         if request.answer.is_none() || time_left.is_zero() {
-            request.attempts.not_executed(number, permit.unused());
+            request
+                .attempts
+                .record_not_executed(number, permit.give_up());
             return self.queue_ended(invocation_id, number, &attempt, Outcome::Ignored);
         }
         if let Some(refusal) = self.refused_by_policy(invocation_id, backend_id, number, now) {
-            self.mark_not_executed(invocation_id, number, permit.unused());
+            self.mark_not_executed(invocation_id, number, permit.give_up());
             return self.queue_ended(invocation_id, number, &attempt, refusal);
         }
         self.hand_to_backend(invocation_id, number, attempt, permit, wait);
     }
 
-    /// Asks the policy for leave; returns the outcome that the rules are told where there is none.
+    /// Asks the attempt policy; returns the outcome to report to the decision module if the policy refuses.
     fn refused_by_policy(
         &mut self,
         invocation_id: InvocationId,
@@ -66,16 +68,16 @@
             return Some(Outcome::Ignored);
         }
         let AttemptDecision {
-            allowed,
+            is_allowed,
             health_change,
         } = policy.before_attempt(backend_id, now);
         if let Some(entry) = health_change {
             events.push_back(Event::BackendList {
-                form: ListForm::Update,
+                form: ListUpdate::Update,
                 entries: [entry].into(),
             });
         }
-        (!allowed).then_some(Outcome::ConnectFailed)
+        (!is_allowed).then_some(Outcome::ConnectFailed)
     }
 
     fn mark_not_executed(
@@ -85,7 +87,7 @@
         proof: NotExecuted,
     ) {
         if let Some(request) = self.state.requests.get_mut(&invocation_id) {
-            request.attempts.not_executed(number, proof);
+            request.attempts.record_not_executed(number, proof);
         }
     }
 
@@ -105,11 +107,12 @@
             number,
             permit,
             request: request.request.clone(),
-            // While its body comes no client's time runs; the backend is told what will.
-            time_left: request.coming.unwrap_or(wait),
+            // The client's timeout starts with the last byte of the body; until then the backend is told the full
+            // timeout.
+            time_left: request.timeout_after_body.unwrap_or(wait),
             cancel_handle: attempt.cancel_handle.clone(),
-            replaces: request.overdue.as_ref().map(Overdue::cancel_handle),
-            to: self.own_mailbox.clone(),
+            overdue_attempt: request.overdue.as_ref().map(Overdue::cancel_handle),
+            reply_to: self.own_mailbox.clone(),
         };
         let Some(refused) = self.send_to_backend(attempt.backend_id, outgoing) else {
             let timer = Timer::AttemptTimeout(invocation_id, number);
@@ -119,13 +122,17 @@
             }
             return;
         };
-        log!(warn, "backend-crowded", "a delivery not sent");
-        self.mark_not_executed(invocation_id, number, refused.permit.unused());
+        log!(
+            warn,
+            "backend-crowded",
+            "attempt not sent: the backend has no actor or its mailbox is full"
+        );
+        self.mark_not_executed(invocation_id, number, refused.permit.give_up());
         self.notify_policy(&attempt, Outcome::Ignored);
         self.queue_ended(invocation_id, number, &attempt, Outcome::ConnectFailed);
     }
 
-    /// Hands an attempt to its backend's actor; it comes back where there is no room or no actor.
+    /// Passes an attempt to its backend's actor; returns the attempt if there is no actor or its mailbox is full.
     fn send_to_backend(
         &self,
         backend_id: BackendId,
--- a/crates/gateway/src/server/start.rs
+++ b/crates/gateway/src/server/start.rs
@@ -1,4 +1,5 @@
-//! The start: the actors are made from the configuration and connected; a predecessor's state is taken over.
+//! The start of the process: creates the actors from the configuration, connects them, and takes over the state of a
+//! predecessor.
 
 use std::cell::RefCell;
 use std::path::PathBuf;
@@ -7,8 +8,8 @@
 use std::time::Duration;
 
 use damsonbeam::Rules;
-use damsonbeam::interface::{GatewayId, ListForm};
-use damsonbeam_admin::{Admin, Asked, Figures};
+use damsonbeam::interface::{GatewayId, ListUpdate};
+use damsonbeam_admin::{Admin, Metrics, OrderRequest};
 use damsonbeam_handover::{HandoverMessage, Successor};
 use futures_util::stream::FuturesUnordered;
 use tokio::signal::unix::{SignalKind, signal};
@@ -22,7 +23,7 @@
 use super::{Server, ServerError};
 use crate::account::Account;
 use crate::backend_list::{BackendListWatcher, DiscoveryPage, NameTable};
-use crate::backends::{Backend, ConnectionPools, Platform};
+use crate::backends::{Backend, ConnectionPools, PlatformBackends};
 use crate::clients::Clients;
 use crate::clock::Clock;
 use crate::config::Config;
@@ -30,26 +31,27 @@
 use crate::dispatcher::{Dispatcher, DispatcherState};
 use crate::handover::{self, HandoverConnection};
 use crate::log::log;
-use crate::messages::{ToCounter, ToDispatcher, ToListWatcher, ToPeers};
+use crate::messages::{PeerDatagram, ToCounter, ToDispatcher, ToListWatcher};
 use crate::peer_admissions::PeerAdmissions;
 use crate::peers::Peers;
-use crate::platform_protocol::PlatformRequests;
+use crate::platform_protocol::PlatformProtocol;
 
-/// Room in the mailboxes: the dispatcher's for all that its peers can have on the way, another's for a burst.
+/// Holds all messages that the other actors can have in transit to the dispatcher.
 const DISPATCHER_MAILBOX_CAPACITY: usize = 4096;
+/// Holds a burst of messages to any other actor.
 const MAILBOX_CAPACITY: usize = 1024;
 const ORDER_QUEUE_CAPACITY: usize = 8;
-/// How long the last known list has to do, where there is one, before invocations are taken with it.
+/// How long the start waits for a list from discovery if a last known list could be used instead.
 const LIST_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// The predecessor that is greeted at the start, and how far the hand-over from it has come.
+/// The hand-over from a predecessor: its state and its connection.
 struct Takeover {
     state: Successor,
     connection: Option<HandoverConnection>,
 }
 
 impl Takeover {
-    /// Greets the process that serves, if there is one.
+    /// Connects to the serving process, if there is one.
     async fn begin(path: Option<&PathBuf>, name: &str) -> Self {
         let connection = match path {
             Some(path) => HandoverConnection::connect(path, name).await,
@@ -61,7 +63,7 @@
         }
     }
 
-    /// The list that the predecessor knows, where it is no older than the one in the configuration.
+    /// Receives the predecessor's list of backends; returns `configured` if there is none or if it is older.
     async fn receive_list(&mut self, configured: DiscoveryPage) -> DiscoveryPage {
         let Some(connection) = &mut self.connection else {
             return configured;
@@ -77,7 +79,7 @@
             .unwrap_or(configured)
     }
 
-    /// Takes over the predecessor's state, and its clients from now on.
+    /// Takes over the predecessor's state and starts to accept clients.
     async fn finish(self, running: &mut Running) -> Result<(), ServerError> {
         let (mut state, Some(mut connection)) = (self.state, self.connection) else {
             return Ok(());
@@ -94,38 +96,38 @@
             }
         }
         log!(info, "handover", "{}: successor: {state:?}", running.name);
-        let counter = &running.figures.handovers;
+        let counter = &running.metrics.handovers;
         counter.with_label_values(&[&format!("{state:?}")]).inc();
         if state == Successor::Follows {
-            running.clients.share_with_predecessor();
+            running.clients.halve_connection_limit();
             running.predecessor = Some(connection);
         }
-        running.accept();
+        running.start_accepting();
         Ok(())
     }
 }
 
-/// What the actors share.
-struct Parts {
+/// The parts that the actors share.
+struct SharedParts {
     clock: Clock,
-    figures: Figures,
+    metrics: Metrics,
     dispatcher: mpsc::Sender<ToDispatcher>,
     actors: FuturesUnordered<JoinHandle<()>>,
 }
 
-impl Parts {
-    /// Starts an actor without which nothing is served.
+impl SharedParts {
+    /// Starts an actor that the gateway can't serve without.
     fn start(&self, actor: impl Future<Output = ()> + 'static) {
         self.actors.push(spawn_local(actor));
     }
 
-    /// Starts the counter's client, where the settings have a counter.
+    /// Starts the counter's client if the settings have a counter.
     fn start_counter_client(&self, config: &Config) -> Option<mpsc::Sender<ToCounter>> {
         let counter_settings = config.settings.counter.as_ref()?;
         let address = config.addresses.counter?;
         let (sender, mailbox) = mpsc::channel(MAILBOX_CAPACITY);
         let client = CounterClient {
-            at: address,
+            address,
             timeout: counter_settings.timeout,
             connect_timeout: config.settings.limits.connect_timeout,
             clock: self.clock,
@@ -136,8 +138,11 @@
         Some(sender)
     }
 
-    /// Starts the exchange with the other gateways, where the configuration says so.
-    fn start_peers(&self, config: &Config) -> Result<Option<mpsc::Sender<ToPeers>>, ServerError> {
+    /// Starts the actor that exchanges messages with the other gateways, if the configuration allows it.
+    fn start_peers(
+        &self,
+        config: &Config,
+    ) -> Result<Option<mpsc::Sender<PeerDatagram>>, ServerError> {
         let Some(address) = config
             .peer_listen
             .filter(|_| config.settings.limits.may_message_peers)
@@ -150,7 +155,7 @@
         let peers = Peers {
             socket,
             peers: config.peers.clone(),
-            all: config.peers_all,
+            broadcast_address: config.peers_all,
             dispatcher: self.dispatcher.clone(),
             mailbox,
         };
@@ -158,23 +163,24 @@
         Ok(Some(sender))
     }
 
-    /// The clients, and the protocol by which their requests are read.
-    fn clients(&self, config: &Config, server: &Server) -> (Rc<PlatformRequests>, Rc<Clients>) {
+    /// Creates the clients' actor and the decoder of their requests.
+    fn clients(&self, config: &Config, server: &Server) -> (Rc<PlatformProtocol>, Rc<Clients>) {
         let protocol =
-            PlatformRequests::new(&config.settings, &self.figures, self.dispatcher.clone());
+            PlatformProtocol::new(&config.settings, &self.metrics, self.dispatcher.clone());
         let protocol = Rc::new(protocol);
         let clients = Clients::new(
             protocol.clone(),
-            config.clients,
-            config.bodies,
+            config.max_client_connections,
+            config.body_memory_bytes,
             self.clock,
             server.phase.clone(),
-            &self.figures,
+            &self.metrics,
         );
         (protocol, Rc::new(clients))
     }
 
-    /// Starts the dispatcher with the list as last known, and the watcher that brings the list; told once it has.
+    /// Starts the dispatcher with the last known list, and the watcher of the list; returns a receiver that completes
+    /// with the watcher's first list.
     async fn start_list(
         &self,
         config: &Config,
@@ -184,43 +190,46 @@
     ) -> Result<oneshot::Receiver<()>, ServerError> {
         let known = last_list.borrow().clone();
         let revision = known.revision;
-        let mut names = NameTable::new(config.facts.dcs.clone(), config.facts.kinds.clone());
-        let restored = names.to_update(known, ListForm::Restored);
+        let mut names = NameTable::new(
+            config.settings_file.dcs.clone(),
+            config.settings_file.kinds.clone(),
+        );
+        let restored = names.to_update(known, ListUpdate::Restored);
         send(&self.dispatcher, ToDispatcher::BackendList(restored)).await?;
         self.start(dispatcher.run());
         let (first_list, listed) = oneshot::channel();
         let watcher = BackendListWatcher {
-            at: config.addresses.discovery,
+            address: config.addresses.discovery,
             names,
             mode: config.settings.discovery,
-            known: revision,
+            initial_revision: revision,
             last_list: last_list.clone(),
             dispatcher: self.dispatcher.clone(),
             mailbox,
-            first: Some(first_list),
+            first_page_sender: Some(first_list),
         };
         self.start(watcher.run());
         Ok(listed)
     }
 
-    /// The decision module's actor, not yet started.
+    /// Creates the dispatcher without starting it.
     fn dispatcher(
         &self,
         config: &Config,
         mailbox: mpsc::Receiver<ToDispatcher>,
-        actors: DispatcherPeers,
+        targets: DispatcherMailboxes,
     ) -> Dispatcher {
         let connection_pools = ConnectionPools::new(
             config.settings.limits.connect_timeout,
-            Duration::from_nanos(config.facts.ceilings.conn_idle_ns),
-            config.facts.report.names.clone(),
-            Box::new(Platform),
-            config.backends,
-            config.bodies,
-            &self.figures,
+            Duration::from_nanos(config.settings_file.ceilings.conn_idle_ns),
+            config.settings_file.report.names.clone(),
+            Box::new(PlatformBackends),
+            config.max_backend_connections,
+            config.body_memory_bytes,
+            &self.metrics,
         );
         let settings = &config.settings;
-        let peer_admissions = (config.witness && actors.peers.is_some())
+        let peer_admissions = (config.reports_to_peers && targets.peers.is_some())
             .then(|| (PeerAdmissions::default(), other_gateways(config)));
         Dispatcher {
             rules: Rules::new(config.seed, settings.clone(), self.clock.now()),
@@ -231,24 +240,24 @@
             }),
             own_mailbox: self.dispatcher.clone(),
             attempt_policy: None,
-            counter: actors.counter,
-            list_watcher: actors.list_watcher,
-            peers: actors.peers,
+            counter: targets.counter,
+            list_watcher: targets.list_watcher,
+            peers: targets.peers,
             peer_admissions,
             state: DispatcherState::default(),
-            figures: self.figures.clone(),
+            metrics: self.metrics.clone(),
             account: Account::new(settings.warm_up_time),
-            reports_figures: config.admin.is_some(),
+            reports_metrics: config.admin.is_some(),
             carry: None,
         }
     }
 }
 
-/// The actors that the dispatcher calls.
-struct DispatcherPeers {
+/// Senders to the mailboxes of the actors that the dispatcher sends messages to.
+struct DispatcherMailboxes {
     counter: Option<mpsc::Sender<ToCounter>>,
     list_watcher: mpsc::Sender<ToListWatcher>,
-    peers: Option<mpsc::Sender<ToPeers>>,
+    peers: Option<mpsc::Sender<PeerDatagram>>,
 }
 
 fn other_gateways(config: &Config) -> Vec<GatewayId> {
@@ -258,13 +267,13 @@
 }
 
 impl Server {
-    /// Starts all actors; returns once there is a list of backends, and clients are accepted.
+    /// Starts all actors; returns once a list of backends is known and clients are accepted.
     #[expect(
         clippy::too_many_lines,
         reason = "one actor after the other, in the order of the start"
     )]
     pub(super) async fn start(&self, config: Config) -> Result<Running, ServerError> {
-        // SIGHUP ends a program that has not asked for it.
+        // Installed first, since an unhandled SIGHUP ends the process.
         let reload = signal(SignalKind::hangup()).map_err(|source| ServerError::Signal {
             name: "SIGHUP",
             source,
@@ -274,16 +283,16 @@
             source,
         })?;
         let (dispatcher, dispatcher_mailbox) = mpsc::channel(DISPATCHER_MAILBOX_CAPACITY);
-        let parts = Parts {
+        let parts = SharedParts {
             clock: Clock::start(),
-            figures: Figures::new().map_err(|e| ServerError::Figures(e.to_string()))?,
+            metrics: Metrics::new().map_err(|e| ServerError::Metrics(e.to_string()))?,
             dispatcher,
             actors: FuturesUnordered::new(),
         };
-        let orders = self.serve_operators(&config, &parts.figures)?;
+        let orders = self.serve_operators(&config, &parts.metrics)?;
         let path = handover::path(&config.name);
         let mut takeover = Takeover::begin(path.as_ref(), &config.name).await;
-        let known = takeover.receive_list(config.known.clone()).await;
+        let known = takeover.receive_list(config.known_backends.clone()).await;
 
         let (protocol, clients) = parts.clients(&config, self);
         let counter = parts.start_counter_client(&config);
@@ -292,7 +301,7 @@
         let dispatcher = parts.dispatcher(
             &config,
             dispatcher_mailbox,
-            DispatcherPeers {
+            DispatcherMailboxes {
                 counter: counter.clone(),
                 list_watcher: list_watcher.clone(),
                 peers,
@@ -322,7 +331,7 @@
             addresses: config.addresses,
             list_watcher,
             counter,
-            figures: parts.figures,
+            metrics: parts.metrics,
             orders,
             last_list,
             predecessor: None,
@@ -332,24 +341,24 @@
             },
         };
         if takeover.connection.is_none() {
-            running.accept();
+            running.start_accepting();
         }
         wait_for_list(&mut running, listed, knows_backends).await?;
         takeover.finish(&mut running).await?;
         Ok(running)
     }
 
-    /// Answers operators from now on, where the configuration says so; their orders come back.
+    /// Starts the admin interface if the configuration has an address for it; returns the receiver of operators' orders.
     fn serve_operators(
         &self,
         config: &Config,
-        figures: &Figures,
-    ) -> Result<mpsc::Receiver<Asked>, ServerError> {
+        metrics: &Metrics,
+    ) -> Result<mpsc::Receiver<OrderRequest>, ServerError> {
         let (sender, orders) = mpsc::channel(ORDER_QUEUE_CAPACITY);
         if let Some(address) = config.admin {
             let phase = self.phase.clone();
             let admin = Admin {
-                figures: figures.clone(),
+                metrics: metrics.clone(),
                 ready: Arc::new(move || phase.get().is_serving()),
                 orders: sender,
             };
@@ -359,7 +368,8 @@
     }
 }
 
-/// Waits for the first list of backends: up before it knows one, a gateway would throttle all that comes.
+/// Waits for the first list of backends, since a gateway that reports ready without one would throttle every request.
+/// If a list is already known, waits for at most `LIST_TIMEOUT`.
 async fn wait_for_list(
     running: &mut Running,
     listed: oneshot::Receiver<()>,
@@ -371,7 +381,7 @@
             return Err(ServerError::NoList);
         }
         () = sleep(LIST_TIMEOUT), if knows_backends => {
-            log!(warn, "list-late", "serving with the list as last known");
+            log!(warn, "list-late", "no list from discovery yet; serving with the last known list");
         }
     }
     Ok(())
--- a/crates/hollow/src/proxies.rs
+++ b/crates/hollow/src/proxies.rs
@@ -8,7 +8,7 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-use damsonbeam_control::address::{Endpoint, octets};
+use damsonbeam_control::address::{Endpoint, ip_octets};
 use damsonbeam_control::config::{ItemKey, ItemKind};
 use damsonbeam_control::messages::{Message, ProxyStatus};
 use damsonbeam_control::settings::Settings;
@@ -241,7 +241,7 @@
         incarnation: rand::random(),
         zone: settings.zone.clone(),
         address: Endpoint {
-            ip: octets(settings.ip_address),
+            ip: ip_octets(settings.ip_address),
             port: crate::topology::CLIENT_PORT,
         },
         ready: false,
@@ -288,31 +288,34 @@
 
     fn take(&mut self, event: ControlEvent) {
         match event {
-            ControlEvent::Config => self.take_items(),
-            ControlEvent::Backends(backends) => {
+            ControlEvent::ConfigChanged => self.take_items(),
+            ControlEvent::BackendListReceived(backends) => {
                 self.backends = backends.len();
                 self.progress.lists.fetch_add(1, Ordering::Relaxed);
             }
-            ControlEvent::CoordinatorHeartbeat(heartbeat) if heartbeat.known_proxies > 0 => {
+            ControlEvent::CoordinatorHeartbeat(heartbeat) if heartbeat.known_proxy_count > 0 => {
                 let now = self.now();
-                self.quota
-                    .set_proxies(heartbeat.known_proxies, heartbeat.attached_proxies, now);
+                self.quota.set_proxy_count(
+                    heartbeat.known_proxy_count,
+                    heartbeat.connected_proxy_count,
+                    now,
+                );
                 let known = self.known.borrow();
-                if let Some(time) = known.common_time() {
-                    let common = Duration::from_millis(time.now_ms());
+                if let Some(time) = known.coordinator_time() {
+                    let coordinator_time = Duration::from_millis(time.now_ms());
                     self.quota.set_time_offset(
-                        common.as_secs_f64() - self.began.elapsed().as_secs_f64(),
+                        coordinator_time.as_secs_f64() - self.began.elapsed().as_secs_f64(),
                         self.began.elapsed(),
                     );
                     self.quota
-                        .set_coordinator(time.term, known.coordinator_link().is_some());
+                        .set_coordinator(time.term, known.coordinator_sender().is_some());
                 }
             }
             ControlEvent::CountTotals { term, totals } => {
                 self.quota
                     .receive_totals(term, &totals, self.began.elapsed());
             }
-            ControlEvent::CoordinatorLost => self.quota.disconnect(),
+            ControlEvent::CoordinatorLost => self.quota.record_coordinator_disconnect(),
             _ => {}
         }
         self.become_ready();
@@ -366,7 +369,8 @@
                 .min(self.progress.tenants - 1);
             let name = tenant_name(tenant);
             if self.limited.insert(tenant) {
-                self.quota.set_rate(&name, TENANT_RATE, SLOT.as_secs_f64());
+                self.quota
+                    .set_tenant_quota(&name, TENANT_RATE, SLOT.as_secs_f64());
             }
             let slot = (now.as_secs_f64() / SLOT.as_secs_f64()) as u64;
             self.quota.add(&format!("{slot}/{name}"), 1.0, now);
@@ -376,7 +380,7 @@
         if !reports.is_empty() {
             let known = self.known.borrow();
             known
-                .coordinator_link()
+                .coordinator_sender()
                 .map(|out| out.send(&Message::CountReport(reports)));
         }
     }
--- a/crates/proxy/src/dispatch/mod.rs
+++ b/crates/proxy/src/dispatch/mod.rs
@@ -1,5 +1,6 @@
-//! The decision module as the system runs it: one instance for each service, home regions and number of attempts, each
-//! with the backends that may serve what comes to it. Operations are distinguished by what the module reads of a route.
+//! Manages instances of the decision module, one for each combination of service, home regions and
+//! maximum number of attempts. Each instance has the backends that may serve its requests. Its
+//! operations correspond to the distinct route properties that the module reads.
 
 mod limits;
 mod module_settings;
@@ -9,8 +10,8 @@
 use std::rc::Rc;
 
 use damsonbeam::Rules;
-use damsonbeam::interface::{ListForm, OperationId, Plan, PlanId, Settings};
-use damsonbeam_admin::Figures;
+use damsonbeam::interface::{ListUpdate, OperationId, Plan, PlanId, Settings};
+use damsonbeam_admin::Metrics;
 use damsonbeam_control::config::{Route, RouteKind};
 use damsonbeam_gateway::backends::{Backend, ConnectionPools};
 use damsonbeam_gateway::clock::Clock;
@@ -23,26 +24,26 @@
 use crate::retry_budget::RetryBudget;
 use crate::routing_table::{HomeRegions, RoutingTable};
 use limits::SharedLimits;
-pub use module_settings::repeat;
+pub use module_settings::repeatability;
 use module_settings::{TICK, module_settings, operation_settings};
 
-/// Events that wait for a module at most.
+/// Capacity of a module's event queue.
 const EVENT_QUEUE_CAPACITY: usize = 4096;
-/// Slots of a window and the longest in seconds, as the module cuts them.
+/// Number of slots into which the module divides a window, and the maximum slot length in seconds.
 const SLOTS_PER_WINDOW: f64 = 2.0;
-const LONGEST_SLOT_S: f64 = 8.0;
-/// The plan of a request without a tenant.
+const MAX_SLOT_S: f64 = 8.0;
+/// Plan of a request without a tenant.
 pub const NO_PLAN: PlanId = PlanId(usize::MAX);
 
-/// A module's call to the shared counts, and where its answer goes.
-pub struct CountCall {
-    /// The call.
+/// A module's call to the shared counts, with the recipient of the answer.
+pub struct QuotaCounterCall {
+    /// The call to the counts.
     pub call: ToCounter,
-    /// The module that made it.
-    pub answer_to: mpsc::Sender<ToDispatcher>,
+    /// The module that made the call.
+    pub reply_to: mpsc::Sender<ToDispatcher>,
 }
 
-/// What distinguishes module instances.
+/// Key of a module instance.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct DispatcherKey {
     service: String,
@@ -50,7 +51,7 @@
     max_attempts: u32,
 }
 
-/// What the module reads of a route.
+/// The route properties that the module reads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct OperationKey {
     kind: RouteKind,
@@ -58,7 +59,7 @@
     timeout_ms: u64,
 }
 
-/// A module instance.
+/// A running module instance.
 struct DispatcherHandle {
     service: String,
     homes: HomeRegions,
@@ -74,7 +75,7 @@
         self.events.try_send(ToDispatcher::Settings(settings)).ok();
     }
 
-    /// The operation of a route; a new one is added to the settings.
+    /// Returns the operation of a route, adding it to the settings if necessary.
     fn operation(&mut self, route: &Route) -> OperationId {
         let key = OperationKey {
             kind: route.kind,
@@ -93,43 +94,43 @@
     }
 }
 
-/// The module that takes a request, and the request's operation there.
+/// The module instance and operation for a request.
 pub struct DispatchTarget {
-    /// The module.
+    /// Event queue of the module.
     pub events: mpsc::Sender<ToDispatcher>,
-    /// The operation.
+    /// Operation of the request in that module.
     pub operation: OperationId,
 }
 
-/// What all module instances share.
-pub struct SharedParts {
-    /// The backends.
+/// State shared by all module instances.
+pub struct DispatchContext {
+    /// Known backends.
     pub backend_pool: Rc<RefCell<BackendPool>>,
-    /// The budget of retries.
+    /// Retry budget of this proxy.
     pub retry_budget: Rc<RefCell<RetryBudget>>,
-    /// The connections to backends.
+    /// Connections to the backends.
     pub connection_pools: Rc<ConnectionPools>,
-    /// The modules' clock.
+    /// Clock of the modules.
     pub clock: Clock,
-    /// What is counted for operators.
-    pub figures: Figures,
-    /// Where calls to the shared counts go.
-    pub counts: mpsc::Sender<CountCall>,
-    /// The phase of the process.
+    /// Counters for operators.
+    pub metrics: Metrics,
+    /// Sender for calls to the shared counts.
+    pub counter_calls: mpsc::Sender<QuotaCounterCall>,
+    /// Phase of the process.
     pub phase: CurrentPhase,
 }
 
-/// All module instances.
+/// All module instances of this proxy.
 pub struct Dispatchers {
-    shared: SharedParts,
+    shared: DispatchContext,
     nearby_proxies: u32,
     plans: Vec<Plan>,
     dispatchers: HashMap<DispatcherKey, DispatcherHandle>,
 }
 
 impl Dispatchers {
-    /// No module instances yet; they are made as requests need them.
-    pub fn new(shared: SharedParts) -> Self {
+    /// Creates an empty set; module instances are started when requests need them.
+    pub fn new(shared: DispatchContext) -> Self {
         Dispatchers {
             shared,
             nearby_proxies: 1,
@@ -138,22 +139,31 @@
         }
     }
 
-    /// Whether a real backend has that address now.
-    pub fn is_real(&self, address: std::net::SocketAddr) -> bool {
-        self.shared.backend_pool.borrow().is_real(address)
+    /// Returns whether a backend in the current list has this address.
+    pub fn is_backend_address(&self, address: std::net::SocketAddr) -> bool {
+        self.shared.backend_pool.borrow().has_address(address)
     }
 
-    /// The module for a request on a route to a service; `None` where there is no backend that may serve it.
+    /// Returns the module instance for a request on a route to a service, or `None` if no backend
+    /// may serve it. Each request earns a part of a retry.
     pub fn dispatch(
         &mut self,
         route: &Route,
         service: String,
         homes: &HomeRegions,
     ) -> Option<DispatchTarget> {
-        if !self.shared.backend_pool.borrow().has(&service, homes) {
+        if !self
+            .shared
+            .backend_pool
+            .borrow()
+            .has_backends(&service, homes)
+        {
             return None;
         }
-        self.shared.retry_budget.borrow_mut().earn(&service);
+        self.shared
+            .retry_budget
+            .borrow_mut()
+            .record_request(&service);
         let key = DispatcherKey {
             service,
             homes: homes.as_ref().map(|homes| homes.iter().cloned().collect()),
@@ -197,14 +207,14 @@
             }),
             own_mailbox: module.clone(),
             attempt_policy: Some(Box::new(limits)),
-            counter: Some(self.start_count_calls(module.clone())),
+            counter: Some(self.forward_count_calls(module.clone())),
             list_watcher: mpsc::channel(1).0,
             peers: None,
             peer_admissions: None,
             state: DispatcherState::default(),
-            figures: shared.figures.clone(),
+            metrics: shared.metrics.clone(),
             account: None,
-            reports_figures: false,
+            reports_metrics: false,
             carry: None,
         };
         tokio::task::spawn_local(actor.run());
@@ -217,7 +227,7 @@
         };
         let backends = self.send_backends_to(&dispatcher);
         log::info!(
-            "dispatcher: {} for homes {:?}, {} attempts, {backends} backends.",
+            "dispatcher: started for service {}, home regions {:?}, {} attempts, {backends} backends.",
             key.service,
             key.homes,
             key.max_attempts
@@ -225,14 +235,18 @@
         dispatcher
     }
 
-    /// Marks a module's calls to the counts with where their answers go.
-    fn start_count_calls(&self, module: mpsc::Sender<ToDispatcher>) -> mpsc::Sender<ToCounter> {
+    /// Starts a task that adds the answer's recipient to a module's calls to the counts.
+    fn forward_count_calls(&self, module: mpsc::Sender<ToDispatcher>) -> mpsc::Sender<ToCounter> {
         let (sender, mut calls) = mpsc::channel(EVENT_QUEUE_CAPACITY);
-        let counts = self.shared.counts.clone();
+        let counter_calls = self.shared.counter_calls.clone();
         tokio::task::spawn_local(async move {
             while let Some(call) = calls.recv().await {
-                let answer_to = module.clone();
-                if counts.send(CountCall { call, answer_to }).await.is_err() {
+                let reply_to = module.clone();
+                if counter_calls
+                    .send(QuotaCounterCall { call, reply_to })
+                    .await
+                    .is_err()
+                {
                     return;
                 }
             }
@@ -240,14 +254,14 @@
         sender
     }
 
-    /// Sends a module its backends as they are now; returns how many.
+    /// Sends a module its current backends; returns their number.
     fn send_backends_to(&self, dispatcher: &DispatcherHandle) -> usize {
         let pool = self.shared.backend_pool.borrow();
         let now = self.shared.clock.now();
         let backends = pool.backends(&dispatcher.service, &dispatcher.homes, now);
         let count = backends.len();
         let listed = BackendListUpdate {
-            form: ListForm::Replace,
+            form: ListUpdate::Replace,
             addresses: backends.iter().map(|backend| backend.address).collect(),
             names: backends
                 .iter()
@@ -260,20 +274,21 @@
             .try_send(ToDispatcher::BackendList(listed))
             .is_err()
         {
-            log::warn!("dispatcher: no room for a new list.");
+            log::warn!("dispatcher: event queue is full; backend list not sent.");
         }
         count
     }
 
-    /// Sends all modules their backends as they are now.
+    /// Sends all modules their current backends.
     pub fn send_backends(&self) {
         for dispatcher in self.dispatchers.values() {
             self.send_backends_to(dispatcher);
         }
     }
 
-    /// Sends all modules a message that the process ends; what they had unanswered comes back.
-    pub fn send_end(
+    /// Sends all modules a message about the end of the process; returns receivers for their
+    /// unanswered requests.
+    pub fn send_shutdown_message(
         &self,
         message: impl Fn(oneshot::Sender<Unanswered>) -> ToDispatcher,
     ) -> Vec<oneshot::Receiver<Unanswered>> {
@@ -285,27 +300,28 @@
         self.dispatchers.values().filter_map(send).collect()
     }
 
-    /// The plan of a tenant.
+    /// Returns the plan of a tenant, or [`NO_PLAN`] if the tenant is unknown.
     pub fn plan(&self, tenant: &str) -> PlanId {
         let position = self.plans.iter().position(|plan| &*plan.name == tenant);
         position.map_or(NO_PLAN, PlanId)
     }
 
-    /// Takes a new configuration. Plans stay at their positions, by which requests under way name them.
-    pub fn follow(&mut self, table: &RoutingTable) {
+    /// Applies a new configuration. Plans keep their positions because requests in progress refer
+    /// to plans by position.
+    pub fn apply_config(&mut self, table: &RoutingTable) {
         for tenant in &table.tenants {
             let is_limited = tenant.rate_per_s > 0.0;
             let burst = if tenant.burst > 0.0 {
                 tenant.burst
             } else {
-                // A burst of 0 is a second's worth: some must be admitted at once.
+                // A burst of 0 means one second's worth, as a burst is needed to admit any request.
                 tenant.rate_per_s
             };
             let plan = Plan {
                 name: tenant.name.as_str().into(),
                 rate: if is_limited { tenant.rate_per_s } else { 0.0 },
                 burst: if is_limited { burst } else { 0.0 },
-                price: 1.0,
+                unit_value: 1.0,
                 excess_cost: 1.0,
                 ..Plan::default()
             };
@@ -317,12 +333,13 @@
         self.update_settings();
     }
 
-    /// Tenants with a quota: their rates, and the lengths in seconds of the slots in which the module counts them.
-    pub fn slots(&self) -> Vec<(String, f64, f64)> {
+    /// Returns the tenants with quotas, each with its rate and the length in seconds of the slots
+    /// in which the module counts it.
+    pub fn tenant_quota_slots(&self) -> Vec<(String, f64, f64)> {
         let limited = self.plans.iter().filter(|plan| plan.rate > 0.0);
         let slot_s = |plan: &Plan| {
             let window_s = plan.burst / plan.rate;
-            (window_s / SLOTS_PER_WINDOW).clamp(TICK.as_secs_f64(), LONGEST_SLOT_S)
+            (window_s / SLOTS_PER_WINDOW).clamp(TICK.as_secs_f64(), MAX_SLOT_S)
         };
         limited
             .map(|plan| (plan.name.to_string(), plan.rate, slot_s(plan)))
@@ -330,14 +347,14 @@
     }
 
     /// Sets the number of proxies in this region.
-    pub fn set_nearby_proxies(&mut self, proxies: u32) {
+    pub fn set_region_proxies(&mut self, proxies: u32) {
         if proxies != self.nearby_proxies {
             self.nearby_proxies = proxies;
             self.update_settings();
         }
     }
 
-    /// Sends new settings to the modules whose settings have changed.
+    /// Sends new settings to modules whose settings have changed.
     pub fn update_settings(&mut self) {
         let pool = self.shared.backend_pool.borrow();
         for dispatcher in self.dispatchers.values_mut() {
--- a/crates/proxy/src/dispatch/module_settings.rs
+++ b/crates/proxy/src/dispatch/module_settings.rs
@@ -1,24 +1,28 @@
-//! The settings of a decision module, from the configuration.
+//! Builds the settings of a decision module from the configuration.
 
 use std::time::Duration;
 
-use damsonbeam::interface::{Counter, InForce, Limits, Operation, Plan, PlanId, Repeat, Settings};
+use damsonbeam::interface::{
+    CounterSettings, InForce, InvocationLimits, Operation, Plan, PlanId, RepeatMode, Settings,
+};
 use damsonbeam_control::config::{Route, RouteKind};
 
-/// The module takes events that come within this for simultaneous.
+/// The module treats events within this interval as simultaneous.
 pub(super) const TICK: Duration = Duration::from_millis(1);
-/// The counts are answered at once: the module's timeout for one only has to be longer than its queue.
+/// Timeout of a call to the counts. The counts answer immediately, so the timeout only has to
+/// exceed the queueing delay.
 const COUNT_TIMEOUT: Duration = Duration::from_millis(100);
-/// Clients are advised to come back after this at most.
+/// Maximum retry delay that clients are advised to wait.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(1);
-/// The part of a request's value that a late answer keeps, where nobody says: some, so that late ones are still tried.
+/// Default fraction of a request's value that a late answer keeps. It is above 0 so that late
+/// requests are still attempted.
 const LATE_VALUE: f64 = 0.5;
 
-/// Whether a request on a route of that kind may run more than once.
-pub fn repeat(kind: RouteKind) -> Repeat {
+/// Returns whether a request on a route of this kind may run more than once.
+pub fn repeatability(kind: RouteKind) -> RepeatMode {
     match kind {
-        RouteKind::ReadOnly => Repeat::Idempotent,
-        RouteKind::Mutating | RouteKind::Upload => Repeat::NonIdempotent,
+        RouteKind::ReadOnly => RepeatMode::Idempotent,
+        RouteKind::Mutating | RouteKind::Upload => RepeatMode::NonIdempotent,
     }
 }
 
@@ -29,7 +33,7 @@
     );
     Operation {
         name: name.as_str().into(),
-        repeat: repeat(route.kind),
+        repeat: repeatability(route.kind),
         latency_objective: Duration::from_millis(route.latency_target_ms),
         integration_timeout: Duration::from_millis(route.timeout_ms),
         billed_value: 1.0,
@@ -48,14 +52,14 @@
         operations: vec![],
         plans: (0..plans.len()).map(PlanId).collect(),
     };
-    let limits = Limits {
+    let limits = InvocationLimits {
         may_cancel: true,
         may_hedge: false,
         may_probe: false,
         may_message_peers: false,
-        retry_after: Some(MAX_RETRY_AFTER),
+        max_retry_after: Some(MAX_RETRY_AFTER),
         max_attempts,
-        open: usize::MAX,
+        max_open_invocations: usize::MAX,
         connect_timeout,
     };
     Settings {
@@ -64,9 +68,9 @@
         plans,
         in_force,
         limits,
-        counter: Some(Counter {
+        counter: Some(CounterSettings {
             timeout: COUNT_TIMEOUT,
-            price: 0.0,
+            call_cost: 0.0,
         }),
         max_units: 1.0,
         warm_up_share: 1.0,
--- a/crates/proxy/tests/quota_support/mod.rs
+++ b/crates/proxy/tests/quota_support/mod.rs
@@ -1,4 +1,5 @@
-//! One proxy's decision module and shared counts, with a backend that answers at once: what tests of quotas have in common.
+//! Support for quota tests: the decision module and shared counts of one proxy with a backend that
+//! answers immediately.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -7,33 +8,36 @@
 use damsonbeam::interface::*;
 use damsonbeam_proxy::quota::{QuotaCounter, QuotaTolerance};
 
-/// The one tenant of these tests.
+/// The tenant of all these tests.
 pub const TENANT: &str = "x";
-/// Slots of the tenant, in seconds: its burst is a second's worth, and a window is cut in two.
+/// Length of the tenant's slots in seconds. Its burst is worth one second, and the module divides
+/// that window into two slots.
 pub const SLOT_S: f64 = 0.5;
 
-/// What the operators allow: the window, and what may come on top of a quota in it.
+/// Tolerance of the quota: the window in seconds, and the excess allowed in it as a fraction and in
+/// units.
 const WINDOW_S: f64 = 5.0;
 const OVERAGE: f64 = 0.1;
 const SLACK: f64 = 20.0;
 
-/// A proxy that meters one tenant.
+/// A proxy that enforces the quota of one tenant.
 pub struct MeteredProxy {
-    /// The shared counts as this proxy sees them.
+    /// The shared counts as seen by this proxy.
     pub quota: QuotaCounter,
     rules: Rules,
     next_id: u64,
 }
 
 impl MeteredProxy {
-    /// A proxy that has just started, at a time of its own clock. The tenant's quota and burst are `rate`.
+    /// Creates a proxy that starts at `now` by its own clock. The tenant's quota and burst are
+    /// `rate`.
     pub fn start(rate: f64, seed: u64, now: Duration) -> Self {
         let mut quota = QuotaCounter::new(seed);
-        quota.set_rate(TENANT, rate, SLOT_S);
+        quota.set_tenant_quota(TENANT, rate, SLOT_S);
         quota.set_tolerance(QuotaTolerance {
             window_s: WINDOW_S,
-            overage: OVERAGE,
-            slack: SLACK,
+            overage_fraction: OVERAGE,
+            slack_units: SLACK,
         });
         let mut rules = Rules::new(seed, settings(rate), now);
         let backend = |number| BackendEntry {
@@ -43,10 +47,10 @@
             ..BackendEntry::default()
         };
         let list = Event::BackendList {
-            form: ListForm::Replace,
+            form: ListUpdate::Replace,
             entries: (0..9).map(backend).collect(),
         };
-        rules.on(now, list);
+        rules.handle_event(now, list);
         MeteredProxy {
             quota,
             rules,
@@ -54,7 +58,7 @@
         }
     }
 
-    /// Whether a request of the tenant's is admitted.
+    /// Processes one request of the tenant; returns whether it is admitted.
     pub fn request(&mut self, now: Duration) -> bool {
         self.next_id += 1;
         let invocation = Invocation {
@@ -62,29 +66,31 @@
             deadline: now + Duration::from_secs(3),
             customer: CustomerId(TENANT.into()),
             units: 1.0,
-            spread: 1,
+            gateway_count: 1,
             ..Invocation::default()
         };
         let mut events = VecDeque::from([Event::Invocation(invocation)]);
         let mut is_admitted = false;
         while let Some(event) = events.pop_front() {
-            for action in self.rules.on(now, event) {
+            for action in self.rules.handle_event(now, event) {
                 is_admitted |= matches!(action, Action::SendAttempt { .. });
-                events.extend(self.carry_out(action, now));
+                events.extend(self.perform(action, now));
             }
         }
         is_admitted
     }
 
-    fn carry_out(&mut self, action: Action, now: Duration) -> Option<Event> {
+    fn perform(&mut self, action: Action, now: Duration) -> Option<Event> {
         match action {
-            Action::AddToCounter { name, add, .. } => {
+            Action::AddToCounter {
+                name, units: add, ..
+            } => {
                 let total = self.quota.add(&name, add, now);
                 Some(Event::CounterTotal {
                     name,
                     outcome: Outcome::Ok,
                     total,
-                    others: 0.0,
+                    peer_units: 0.0,
                     latency: Duration::ZERO,
                 })
             }
@@ -98,9 +104,9 @@
                 backend_id,
                 outcome: Outcome::Ok,
                 latency: Duration::from_millis(1),
-                closed: true,
-                used: None,
-                true_units: None,
+                is_finished: true,
+                metered_use: None,
+                actual_units: None,
                 report: vec![],
             }),
             _ => None,
@@ -112,7 +118,7 @@
     let plan = Plan {
         rate,
         burst: rate,
-        price: 1.0,
+        unit_value: 1.0,
         excess_cost: 1.0,
         ..Plan::default()
     };
@@ -131,14 +137,14 @@
             operations: vec![OperationId(0)],
             plans: vec![PlanId(0)],
         },
-        limits: Limits {
+        limits: InvocationLimits {
             max_attempts: 1,
-            open: usize::MAX,
-            ..Limits::default()
+            max_open_invocations: usize::MAX,
+            ..InvocationLimits::default()
         },
-        counter: Some(Counter {
+        counter: Some(CounterSettings {
             timeout: Duration::from_millis(100),
-            price: 0.0,
+            call_cost: 0.0,
         }),
         max_units: 1.0,
         warm_up_share: 1.0,
@@ -148,12 +154,13 @@
     }
 }
 
-/// What the operators allow within five seconds, for a quota and burst of `rate`.
+/// Returns the most admissions tolerated within five seconds for a quota and burst of `rate`.
 pub fn most_in_five_seconds(rate: f64) -> f64 {
     (rate * WINDOW_S + rate) * (1.0 + OVERAGE) + SLACK
 }
 
-/// The most admissions within any five seconds, of times in milliseconds in their order.
+/// Returns the most admissions within any five seconds; `admitted_ms` are ascending times in
+/// milliseconds.
 pub fn most_admitted(admitted_ms: &[u64]) -> usize {
     let mut first = 0;
     let mut most = 0;
--- a/crates/registry/src/allotments.rs
+++ b/crates/registry/src/allotments.rs
@@ -1,17 +1,18 @@
-//! What passes between the coordinator and proxies about allotments.
+//! Messages about quota allotments between the coordinator and proxies.
 
 use std::time::Duration;
 
 use damsonbeam_control::messages::{Allotment, Message};
 
-use crate::proxies::LinkNumber;
+use crate::proxies::ConnectionId;
 use crate::registry::Registry;
 
 impl Registry {
-    /// A proxy reports what it holds. It goes by the term: another coordinator's is none of this one's business.
+    /// Records the allotments that a proxy reports to hold. A report addressed to the coordinator of another term is
+    /// ignored.
     pub(crate) fn receive_allotments(
         &mut self,
-        link: LinkNumber,
+        link: ConnectionId,
         term: u64,
         allotments: &[Allotment],
     ) {
@@ -22,12 +23,12 @@
         if self.role.acting_term(&self.lease, now) == Some(term) {
             let incarnation = session.status().incarnation;
             let ledger = self.role.allotments_mut();
-            ledger.report(incarnation, allotments, now);
+            ledger.record_report(incarnation, allotments, now);
         }
     }
 
-    /// A proxy has taken a change.
-    pub(crate) fn acknowledge_allotments(&mut self, link: LinkNumber, term: u64, revision: u64) {
+    /// Records that a proxy has applied a change of its allotments.
+    pub(crate) fn acknowledge_allotments(&mut self, link: ConnectionId, term: u64, revision: u64) {
         let Some(session) = self.proxies.get(link) else {
             return;
         };
@@ -39,7 +40,7 @@
         }
     }
 
-    /// Divides the quotas anew when that is due, and sends the changes.
+    /// Divides the quotas again if due, and sends the changes to the proxies.
     pub(crate) fn send_allotments(&mut self, now: Duration) {
         let Some((term, changes)) = self.role.divide_quotas(&self.lease, now) else {
             return;
@@ -54,20 +55,23 @@
         }
     }
 
-    /// Renews the holders' leases, and tells them what those out of contact hold.
+    /// Renews the proxies' leases on their allotments, and tells proxies how much of each quota the absent ones hold.
     pub(crate) fn send_allotment_status(&mut self, now: Duration) {
         let Some(term) = self.role.acting_term(&self.lease, now) else {
             return;
         };
         let attached = self.proxies.attached_count(now);
         let known = self.proxies.known_count(now).max(1);
-        let missing_part = known.saturating_sub(attached) as f64 / known as f64;
-        let absent = self.role.allotments().absent(missing_part, now);
+        let missing_fraction = known.saturating_sub(attached) as f64 / known as f64;
+        let absent = self
+            .role
+            .allotments()
+            .absent_allotments(missing_fraction, now);
         let message = Message::AllotmentStatus {
             term,
             departed_proxies: self.proxies.departed_count() as u32,
             absent: absent.by_tenant,
-            absent_of_unlisted: absent.of_unlisted,
+            absent_parts_per_unlisted_tenant: absent.parts_per_unlisted_tenant,
         };
         for (_, session) in self.proxies.all() {
             let incarnation = session.status().incarnation;
--- a/crates/registry/src/store_messages.rs
+++ b/crates/registry/src/store_messages.rs
@@ -1,6 +1,6 @@
-//! What the store on this machine sends: voters, committed items, replies.
+//! Processes the messages of the store on this machine: voters, committed items and replies to commands.
 
-use damsonbeam_control::address::ip_texts;
+use damsonbeam_control::address::ip_strings;
 use damsonbeam_control::config::{Item, ItemKind, Tenant};
 use damsonbeam_control::link::MessageSender;
 use damsonbeam_control::messages::Message;
@@ -9,36 +9,36 @@
 use crate::registry::Registry;
 
 impl Registry {
-    /// The connection to the store is up.
+    /// Starts the session over a new connection to the store.
     pub(crate) fn store_connected(&mut self, sender: MessageSender) {
         self.store.connect(sender);
         self.store.send_roster(self.membership.alive());
         log::info!("store: connected.");
     }
 
-    /// The connection to the store has ended.
+    /// Ends the session after its connection was closed.
     pub(crate) fn store_disconnected(&mut self) {
         self.store.disconnect();
         log::warn!("store: disconnected.");
     }
 
-    /// Takes a message of the store.
+    /// Processes a message of the store.
     pub(crate) fn receive_from_store(&mut self, message: Message) {
         match message {
-            Message::Roster { ips } => {
+            Message::CoreMachines { ips } => {
                 let own_ip = self.own_ip;
                 self.membership
                     .add_seeds(ips.into_iter().filter(|ip| *ip != own_ip));
             }
             Message::Voters { epoch, voters } => self.set_voters(VoterSet::new(epoch, voters)),
             Message::EpochConfirmed { number, epoch } => {
-                // It is valid from when the store was asked.
-                if let Some(asked_at) = self.store.receive_epoch(number) {
+                // The validity of the confirmed epoch starts when the query was sent.
+                if let Some(asked_at) = self.store.receive_epoch_answer(number) {
                     self.lease.confirm_epoch(epoch, asked_at);
                 }
             }
             Message::Committed { items, complete } => self.apply_committed(items, complete),
-            Message::StoreBackends(backends) => {
+            Message::LastKnownBackends(backends) => {
                 self.lease.observe_term(backends.version.term);
                 if backends.version > self.backends.version {
                     self.backends = backends;
@@ -54,12 +54,12 @@
         if voters.epoch <= self.lease.epoch() {
             return;
         }
-        let ips = ip_texts(voters.voters().iter().copied()).join(" ");
+        let ips = ip_strings(voters.voters().iter().copied()).join(" ");
         log::info!("voters: epoch {}, {ips}.", voters.epoch);
         self.membership.add_seeds(voters.voters().iter().copied());
         self.contact.set_voters(voters.clone());
         self.lease.set_voters(voters);
-        self.store.forget_epoch_question();
+        self.store.discard_epoch_query();
     }
 
     fn apply_committed(&mut self, items: Vec<Item>, complete: bool) {
@@ -71,7 +71,7 @@
         if new.is_empty() {
             return;
         }
-        new.iter().for_each(|item| self.host_homes.update(item));
+        new.iter().for_each(|item| self.home_regions.update(item));
         let is_tenant = |item: &&Item| item.key.kind == ItemKind::Tenant && !item.is_removed();
         for tenant in new.iter().filter(is_tenant) {
             if let Ok(tenant) = Tenant::try_from(tenant) {
--- a/tests/rules/common.rs
+++ b/tests/rules/common.rs
@@ -1,4 +1,4 @@
-//! Settings and a small stand-in world for the tests of the module alone.
+//! Settings, events and filters of actions for the tests of the decision module.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,7 +10,7 @@
     Duration::from_millis(n)
 }
 
-pub fn settings(repeat: Repeat) -> Settings {
+pub fn settings(repeat: RepeatMode) -> Settings {
     Settings {
         gateways: 3,
         own_id: GatewayId(0),
@@ -33,31 +33,31 @@
             name: "p".into(),
             rate: 2.0,
             burst: 8.0,
-            price: 1.0,
+            unit_value: 1.0,
             excess_cost: 1.0,
             ..Plan::default()
         }],
-        limits: Limits {
+        limits: InvocationLimits {
             may_cancel: true,
             may_hedge: false,
             may_probe: false,
             may_message_peers: false,
-            retry_after: Some(ms(500)),
+            max_retry_after: Some(ms(500)),
             max_attempts: 4,
-            open: 1000,
+            max_open_invocations: 1000,
             connect_timeout: ms(250),
         },
-        counter: Some(Counter {
+        counter: Some(CounterSettings {
             timeout: ms(30),
-            price: 0.01,
+            call_cost: 0.01,
         }),
-        true_units_follow: false,
+        units_are_estimates: false,
         max_units: 4.0,
         meter_period: Duration::ZERO,
         discovery: Discovery::Pushed,
-        ask_within: ms(10_000),
+        list_request_timeout: ms(10_000),
         drain_grace: ms(250),
-        answer_slack: ms(8),
+        answer_delivery_time: ms(8),
         warm_up_share: 0.2,
         warm_up_time: ms(10_000),
         overload_factor: 2.0,
@@ -65,11 +65,11 @@
     }
 }
 
-pub fn entry(backend_id: u32, health: Health, since: Duration) -> BackendEntry {
+pub fn backend_entry(backend_id: u32, health: Health, since: Duration) -> BackendEntry {
     BackendEntry {
         backend_id: BackendId(backend_id),
         health,
-        since,
+        started_at: since,
         zone: backend_id % 2,
         cell: backend_id % 4,
         weight: 1.0,
@@ -77,20 +77,20 @@
     }
 }
 
-pub fn list(form: ListForm, entries: Vec<BackendEntry>) -> Event {
+pub fn backend_list(form: ListUpdate, entries: Vec<BackendEntry>) -> Event {
     Event::BackendList {
         form,
         entries: Arc::from(entries),
     }
 }
 
-/// `n` warm backends, and a module that knows them.
-pub fn ready(set: Settings, n: u32) -> Rules {
-    let mut rules = Rules::new(7, set, ms(1000));
-    let up = (0..n)
-        .map(|t| entry(t, Health::Up, Duration::ZERO))
+/// Returns a decision module that knows `count` warm backends.
+pub fn rules_with_backends(settings: Settings, count: u32) -> Rules {
+    let mut rules = Rules::new(7, settings, ms(1000));
+    let entries = (0..count)
+        .map(|id| backend_entry(id, Health::Up, Duration::ZERO))
         .collect();
-    rules.on(ms(1000), list(ListForm::Restored, up));
+    rules.handle_event(ms(1000), backend_list(ListUpdate::Restored, entries));
     rules
 }
 
@@ -103,34 +103,34 @@
         customer: CustomerId(customer.into()),
         units,
         first_gateway: GatewayId(0),
-        spread: 3,
-        write: false,
-        repeat: false,
+        gateway_count: 3,
+        is_mutating: false,
+        is_retry: false,
         body_pending: false,
     })
 }
 
-pub fn total(name: &str, total: f64) -> Event {
+pub fn counter_total(name: &str, total: f64) -> Event {
     Event::CounterTotal {
         name: name.into(),
         outcome: Outcome::Ok,
         total,
-        others: 0.0,
+        peer_units: 0.0,
         latency: ms(2),
     }
 }
 
-pub fn no_total(name: &str, outcome: Outcome) -> Event {
+pub fn counter_failure(name: &str, outcome: Outcome) -> Event {
     Event::CounterTotal {
         name: name.into(),
         outcome,
         total: 0.0,
-        others: 0.0,
+        peer_units: 0.0,
         latency: ms(30),
     }
 }
 
-pub fn outcome(
+pub fn attempt_ended(
     invocation_id: u64,
     attempt: u32,
     backend_id: BackendId,
@@ -143,33 +143,39 @@
         backend_id,
         outcome,
         latency: ms(100),
-        closed,
-        used: None,
-        true_units: None,
+        is_finished: closed,
+        metered_use: None,
+        actual_units: None,
         report: Vec::new(),
     }
 }
 
-pub fn counts(actions: &[Action]) -> Vec<(String, f64)> {
-    let named = actions.iter().filter_map(|a| match a {
-        Action::AddToCounter { name, add, .. } => Some((name.clone(), *add)),
+pub fn counter_calls(actions: &[Action]) -> Vec<(String, f64)> {
+    let calls = actions.iter().filter_map(|action| match action {
+        Action::AddToCounter {
+            name, units: add, ..
+        } => Some((name.clone(), *add)),
         _ => None,
     });
-    named.collect()
+    calls.collect()
 }
 
-pub fn delivered(actions: &[Action]) -> Vec<BackendId> {
-    let sent = actions.iter().filter_map(|a| match a {
+pub fn sent_to(actions: &[Action]) -> Vec<BackendId> {
+    let sent = actions.iter().filter_map(|action| match action {
         Action::SendAttempt { backend_id, .. } => Some(*backend_id),
         _ => None,
     });
     sent.collect()
 }
 
-pub fn throttled(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Throttle { .. }))
+pub fn is_throttled(actions: &[Action]) -> bool {
+    actions
+        .iter()
+        .any(|action| matches!(action, Action::Throttle { .. }))
 }
 
-pub fn errored(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Fail { .. }))
+pub fn is_failed(actions: &[Action]) -> bool {
+    actions
+        .iter()
+        .any(|action| matches!(action, Action::Fail { .. }))
 }
