--- a/crates/control/src/config/mirror_rule.rs
+++ b/crates/control/src/config/mirror_rule.rs
@@ -163,7 +163,7 @@
             .and_then(|separate| separate.as_bool())
             .unwrap_or(false);
         if !records_separate && kinds.iter().any(|kind| *kind != RouteKind::ReadOnly) {
-            let reason = "must be true for kinds that modify data: a mirrored request must not modify the same records again";
+            let reason = "must be true for kinds that modify data: a mirrored request must not modify the same records a second time";
             return Err(self.invalid("trial_keeps_records_apart", reason));
         }
         Ok(kinds)
--- a/crates/control/tests/mirror_rules.rs
+++ b/crates/control/tests/mirror_rules.rs
@@ -59,7 +59,7 @@
     }
     assert!(
         validation_result(r#""kinds":["mutating"],"#)
-            .contains("must not modify the same records again")
+            .contains("must not modify the same records a second time")
     );
     assert!(
         ConfigChange::from_json(br#"{"upserts":{"copy_list":[]}}"#.to_vec()).is_err(),
--- a/crates/proxy/src/quota/slot_naming.rs
+++ b/crates/proxy/src/quota/slot_naming.rs
@@ -88,8 +88,9 @@
         })
     }
 
-    /// Returns the coordinator slots that a module slot covers. Units admitted in it are counted under
-    /// the last.
+    /// Returns the range of coordinator slots that a module slot covers. Units admitted in the module
+    /// slot are counted under the last coordinator slot of the range. Only the first module slot after
+    /// a forward step of the coordinator time covers more than one.
     pub(super) fn coordinator_slots(&mut self, slot: u64, slot_s: f64) -> RangeInclusive<u64> {
         if slot_s <= 0.0 {
             return slot..=slot;
